--- a/src/application/forwarding/_lib/openStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/openStreamAttempt/index.ts
@@ -1,5 +1,5 @@
 import { countPromptTokens, type AnswerHead } from '../../../../domain/forwarding';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import type { AttemptAnswer } from '../../../ports';
 import type { HeldCopy, StreamAttempt, StreamRun, StreamServers } from '../../types';
 import { closeStreamAttempt } from '../closeStreamAttempt';
@@ -21,7 +21,7 @@
 const countTokensToRead = (run: StreamRun, { copy, hasPrompt }: StreamServers): number =>
   copy || hasPrompt ? 0 : countPromptTokens(run.context.request);
 
-const buildAttempt = (run: StreamRun, servers: StreamServers, reader: Reader): StreamAttempt => {
+const buildAttempt = (run: StreamRun, servers: StreamServers, reader: ReaderId): StreamAttempt => {
   const { clock, directory } = run.dependencies;
   const { expectedMs, isFree, server } = servers;
   const nowMs = clock.readMonotonicMs();
@@ -48,7 +48,7 @@
 
 const handleFailure = async (
   run: StreamRun,
-  reader: Reader,
+  reader: ReaderId,
   attempt: StreamAttempt,
   { body, head }: AttemptAnswer,
   copy: HeldCopy | null,
--- a/src/application/forwarding/_lib/startCopyWatch/index.ts
+++ b/src/application/forwarding/_lib/startCopyWatch/index.ts
@@ -1,4 +1,4 @@
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { hasTrustedCopy } from '../hasTrustedCopy';
@@ -18,7 +18,7 @@
 export const startCopyWatch = (
   run: StreamRun,
   attempt: StreamAttempt,
-  reader: Reader,
+  reader: ReaderId,
 ): (() => void) => {
   const { clock, log, tables } = run.dependencies;
   const { service } = run.context;
--- a/src/application/forwarding/_lib/startSilenceWatch/index.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/index.ts
@@ -5,7 +5,7 @@
   isRunLost,
   type ServerReport,
 } from '../../../../domain/forwarding';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
@@ -68,7 +68,7 @@
 export const startSilenceWatch = (
   run: StreamRun,
   attempt: StreamAttempt,
-  reader: Reader,
+  reader: ReaderId,
 ): (() => void) => {
   const { client, clock, directory, log } = run.dependencies;
   let isStopped = false;
--- a/src/application/routing/createPlacement/index.ts
+++ b/src/application/routing/createPlacement/index.ts
@@ -1,4 +1,4 @@
-import { findClassPolicy } from '../../../domain/admission';
+import { findWorkClassPolicy } from '../../../domain/admission';
 import { chooseServer, estimateFirstTokenMs } from '../../../domain/routing';
 import type { Demand } from '../../../domain/types';
 import type { Clock, Randomness, Slot, SlotOutcome } from '../../ports';
@@ -88,7 +88,7 @@
     findServer: (demand, pool) => {
       const { servers, groups, zones } = pool;
       const { workClass, excludedServers, promptTokens, prefixes } = demand;
-      const { overtakes } = findClassPolicy(workClass);
+      const { isServedFirst } = findWorkClassPolicy(workClass);
       const cached = prefixes.length > 0 ? load.findCachedTokens(prefixes) : NO_CACHED_TOKENS;
       const holdMs = meter.readHoldMs(demand.service);
       const prefills = groups.map((group) => meter.readPrefillMsPerToken(demand.service, group));
@@ -109,7 +109,7 @@
             running,
             slots,
             holdMs,
-            overtakes,
+            overtakes: isServedFirst,
             promptTokens,
             cachedTokens: cached.size > 0 ? (cached.get(name) ?? 0) : 0,
             prefillMsPerToken: prefills[ready.groupIndex] ?? 0,
@@ -138,7 +138,7 @@
       const { server } = placed.ready;
       const sentMs = clock.readMonotonicMs();
       const priority =
-        findClassPolicy(demand.workClass).enginePriority +
+        findWorkClassPolicy(demand.workClass).enginePriority +
         (demand.purpose === 'resume' ? RESUME_PRIORITY : 0);
       load.recordSend(server.name, demand.prefixes);
       return createSlot(server, priority, (outcome) =>
--- a/src/application/routing/createServerPools/index.ts
+++ b/src/application/routing/createServerPools/index.ts
@@ -1,7 +1,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { findClassPolicy } from '../../../domain/admission';
-import type { ServerRoom } from '../../../domain/admission';
+import { findWorkClassPolicy } from '../../../domain/admission';
+import type { ServerSlots } from '../../../domain/admission';
 import { filterAllowedServers, filterBackendServers } from '../../../domain/routing';
 import { WorkClass } from '../../../domain/types';
 import type { BackendServer, Refusal, VersionedConfiguration } from '../../../domain/types';
@@ -46,18 +46,18 @@
   reportedSlots: number,
   lookupServices: ReadonlySet<string>,
   lookupReserve: number,
-): ServerRoom {
+): ServerSlots {
   const slots = reportedSlots > 0 ? Math.min(server.slots, reportedSlots) : server.slots;
   const servesLookups = server.services.some((service) => lookupServices.has(service));
   return { slots, reservedSlots: servesLookups ? Math.ceil(slots * lookupReserve) : 0 };
 }
 
 /** Builds the limits of each class of work. */
-function buildLimits(room: ServerRoom): Readonly<Record<WorkClass, number>> {
+function buildLimits(room: ServerSlots): Readonly<Record<WorkClass, number>> {
   return {
-    lookup: findClassPolicy(WorkClass.Lookup).computeLimit(room),
-    long: findClassPolicy(WorkClass.Long).computeLimit(room),
-    plain: findClassPolicy(WorkClass.Plain).computeLimit(room),
+    lookup: findWorkClassPolicy(WorkClass.Lookup).computeLimit(room),
+    long: findWorkClassPolicy(WorkClass.Long).computeLimit(room),
+    plain: findWorkClassPolicy(WorkClass.Plain).computeLimit(room),
   };
 }
 
--- a/src/application/routing/createServiceMeter/index.ts
+++ b/src/application/routing/createServiceMeter/index.ts
@@ -1,6 +1,6 @@
 import { addToAverage, addToLowEstimate } from '../../../domain/load';
 import { addOutputSample, predictOutputTokens } from '../../../domain/prediction';
-import type { OutputSamples } from '../../../domain/prediction';
+import type { OutputLengthSamples } from '../../../domain/prediction';
 
 /** Weight of a new measure: about the last ten requests count. */
 const MEASURE_WEIGHT = 0.1;
@@ -54,7 +54,7 @@
 export function createServiceMeter(): ServiceMeter {
   const measures = new Map<string, ServiceMeasures>();
   const groupPrefills = new Map<string, number>();
-  const samples = new Map<string, OutputSamples>();
+  const samples = new Map<string, OutputLengthSamples>();
   /** Predictions without the limit of a request, until the next sample. */
   const predictions = new Map<string, number>();
 
--- a/src/application/routing/createWaitQueue/index.ts
+++ b/src/application/routing/createWaitQueue/index.ts
@@ -2,12 +2,12 @@
 import type { Result } from 'neverthrow';
 import {
   compareWaiters,
-  computeFairTag,
+  computeStartTag,
   estimateWaitMs,
-  hasQueueRoom,
-  removeFairCost,
+  hasQueueCapacity,
+  removeQueuedCost,
 } from '../../../domain/admission';
-import type { FairShares, Waiter } from '../../../domain/admission';
+import type { FairQueueState, Waiter } from '../../../domain/admission';
 import { addToAverage } from '../../../domain/load';
 import { DemandPurpose, RefusalCode } from '../../../domain/types';
 import type { Demand, Refusal } from '../../../domain/types';
@@ -62,7 +62,7 @@
 
 /** Creates a bounded queue that serves workspaces by weighted fair shares. */
 export function createWaitQueue({ clock }: { readonly clock: Clock }): WaitQueue {
-  let shares: FairShares = { virtualTime: 0, finishTags: new Map() };
+  let shares: FairQueueState = { virtualTime: 0, finishTags: new Map() };
   let waiting: readonly WaitingDemand[] = [];
   let nextId = 0;
   let intervalMs = 0;
@@ -83,14 +83,14 @@
     servedMs = waiting.length > 0 ? nowMs : null;
   };
   const addTag = ({ demand, pool, cost }: QueuedDemand): number => {
-    const tag = computeFairTag(shares, demand.workspace, pool.weight, cost);
-    shares = tag.shares;
+    const tag = computeStartTag(shares, demand.workspace, pool.weight, cost);
+    shares = tag.state;
     return tag.startTag;
   };
 
   const giveUp = (waiter: WaitingDemand, message: string): void => {
     removeWaiter(waiter);
-    shares = removeFairCost(shares, waiter.workspace, waiter.pool.weight, waiter.cost);
+    shares = removeQueuedCost(shares, waiter.workspace, waiter.pool.weight, waiter.cost);
     waiter.finish(err(buildLateRefusal(message, readInterval(waiter))));
   };
 
@@ -116,10 +116,10 @@
       if (hadItsTurn(demand)) return ok();
       const interval = readInterval(queued);
       const own = waiting.filter(({ demand: other }) => other.workspace === demand.workspace);
-      const hasRoom = hasQueueRoom({
+      const hasRoom = hasQueueCapacity({
         waiting: waiting.length,
         waitingOfWorkspace: own.length,
-        bound: pool.limits.maxQueuedLong,
+        maxWaiting: pool.limits.maxQueuedLong,
         relativeWeight: pool.relativeWeight,
       });
       if (!hasRoom) {
@@ -128,7 +128,7 @@
         const retryAfterMs = Math.ceil(estimateWaitMs(ahead, interval));
         return err({ code: RefusalCode.QueueFull, message, retryAfterMs });
       }
-      const { startTag } = computeFairTag(shares, demand.workspace, pool.weight, queued.cost);
+      const { startTag } = computeStartTag(shares, demand.workspace, pool.weight, queued.cost);
       const ahead = waiting.filter(
         (other) => other.comesFirst || other.startTag <= startTag,
       ).length;
--- a/src/application/routing/types/ServerPool.ts
+++ b/src/application/routing/types/ServerPool.ts
@@ -1,4 +1,4 @@
-import type { ServerRoom } from '../../../domain/admission';
+import type { ServerSlots } from '../../../domain/admission';
 import type { SpeedFigure } from '../createQualityTracker';
 import type { RunningFigure } from './RoutingLoad';
 import type { AllowedServers } from '../../../domain/routing';
@@ -19,7 +19,7 @@
 /** A server that can take work now. */
 export interface ReadyServer {
   readonly server: BackendServer;
-  readonly room: ServerRoom;
+  readonly room: ServerSlots;
   /** Names the group of comparable servers: those that serve the same services. */
   readonly group: string;
   /** Positions of its group and its zone in the lists of the pool. */
