--- a/src/application/routing/createLoadView/index.ts
+++ b/src/application/routing/createLoadView/index.ts
@@ -1,7 +1,7 @@
 import {
-  addToAverage,
+  updateMovingAverage,
   computeFreshness,
-  estimateRunning,
+  estimateRunningRequests,
   isNewerReport,
 } from '../../../domain/load';
 import type { LoadReport } from '../../../domain/types';
@@ -117,7 +117,7 @@
     const { report, own, peers: known, others, meanOthers, peersSince } = load;
     // A request met at a random moment is more likely a long one: hence the squares.
     const holdMs = load.holdMs > 0 ? load.holdSquareMs / load.holdMs : 0;
-    load.running = estimateRunning({
+    load.running = estimateRunningRequests({
       own,
       peers: known,
       others: report === null ? null : others + peersSince,
@@ -205,7 +205,7 @@
     readCacheSequence: prefixIndex.readSequence,
     readZoneMs: (zone) => zones.get(zone) ?? 0,
     recordZoneMs: (zone, roundTripMs) => {
-      zones.set(zone, addToAverage(zones.get(zone) ?? 0, roundTripMs, ZONE_WEIGHT));
+      zones.set(zone, updateMovingAverage(zones.get(zone) ?? 0, roundTripMs, ZONE_WEIGHT));
     },
     recordSend: (name, prefixes) => {
       recordOwn(name, 1);
@@ -213,8 +213,8 @@
     },
     recordEnd: (name, holdMs) => {
       const load = readLoad(name);
-      load.holdMs = addToAverage(load.holdMs, holdMs, HOLD_WEIGHT);
-      load.holdSquareMs = addToAverage(load.holdSquareMs, holdMs * holdMs, HOLD_WEIGHT);
+      load.holdMs = updateMovingAverage(load.holdMs, holdMs, HOLD_WEIGHT);
+      load.holdSquareMs = updateMovingAverage(load.holdSquareMs, holdMs * holdMs, HOLD_WEIGHT);
       recordOwn(name, -1);
       sendNotice(name);
     },
--- a/src/application/routing/createPlacement/index.ts
+++ b/src/application/routing/createPlacement/index.ts
@@ -109,11 +109,11 @@
             running,
             slots,
             holdMs,
-            overtakes: isServedFirst,
+            skipsQueue: isServedFirst,
             promptTokens,
             cachedTokens: cached.size > 0 ? (cached.get(name) ?? 0) : 0,
             prefillMsPerToken: prefills[ready.groupIndex] ?? 0,
-            zoneMs: zonesMs[ready.zoneIndex] ?? 0,
+            zoneRoundTripMs: zonesMs[ready.zoneIndex] ?? 0,
             speed: ready.quality.speed,
           }),
         );
--- a/src/application/routing/createQualityTracker/index.ts
+++ b/src/application/routing/createQualityTracker/index.ts
@@ -1,10 +1,10 @@
 import {
-  chooseEjected,
+  chooseServersToEject,
   computeSpeedRatio,
-  GOOD_QUALITY,
+  INITIAL_QUALITY,
   updateQuality,
 } from '../../../domain/outlier';
-import type { QualitySign, ServerQuality } from '../../../domain/outlier';
+import type { QualityObservation, ServerQuality } from '../../../domain/outlier';
 import type { BackendServer } from '../../../domain/types';
 import type { Clock, ConfigurationView } from '../../ports';
 import type { RoutingLoad } from '../types';
@@ -57,7 +57,7 @@
 
   const sendNotice = (name: string, ejected: boolean): void =>
     listeners.forEach((listener) => listener(name, ejected));
-  const readQuality = (name: string): ServerQuality => qualities.get(name) ?? GOOD_QUALITY;
+  const readQuality = (name: string): ServerQuality => qualities.get(name) ?? INITIAL_QUALITY;
   const readFigure = (name: string): { speed: number } => {
     const figure = figures.get(name) ?? { speed: 1 };
     figures.set(name, figure);
@@ -67,14 +67,14 @@
     qualities.set(name, quality);
     readFigure(name).speed = quality.speed * (1 - quality.failures);
   };
-  const recordSign = (name: string, sign: QualitySign): void =>
+  const recordSign = (name: string, sign: QualityObservation): void =>
     writeQuality(name, updateQuality(readQuality(name), sign));
   const listServers = (): readonly BackendServer[] =>
     dependencies.configuration.readCurrent()?.configuration.backendServers ?? [];
   const ejectWorst = (group: readonly BackendServer[]): void => {
     const nowMs = clock.readMonotonicMs();
     const candidates = group.map(({ name }) => ({ name, quality: readQuality(name) }));
-    chooseEjected(candidates, nowMs).forEach(({ name, quality }) => {
+    chooseServersToEject(candidates, nowMs).forEach(({ name, quality }) => {
       writeQuality(name, quality);
       sendNotice(name, true);
       clock.startTimer(quality.ejectedUntilMs - nowMs, () => sendNotice(name, false));
--- a/src/application/routing/createServiceMeter/index.ts
+++ b/src/application/routing/createServiceMeter/index.ts
@@ -1,4 +1,4 @@
-import { addToAverage, addToLowEstimate } from '../../../domain/load';
+import { updateMovingAverage, updateUndisturbedEstimate } from '../../../domain/load';
 import { addOutputSample, predictOutputTokens } from '../../../domain/prediction';
 import type { OutputLengthSamples } from '../../../domain/prediction';
 
@@ -71,14 +71,14 @@
       const { firstTokenMs } = attempt;
       if (firstTokenMs > 0 && attempt.unqueued) {
         const perToken = firstTokenMs / Math.max(1, attempt.uncachedTokens);
-        held.prefillMsPerToken = addToLowEstimate(held.prefillMsPerToken, perToken);
+        held.prefillMsPerToken = updateUndisturbedEstimate(held.prefillMsPerToken, perToken);
         const key = buildKey(attempt.service, attempt.group);
         const before = groupPrefills.get(key) ?? 0;
-        groupPrefills.set(key, addToLowEstimate(before, perToken));
-        held.firstTokenMs = addToAverage(held.firstTokenMs, firstTokenMs, MEASURE_WEIGHT);
+        groupPrefills.set(key, updateUndisturbedEstimate(before, perToken));
+        held.firstTokenMs = updateMovingAverage(held.firstTokenMs, firstTokenMs, MEASURE_WEIGHT);
       }
       if (!attempt.finished) return;
-      held.holdMs = addToAverage(held.holdMs, attempt.holdMs, MEASURE_WEIGHT);
+      held.holdMs = updateMovingAverage(held.holdMs, attempt.holdMs, MEASURE_WEIGHT);
       const key = buildKey(attempt.service, attempt.workspace);
       samples.set(key, addOutputSample(samples.get(key) ?? { tokens: [] }, attempt.outputTokens));
       predictions.delete(key);
--- a/src/application/routing/createWaitQueue/index.ts
+++ b/src/application/routing/createWaitQueue/index.ts
@@ -8,7 +8,7 @@
   removeQueuedCost,
 } from '../../../domain/admission';
 import type { FairQueueState, Waiter } from '../../../domain/admission';
-import { addToAverage } from '../../../domain/load';
+import { updateMovingAverage } from '../../../domain/load';
 import { DemandPurpose, RefusalCode } from '../../../domain/types';
 import type { Demand, Refusal } from '../../../domain/types';
 import type { Clock, Slot } from '../../ports';
@@ -78,7 +78,8 @@
   };
   const measureInterval = (): void => {
     const nowMs = clock.readMonotonicMs();
-    if (servedMs !== null) intervalMs = addToAverage(intervalMs, nowMs - servedMs, INTERVAL_WEIGHT);
+    if (servedMs !== null)
+      intervalMs = updateMovingAverage(intervalMs, nowMs - servedMs, INTERVAL_WEIGHT);
     // The time from an empty queue to the next waiter says nothing about the rate.
     servedMs = waiting.length > 0 ? nowMs : null;
   };
--- a/src/domain/forwarding/rankServers/index.ts
+++ b/src/domain/forwarding/rankServersByPrompt/index.ts
@@ -18,7 +18,7 @@
  * @param key - names the prompt
  * @param count - servers wanted
  */
-export const rankServers = (
+export const rankServersByPrompt = (
   servers: readonly ServerStatus[],
   key: string,
   count: number,
