--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -162,7 +162,11 @@
       if (!record) return;
       records.end(id);
       const { aliveAtMs: lastAnswerAtMs, entry } = record;
-      const times = { lastAnswerAtMs, nowMs: clock.readMonotonicMs(), reuseAfterMs };
+      const times = {
+        lastAnswerAtMs: lastAnswerAtMs,
+        nowMs: clock.readMonotonicMs(),
+        reuseAfterMs,
+      };
       if (successorId === null || !isAddressReserved(times)) return;
       const successor = { ...entry, id: successorId, isLeaving: false, bornMs: null };
       if (records.addInferred(successor, 'met')) handleInferred(successor);
