--- a/src/application/routing/_lib/createRouterFixture/index.ts
+++ b/src/application/routing/_lib/createRouterFixture/index.ts
@@ -65,7 +65,7 @@
   },
 });
 
-/** Creates a router on fakes for tests; time passes only by `pass`. */
+/** Creates a router on fakes for tests; the clock moves only through `advance`. */
 export const createRouterFixture = (servers: readonly BackendServer[], maxQueuedLong = 10) => {
   let nowMs = 0;
   let current = { version: 1, configuration: buildConfiguration(servers, maxQueuedLong) };
@@ -137,7 +137,7 @@
       current = { version: current.version + 1, configuration };
       versionListeners.forEach((listener) => listener(undefined as never));
     },
-    pass: (ms: number) => {
+    advance: (ms: number) => {
       nowMs += ms;
       [...timers]
         .filter(({ atMs }) => atMs <= nowMs)
--- a/src/application/routing/createDecisionRecorder/index.ts
+++ b/src/application/routing/createDecisionRecorder/index.ts
@@ -2,7 +2,7 @@
 import type { DecisionLog } from '../../ports';
 import type { ReadyPool } from '../types';
 
-/** Records the routing decisions of demands. */
+/** Writes routing decisions to the decision log. */
 export interface DecisionRecorder {
   record(
     demand: Demand,
@@ -12,25 +12,27 @@
   ): void;
 }
 
-/** Creates the recorder: one decision, one line. */
+/** Creates the decision recorder; each decision becomes one entry of the log. */
 export function createDecisionRecorder(decisions: DecisionLog): DecisionRecorder {
   return {
     record: (demand, configurationVersion, ready, outcome) => {
       const { requestId, workspace, service, excludedServers } = demand;
-      const all = ready?.candidates ?? [];
+      const candidates = ready?.candidates ?? [];
       const excluded: readonly FilteredServer[] = excludedServers
-        .filter((name) => all.includes(name))
+        .filter((name) => candidates.includes(name))
         .map((backendServer) => ({ backendServer, reason: 'failed-this-request' }));
       const filtered = ready?.filtered ?? [];
-      // The lists of a pool are shared between decisions, and copied only if this demand differs.
-      const isSame = excluded.length === 0;
+      // Decisions share the lists of the pool; they are copied only if servers are excluded.
+      const isShared = excluded.length === 0;
       decisions.record({
         ...outcome,
         requestId,
         workspace,
         service,
-        candidates: isSame ? all : all.filter((name) => !excludedServers.includes(name)),
-        filtered: isSame ? filtered : [...filtered, ...excluded],
+        candidates: isShared
+          ? candidates
+          : candidates.filter((name) => !excludedServers.includes(name)),
+        filtered: isShared ? filtered : [...filtered, ...excluded],
         configurationVersion,
       });
     },
--- a/src/application/routing/createLoadPoller/index.ts
+++ b/src/application/routing/createLoadPoller/index.ts
@@ -2,36 +2,36 @@
 import { ServiceKind } from '../../../domain/types';
 import type { BackendServer, Configuration } from '../../../domain/types';
 import type { Clock, ConfigurationView, EngineClient } from '../../ports';
-import type { RoutingLoad } from '../types';
+import type { RouterLoadView } from '../types';
 
-/** VMs that poll one server: two, so that one may die without a gap in the reports. */
+/** VMs that poll each server: two, so that the failure of one leaves no gap in the reports. */
 const POLLERS_PER_SERVER = 2;
 
-/** Time between two polls of a server; engines' reports lag by about as much. */
+/** Time between two load polls of a server; the reports of engines lag by about as much. */
 export const POLL_INTERVAL_MS = 500;
 
 /** Time between two polls of a server's cache events. */
 export const CACHE_POLL_INTERVAL_MS = 2000;
 
 /**
- * Up to this many engines, each VM polls the cache events of all: peers pass on loads, but not what
- * is cached. Beyond it the requests would grow with engines times VMs.
+ * Up to this many engines, each VM polls the cache events of all of them, because peers exchange
+ * loads but not cache events. In a larger fleet the polls would grow as engines times VMs.
  */
-const MAX_CACHE_POLLED = 100;
+const MAX_ENGINES_FOR_FULL_CACHE_POLL = 100;
 
-/** What the load poller needs. */
+/** Dependencies of the load poller. */
 export interface LoadPollerDependencies {
   readonly engines: EngineClient;
   readonly configuration: ConfigurationView;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly clock: Clock;
   readonly vm: string;
   readonly region: string;
-  /** Live entry VMs of this region with this one; just this one means that it polls all servers. */
+  /** Live entry VMs of this region, including this VM; a VM that is alone polls all servers. */
   readonly listLiveVms: () => readonly string[];
 }
 
-/** Polls back ends' load until stopped. */
+/** Polls the load of backend servers until stopped. */
 export interface LoadPoller {
   stop(): void;
 }
@@ -48,9 +48,9 @@
 /**
  * Creates the poller of load reports and cache events of the model engines of this region.
  *
- * Each server's load is polled by two VMs, chosen by rendezvous hashing; the others hear of it in
- * peers' news. A server is asked again only after its answer came, so that a slow one is not piled
- * upon.
+ * Two VMs, chosen by rendezvous hashing, poll the load of each server; the other VMs get the
+ * reports through gossip. A server is polled again only after its last poll has ended, so that
+ * polls do not pile up at a slow server.
  */
 export function createLoadPoller(dependencies: LoadPollerDependencies): LoadPoller {
   const { engines, load, clock, vm } = dependencies;
@@ -65,45 +65,46 @@
     const startedMs = clock.readMonotonicMs();
     const events = await engines.listCacheEvents(server, load.readCacheSequence(server.name));
     if (stopped || events.isErr()) return;
-    load.recordZoneMs(server.availabilityZone, clock.readMonotonicMs() - startedMs);
+    load.recordZoneRoundTripMs(server.availabilityZone, clock.readMonotonicMs() - startedMs);
     load.recordCacheEvents(server.name, events.value);
   };
-  /** Calls `poll` for each server of `list`, again and again, but never twice at once for one. */
+  /** Polls each selected server periodically, with at most one poll of a server in flight. */
   const startPolling = (
     name: string,
     intervalMs: number,
-    list: (all: readonly BackendServer[]) => readonly BackendServer[],
+    selectServers: (servers: readonly BackendServer[]) => readonly BackendServer[],
     poll: (server: BackendServer) => Promise<void>,
   ): void => {
     const busy = new Set<string>();
-    const pollOnce = async (server: BackendServer): Promise<void> => {
+    const pollServer = async (server: BackendServer): Promise<void> => {
       busy.add(server.name);
       await poll(server);
       busy.delete(server.name);
     };
     const pollAll = (): void => {
       const current = dependencies.configuration.readCurrent();
-      const all = current ? listEngines(current.configuration, dependencies.region) : [];
-      list(all)
+      const servers = current ? listEngines(current.configuration, dependencies.region) : [];
+      selectServers(servers)
         .filter((server) => !busy.has(server.name))
         .forEach((server) => {
-          pollOnce(server);
+          pollServer(server);
         });
       cancels.set(name, clock.startTimer(intervalMs, pollAll));
     };
     pollAll();
   };
-  const listOwn = (all: readonly BackendServer[]): readonly BackendServer[] => {
+  const listAssigned = (servers: readonly BackendServer[]): readonly BackendServer[] => {
     const vms = dependencies.listLiveVms();
-    if (vms.length <= POLLERS_PER_SERVER) return all;
-    return all.filter(({ name }) => chooseOwners(vms, name, POLLERS_PER_SERVER).includes(vm));
+    if (vms.length <= POLLERS_PER_SERVER) return servers;
+    return servers.filter(({ name }) => chooseOwners(vms, name, POLLERS_PER_SERVER).includes(vm));
   };
 
-  startPolling('load', POLL_INTERVAL_MS, listOwn, pollLoad);
+  startPolling('load', POLL_INTERVAL_MS, listAssigned, pollLoad);
   startPolling(
     'cache',
     CACHE_POLL_INTERVAL_MS,
-    (all) => (all.length <= MAX_CACHE_POLLED ? all : listOwn(all)),
+    (servers) =>
+      servers.length <= MAX_ENGINES_FOR_FULL_CACHE_POLL ? servers : listAssigned(servers),
     pollCache,
   );
   return {
--- a/src/application/routing/createLoadPoller/test.ts
+++ b/src/application/routing/createLoadPoller/test.ts
@@ -9,7 +9,7 @@
 const SERVERS = Array.from({ length: 12 }, (_, index) => buildServer(`s${index}`, ['long'], 4));
 const VMS = ['vm-1', 'vm-2', 'vm-3', 'vm-4'];
 
-/** Polls once as each VM; the result counts the load polls of each server. */
+/** Polls once as each VM; returns the number of load polls by server. */
 const countPolls = async (vms: readonly string[]): Promise<ReadonlyMap<string, number>> => {
   const counts = new Map<string, number>();
   const clock = { readWallMs: () => 0, readMonotonicMs: () => 0, startTimer: () => () => {} };
@@ -37,7 +37,7 @@
   return counts;
 };
 
-test('every server is polled by two VMs, whoever is live', async (t) => {
+test('two VMs poll every server, whichever VMs are live; a single VM polls all', async (t) => {
   const all = await countPolls(VMS);
   t.deepEqual([...all.values()], Array(12).fill(2));
   t.deepEqual([...(await countPolls(VMS.slice(1))).values()], Array(12).fill(2));
--- a/src/application/routing/createLoadView/index.ts
+++ b/src/application/routing/createLoadView/index.ts
@@ -7,25 +7,25 @@
 import type { LoadReport } from '../../../domain/types';
 import type { Clock } from '../../ports';
 import { createPrefixIndex } from '../createPrefixIndex';
-import type { RoutingLoad } from '../types';
+import type { RouterLoadView } from '../types';
 
-/** Peers' sends are dropped after this long without news: ten missed exchanges of about 1 s. */
+/** The load of a silent peer is dropped after this time: ten missed exchanges of about 1 s. */
 export const PEER_SENDS_TTL_MS = 10_000;
 
-/** Changes kept for a server that never reports; only the newest matter once it does. */
+/** Limit of the changes kept for a server that never reports; a report needs only the newest. */
 const MAX_CHANGES = 1024;
 
-/** Weight of a new round trip in the mean of its zone. */
-const ZONE_WEIGHT = 0.2;
+/** Weight of a new round trip in the moving average of its availability zone. */
+const ZONE_ROUND_TRIP_WEIGHT = 0.2;
 
-/** Weight of a new report in the mean of others' requests: about the last five count. */
+/** Weight of a new report in the average of others' requests: about the last five count. */
 const OTHERS_WEIGHT = 0.2;
 
-/** Weight of a newly ended request in the mean hold time of its server. */
+/** Weight of a newly ended request in the average hold time of its server. */
 const HOLD_WEIGHT = 0.1;
 
-/** Mean time for which a report is the newest one: half of the time between two. */
-const MEAN_USE_MS = 250;
+/** Average time since the newest report arrived: half the interval between two reports. */
+const MEAN_REPORT_USE_MS = 250;
 
 interface LoadChange {
   readonly atMs: number;
@@ -33,41 +33,43 @@
   readonly isOwn: boolean;
 }
 
-/** Mutable on purpose: it is read for every server in every decision. */
+/** Mutable because every routing decision reads it for every server. */
 interface ServerLoad {
   report: LoadReport | null;
   /** Changes since the newest report was sampled. */
   changes: LoadChange[];
+  /** Sums of `changes`: own ones, and those of the peers. */
   ownSince: number;
   peersSince: number;
+  /** Running requests of this VM, and those that the peers last announced. */
   own: number;
   peers: number;
-  /** Others' requests in the newest report, and their mean over the last ones. */
+  /** Requests of other VMs in the newest report, and their average over the last reports. */
   others: number;
   meanOthers: number;
-  /** Sums from which the hold time of a request met at a random moment follows. */
+  /** Averages of the hold time and of its square, for the length-biased hold time. */
   holdMs: number;
   holdSquareMs: number;
-  /** The estimate, worked out anew at each change of what is above. */
+  /** Estimated requests, computed again at each change of the fields above. */
   running: number;
 }
 
-interface PeerNews {
+interface PeerLoad {
   readonly running: ReadonlyMap<string, number>;
   readonly atMs: number;
 }
 
-/** What the load view needs. */
+/** Dependencies of the load view. */
 export interface LoadViewDependencies {
   readonly clock: Clock;
 }
 
-/** Sums the own, or the peers', changes. */
+/** Sums the changes by this VM or, if `own` is false, by its peers. */
 function sumChanges(changes: readonly LoadChange[], own: boolean): number {
   return changes.reduce((sum, { amount, isOwn }) => (isOwn === own ? sum + amount : sum), 0);
 }
 
-/** Tells whether two reports of a server differ in which work it can take. */
+/** Tells whether two reports of a server differ in the work that it can accept. */
 function hasReadinessChanged(before: LoadReport | null, after: LoadReport): boolean {
   return (
     before === null ||
@@ -79,15 +81,15 @@
 }
 
 /**
- * Creates the view of back ends' load.
+ * Creates the view of the load of the backend servers.
  *
- * Each send, end and peers' news since the newest report was sampled is kept as a change, so that
- * the estimate moves at once and not only with the next report.
+ * The view keeps each send, end and peer update since the newest report was sampled as a change, so
+ * that the estimate moves at once and not only with the next report.
  */
-export function createLoadView({ clock }: LoadViewDependencies): RoutingLoad {
+export function createLoadView({ clock }: LoadViewDependencies): RouterLoadView {
   const loads = new Map<string, ServerLoad>();
-  const peers = new Map<string, PeerNews>();
-  const zones = new Map<string, number>();
+  const peers = new Map<string, PeerLoad>();
+  const zoneRoundTripsMs = new Map<string, number>();
   const listeners = new Set<(backendServer: string) => void>();
   const prefixIndex = createPrefixIndex({ clock });
   let readinessEpoch = 0;
@@ -111,18 +113,18 @@
     loads.set(name, created);
     return created;
   };
-  const sendNotice = (name: string): void => listeners.forEach((listener) => listener(name));
+  const notifyListeners = (name: string): void => listeners.forEach((listener) => listener(name));
   const updateRunning = (name: string): void => {
     const load = readLoad(name);
-    const { report, own, peers: known, others, meanOthers, peersSince } = load;
-    // A request met at a random moment is more likely a long one: hence the squares.
+    const { report, own, peers: peerRequests, others, meanOthers, peersSince } = load;
+    // A request observed at a random moment is more likely a long one: length-biased mean.
     const holdMs = load.holdMs > 0 ? load.holdSquareMs / load.holdMs : 0;
     load.running = estimateRunning({
       own,
-      peers: known,
+      peers: peerRequests,
       others: report === null ? null : others + peersSince,
       meanOthers,
-      freshness: computeFreshness((report?.ageMs ?? 0) + MEAN_USE_MS, holdMs),
+      freshness: computeFreshness((report?.ageMs ?? 0) + MEAN_REPORT_USE_MS, holdMs),
     });
   };
   const recordChange = (name: string, amount: number, isOwn: boolean): void => {
@@ -134,13 +136,13 @@
     else load.peersSince += amount;
     updateRunning(name);
   };
-  const recordOwn = (name: string, amount: 1 | -1): void => {
+  const recordOwnChange = (name: string, amount: 1 | -1): void => {
     const load = readLoad(name);
     if (load.own + amount < 0) return;
     load.own += amount;
     recordChange(name, amount, true);
   };
-  const applyPeerNews = (vm: string, running: ReadonlyMap<string, number>): readonly string[] => {
+  const applyPeerLoad = (vm: string, running: ReadonlyMap<string, number>): readonly string[] => {
     const before = peers.get(vm)?.running ?? new Map<string, number>();
     const names = [...new Set([...before.keys(), ...running.keys()])];
     const changed = names.filter((name) => before.get(name) !== running.get(name));
@@ -153,9 +155,9 @@
   };
   const dropSilentPeers = (nowMs: number): void =>
     peers.forEach(({ atMs }, vm) => {
-      // A peer that died sends no more news: its requests would count for ever.
+      // A dead peer sends no updates: its requests would otherwise count for ever.
       if (nowMs - atMs <= PEER_SENDS_TTL_MS) return;
-      applyPeerNews(vm, new Map());
+      applyPeerLoad(vm, new Map());
       peers.delete(vm);
     });
 
@@ -174,12 +176,12 @@
       load.changes = load.changes.filter(({ atMs }) => atMs > sampledMs);
       load.ownSince = sumChanges(load.changes, true);
       load.peersSince = sumChanges(load.changes, false);
-      const ownThen = load.own - load.ownSince;
-      load.others = Math.max(0, report.running + report.waiting - ownThen);
+      const ownAtSample = load.own - load.ownSince;
+      load.others = Math.max(0, report.running + report.waiting - ownAtSample);
       load.meanOthers += (isFirst ? 1 : OTHERS_WEIGHT) * (load.others - load.meanOthers);
       updateRunning(name);
       dropSilentPeers(clock.readMonotonicMs());
-      sendNotice(name);
+      notifyListeners(name);
     },
     recordCacheEvents: prefixIndex.recordEvents,
     recordPeerSends: (vm, sends) => {
@@ -188,10 +190,10 @@
           .filter((send) => send.running > 0)
           .map((send) => [send.backendServer, send.running] as const),
       );
-      const changed = applyPeerNews(vm, running);
+      const changed = applyPeerLoad(vm, running);
       peers.set(vm, { running, atMs: clock.readMonotonicMs() });
       dropSilentPeers(clock.readMonotonicMs());
-      changed.forEach(sendNotice);
+      changed.forEach(notifyListeners);
     },
     listReports: () =>
       [...loads.values()].flatMap(({ report }) => (report === null ? [] : [report])),
@@ -200,25 +202,28 @@
         .filter(([, { own }]) => own > 0)
         .map(([backendServer, { own }]) => ({ backendServer, running: own })),
     findReport: (name) => loads.get(name)?.report ?? null,
-    readRunning: readLoad,
+    readRunningEstimate: readLoad,
     findCachedTokens: prefixIndex.findCachedTokens,
     readCacheSequence: prefixIndex.readSequence,
-    readZoneMs: (zone) => zones.get(zone) ?? 0,
-    recordZoneMs: (zone, roundTripMs) => {
-      zones.set(zone, addToAverage(zones.get(zone) ?? 0, roundTripMs, ZONE_WEIGHT));
+    readZoneRoundTripMs: (zone) => zoneRoundTripsMs.get(zone) ?? 0,
+    recordZoneRoundTripMs: (zone, roundTripMs) => {
+      zoneRoundTripsMs.set(
+        zone,
+        addToAverage(zoneRoundTripsMs.get(zone) ?? 0, roundTripMs, ZONE_ROUND_TRIP_WEIGHT),
+      );
     },
     recordSend: (name, prefixes) => {
-      recordOwn(name, 1);
+      recordOwnChange(name, 1);
       prefixIndex.recordSent(name, prefixes);
     },
     recordEnd: (name, holdMs) => {
       const load = readLoad(name);
       load.holdMs = addToAverage(load.holdMs, holdMs, HOLD_WEIGHT);
       load.holdSquareMs = addToAverage(load.holdSquareMs, holdMs * holdMs, HOLD_WEIGHT);
-      recordOwn(name, -1);
-      sendNotice(name);
+      recordOwnChange(name, -1);
+      notifyListeners(name);
     },
-    recordFull: (name, slots) => {
+    recordServerFull: (name, slots) => {
       const load = readLoad(name);
       if (load.report !== null) recordChange(name, Math.max(0, slots - load.running), false);
     },
--- a/src/application/routing/createPrefixIndex/test.ts
+++ b/src/application/routing/createPrefixIndex/test.ts
@@ -28,10 +28,9 @@
   t.is(index.findCachedTokens([]).size, 0);
 });
 
-test('repeated and reordered events change nothing', (t) => {
-  // Symptom: work follows a prefix that the engine dropped long ago.
-  // Sequence: stored 1, removed 2; the poll's answer is lost, and the same events come again.
-  // Cause: the repeated `stored` was taken as news.
+test('repeated and reordered events are ignored', (t) => {
+  // Guards against routing to a prefix that the engine has evicted: the answer to a poll is lost,
+  // the same events come again, and an old `stored` is applied after its `removed`.
   const { index } = createIndex();
   index.recordEvents('a', [{ sequence: 2, kind: 'removed', prefixes: ['p1'] }, stored(1, 'p1')]);
   index.recordEvents('a', [stored(1, 'p1')]);
@@ -39,7 +38,7 @@
   t.is(index.readSequence('a'), 2);
 });
 
-test('a gap lowers the trust in what was held before it, a long one drops it', (t) => {
+test('a gap in the events lowers the trust in earlier prefixes; a long gap drops them', (t) => {
   const { index } = createIndex();
   index.recordEvents('a', [stored(1, 'p1')]);
   index.recordEvents('a', [stored(5, 'q1')]);
@@ -50,7 +49,7 @@
   t.is(index.findCachedTokens(['p1']).size, 0);
 });
 
-test('a cleared cache, a new process and much time without news leave nothing', (t) => {
+test('a cleared cache, a removed server or a long time without events leaves no prefixes', (t) => {
   const { index, setTime } = createIndex();
   index.recordEvents('a', [stored(1, 'p1'), { sequence: 2, kind: 'cleared', prefixes: [] }]);
   t.is(index.findCachedTokens(['p1']).size, 0);
--- a/src/application/routing/createQualityTracker/index.ts
+++ b/src/application/routing/createQualityTracker/index.ts
@@ -7,38 +7,43 @@
 import type { QualitySign, ServerQuality } from '../../../domain/outlier';
 import type { BackendServer } from '../../../domain/types';
 import type { Clock, ConfigurationView } from '../../ports';
-import type { RoutingLoad } from '../types';
+import type { RouterLoadView } from '../types';
 
-/** Time between two looks at all servers; about as often as their reports come. */
-const REVIEW_INTERVAL_MS = 500;
+/** Minimum time between two speed comparisons; about the interval of the load reports. */
+const SPEED_UPDATE_INTERVAL_MS = 500;
 
-/** What the quality tracker needs. */
+/** Dependencies of the quality tracker. */
 export interface QualityTrackerDependencies {
   readonly configuration: ConfigurationView;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly clock: Clock;
 }
 
-/** A figure that stays up to date. */
-export interface SpeedFigure {
-  /** Speed relative to comparable servers, lowered by failures; 1 is usual. */
+/** A live estimate, updated in place. */
+export interface SpeedEstimate {
+  /** Speed relative to comparable servers, reduced by failures; 1 is normal. */
   readonly speed: number;
 }
 
-/** Tracks how well each backend server serves; slow and failing ones get less, then nothing. */
+/**
+ * Outlier detection: slow and failing backend servers get fewer requests, then are ejected for a
+ * time.
+ */
 export interface QualityTracker {
   recordAttempt(backendServer: string, failed: boolean): void;
-  /** Compares the speeds in the newest reports; does nothing if it was done just before. */
+  /** Compares the speeds in the newest reports; at most once per `SPEED_UPDATE_INTERVAL_MS`. */
   updateSpeeds(): void;
-  /** Finds the figure of a server; the same object for as long as this tracker lives. */
-  readSpeed(backendServer: string): SpeedFigure;
+  /** Returns the estimate of a server: always the same object, updated in place. */
+  readSpeedEstimate(backendServer: string): SpeedEstimate;
   isEjected(backendServer: string): boolean;
   /** Calls `listener` when a server is ejected and when its ejection ends. */
   addListener(listener: (backendServer: string, ejected: boolean) => void): void;
 }
 
-/** Groups servers that serve the same services: only these are comparable. */
-function listGroups(servers: readonly BackendServer[]): readonly (readonly BackendServer[])[] {
+/** Groups the servers that serve the same services: only these are comparable. */
+function groupComparableServers(
+  servers: readonly BackendServer[],
+): readonly (readonly BackendServer[])[] {
   const groups = new Map<string, BackendServer[]>();
   servers.forEach((server) => {
     const key = server.services.join('\n');
@@ -47,40 +52,40 @@
   return [...groups.values()];
 }
 
-/** Creates the tracker of backend servers' quality. */
+/** Creates the quality tracker of the backend servers. */
 export function createQualityTracker(dependencies: QualityTrackerDependencies): QualityTracker {
   const { clock, load } = dependencies;
   const listeners = new Set<(backendServer: string, ejected: boolean) => void>();
   const qualities = new Map<string, ServerQuality>();
-  const figures = new Map<string, { speed: number }>();
-  let reviewedMs = -Infinity;
+  const speedEstimates = new Map<string, { speed: number }>();
+  let speedsUpdatedMs = -Infinity;
 
-  const sendNotice = (name: string, ejected: boolean): void =>
+  const notifyListeners = (name: string, ejected: boolean): void =>
     listeners.forEach((listener) => listener(name, ejected));
   const readQuality = (name: string): ServerQuality => qualities.get(name) ?? GOOD_QUALITY;
-  const readFigure = (name: string): { speed: number } => {
-    const figure = figures.get(name) ?? { speed: 1 };
-    figures.set(name, figure);
-    return figure;
+  const readMutableEstimate = (name: string): { speed: number } => {
+    const estimate = speedEstimates.get(name) ?? { speed: 1 };
+    speedEstimates.set(name, estimate);
+    return estimate;
   };
   const writeQuality = (name: string, quality: ServerQuality): void => {
     qualities.set(name, quality);
-    readFigure(name).speed = quality.speed * (1 - quality.failures);
+    readMutableEstimate(name).speed = quality.speed * (1 - quality.failures);
   };
-  const recordSign = (name: string, sign: QualitySign): void =>
-    writeQuality(name, updateQuality(readQuality(name), sign));
+  const recordObservation = (name: string, observation: QualitySign): void =>
+    writeQuality(name, updateQuality(readQuality(name), observation));
   const listServers = (): readonly BackendServer[] =>
     dependencies.configuration.readCurrent()?.configuration.backendServers ?? [];
-  const ejectWorst = (group: readonly BackendServer[]): void => {
+  const ejectOutliers = (group: readonly BackendServer[]): void => {
     const nowMs = clock.readMonotonicMs();
     const candidates = group.map(({ name }) => ({ name, quality: readQuality(name) }));
     chooseEjected(candidates, nowMs).forEach(({ name, quality }) => {
       writeQuality(name, quality);
-      sendNotice(name, true);
-      clock.startTimer(quality.ejectedUntilMs - nowMs, () => sendNotice(name, false));
+      notifyListeners(name, true);
+      clock.startTimer(quality.ejectedUntilMs - nowMs, () => notifyListeners(name, false));
     });
   };
-  /** Tokens a second for each running stream; null without a fresh figure. */
+  /** Tokens per second for each running stream; null if the report has none. */
   const readRate = (name: string): number | null => {
     const report = load.findReport(name);
     if (report === null || report.running === 0 || report.tokensPerSecond === 0) return null;
@@ -89,29 +94,29 @@
 
   return {
     recordAttempt: (name, failed) => {
-      recordSign(name, { kind: 'attempt', failed });
+      recordObservation(name, { kind: 'attempt', failed });
       if (!failed) return;
       const servers = listServers();
       const services = servers.find((server) => server.name === name)?.services.join('\n');
-      ejectWorst(servers.filter((server) => server.services.join('\n') === services));
+      ejectOutliers(servers.filter((server) => server.services.join('\n') === services));
     },
     updateSpeeds: () => {
       const nowMs = clock.readMonotonicMs();
-      if (nowMs - reviewedMs < REVIEW_INTERVAL_MS) return;
-      reviewedMs = nowMs;
-      listGroups(listServers()).forEach((group) => {
+      if (nowMs - speedsUpdatedMs < SPEED_UPDATE_INTERVAL_MS) return;
+      speedsUpdatedMs = nowMs;
+      groupComparableServers(listServers()).forEach((group) => {
         const rates = group.flatMap(({ name }) => {
           const rate = readRate(name);
           return rate === null ? [] : [{ name, rate }];
         });
         const all = rates.map(({ rate }) => rate).sort((left, right) => left - right);
         rates.forEach(({ name, rate }) =>
-          recordSign(name, { kind: 'speed', ratio: computeSpeedRatio(rate, all) }),
+          recordObservation(name, { kind: 'speed', ratio: computeSpeedRatio(rate, all) }),
         );
-        ejectWorst(group);
+        ejectOutliers(group);
       });
     },
-    readSpeed: readFigure,
+    readSpeedEstimate: readMutableEstimate,
     isEjected: (name) => (qualities.get(name)?.ejectedUntilMs ?? 0) > clock.readMonotonicMs(),
     addListener: (listener) => {
       listeners.add(listener);
--- a/src/application/routing/createQualityTracker/test.ts
+++ b/src/application/routing/createQualityTracker/test.ts
@@ -6,7 +6,7 @@
 
 const NAMES = ['a', 'b', 'c', 'd', 'e', 'f'];
 
-const createBench = () => {
+const createFixture = () => {
   let nowMs = 0;
   const timers: { readonly atMs: number; readonly callback: () => void }[] = [];
   const clock = {
@@ -31,7 +31,7 @@
   return {
     tracker,
     changes,
-    /** One round of reports; the tokens a second are those of two running streams. */
+    /** Records a report of each server; the rate is the sum over two running streams. */
     report: (rates: Readonly<Record<string, number>>) => {
       nowMs += 500;
       NAMES.forEach((backendServer) =>
@@ -49,31 +49,31 @@
       );
       tracker.updateSpeeds();
     },
-    pass: (ms: number) => {
+    advance: (ms: number) => {
       nowMs += ms;
       timers.filter(({ atMs }) => atMs <= nowMs).forEach(({ callback }) => callback());
     },
   };
 };
 
-test('a slow server gets less, then nothing, and comes back after a time', (t) => {
-  const bench = createBench();
-  bench.report({ a: 10 });
-  const first = bench.tracker.readSpeed('a').speed;
+test('a slow server gets a lower speed, is ejected, and returns after a time', (t) => {
+  const fixture = createFixture();
+  fixture.report({ a: 10 });
+  const first = fixture.tracker.readSpeedEstimate('a').speed;
   t.true(first < 1 && first > 0.5);
-  t.is(bench.tracker.readSpeed('b').speed, 1);
-  for (let round = 0; round < 12; round += 1) bench.report({ a: 10 });
-  t.true(bench.tracker.isEjected('a'));
-  t.deepEqual(bench.changes, ['a true']);
-  bench.pass(5000);
-  t.false(bench.tracker.isEjected('a'));
-  t.deepEqual(bench.changes, ['a true', 'a false']);
+  t.is(fixture.tracker.readSpeedEstimate('b').speed, 1);
+  for (let round = 0; round < 12; round += 1) fixture.report({ a: 10 });
+  t.true(fixture.tracker.isEjected('a'));
+  t.deepEqual(fixture.changes, ['a true']);
+  fixture.advance(5000);
+  t.false(fixture.tracker.isEjected('a'));
+  t.deepEqual(fixture.changes, ['a true', 'a false']);
 });
 
-test('when all fail, one of six is ejected and the others go on', (t) => {
-  const bench = createBench();
+test('when all servers fail, only one of six is ejected', (t) => {
+  const fixture = createFixture();
   NAMES.forEach((name) => {
-    for (let attempt = 0; attempt < 4; attempt += 1) bench.tracker.recordAttempt(name, true);
+    for (let attempt = 0; attempt < 4; attempt += 1) fixture.tracker.recordAttempt(name, true);
   });
-  t.is(NAMES.filter(bench.tracker.isEjected).length, 1);
+  t.is(NAMES.filter(fixture.tracker.isEjected).length, 1);
 });
--- a/src/application/routing/createRouter/index.ts
+++ b/src/application/routing/createRouter/index.ts
@@ -12,76 +12,76 @@
   Slot,
 } from '../../ports';
 import { createDecisionRecorder } from '../createDecisionRecorder';
-import { createPlacement } from '../createPlacement';
-import type { Placed } from '../createPlacement';
+import { createServerSelector } from '../createServerSelector';
+import type { SelectedServer } from '../createServerSelector';
 import { createQualityTracker } from '../createQualityTracker';
 import { createServerPools } from '../createServerPools';
 import { createServiceMeter } from '../createServiceMeter';
 import type { QueuedDemand } from '../createWaitQueue';
 import { createWaitQueues } from '../createWaitQueues';
-import type { RoutingLoad, ServerPool, ServingRouter } from '../types';
+import type { RouterLoadView, ServerPool, ServingRouter } from '../types';
 
-/** What the router needs. */
+/** Dependencies of the router. */
 export interface RouterDependencies {
   readonly configuration: ConfigurationView;
   readonly health: HealthRegistry;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly decisions: DecisionLog;
   readonly clock: Clock;
   readonly randomness: Randomness;
 }
 
-/** When to come back if no server is ready: about the time in which one is replaced or probed. */
+/** Retry-after if no server is ready: about the time to replace or probe a server. */
 const NOT_READY_RETRY_MS = 2000;
 
-/** Weight of a prompt token in the cost of a demand: a prefill is far quicker than a decode. */
-const PROMPT_COST = 0.1;
+/** Cost of a prompt token relative to an output token: prefill is far faster than decode. */
+const PROMPT_TOKEN_COST = 0.1;
 
-/** Builds a refusal. */
 function buildRefusal(code: RefusalCode, message: string, retryAfterMs: number): Refusal {
   return { code, message, retryAfterMs };
 }
 
-/** Describes a choice for the decision log. */
-function renderChoice({ firstTokenMs, running, cachedTokens }: Placed): string {
-  const figures = `first token in ${firstTokenMs.toFixed(1)} ms, ${running.toFixed(1)} running`;
-  return cachedTokens > 0 ? `${figures}, ${Math.round(cachedTokens)} tokens cached` : figures;
+/** Describes the selected server for the decision log. */
+function renderChoice({ firstTokenMs, running, cachedTokens }: SelectedServer): string {
+  const estimates = `first token in ${firstTokenMs.toFixed(1)} ms, ${running.toFixed(1)} running`;
+  return cachedTokens > 0 ? `${estimates}, ${Math.round(cachedTokens)} tokens cached` : estimates;
 }
 
 /**
- * Creates the router of this VM: hard filter, admission, then choice by score.
+ * Creates the router of this VM: it filters the servers, applies admission control and selects a
+ * server by score.
  *
- * A queue is served when a slot is given back, a report or peers' news comes, or a server's health
- * changes; never by polling.
+ * Queues are served on events, never by polling: a slot is released, a load report or a peer's load
+ * arrives, the health of a server changes, or a new configuration comes into force.
  */
 export function createRouter(dependencies: RouterDependencies): ServingRouter {
   const { configuration, load, clock, health } = dependencies;
   const meter = createServiceMeter();
   const quality = createQualityTracker({ configuration, load, clock });
   const pools = createServerPools({ health, load, quality });
-  const placement = createPlacement({ ...dependencies, meter, quality });
+  const selector = createServerSelector({ ...dependencies, meter, quality });
   const queues = createWaitQueues({ clock });
   const recorder = createDecisionRecorder(dependencies.decisions);
-  let budget = { credits: RETRY_BURST };
+  let retryBudget = { credits: RETRY_BURST };
 
   const refuse = (demand: Demand, pool: ServerPool, refusal: Refusal): Result<never, Refusal> => {
     const outcome = { kind: 'refuse', choice: '', reason: refusal.code } as const;
-    recorder.record(demand, pool.version, pools.listReady(pool), outcome);
+    recorder.record(demand, pool.version, pools.readReadyPool(pool), outcome);
     return err(refusal);
   };
   const trySend = ({ demand, pool }: QueuedDemand): Slot | null => {
-    const ready = pools.listReady(pool);
-    const placed = placement.findServer(demand, ready);
-    if (placed === null) return null;
+    const ready = pools.readReadyPool(pool);
+    const selected = selector.selectServer(demand, ready);
+    if (selected === null) return null;
     const outcome = {
       kind: demand.purpose === DemandPurpose.Resume ? 'resume' : 'route',
-      choice: placed.ready.server.name,
-      reason: renderChoice(placed),
+      choice: selected.ready.server.name,
+      reason: renderChoice(selected),
     } as const;
     recorder.record(demand, pool.version, ready, outcome);
-    return placement.acquirePlaced(demand, placed);
+    return selector.acquireSlot(demand, selected);
   };
-  /** A waiter may only go where the configuration in force now allows it. */
+  /** Looks up the pool again: the configuration may have changed while the demand waited. */
   const trySendWaiting = (queued: QueuedDemand): Result<Slot, Refusal> | null => {
     const { workspace, service } = queued.demand;
     const current = configuration.readCurrent();
@@ -96,34 +96,34 @@
   };
   const buildQueued = (demand: Demand, pool: ServerPool): QueuedDemand => {
     const { service, workspace, maxOutputTokens } = demand;
-    const output = meter.predictTokens(service, workspace, maxOutputTokens);
+    const output = meter.predictOutputTokens(service, workspace, maxOutputTokens);
     return {
       demand,
       pool,
-      cost: output + demand.promptTokens * PROMPT_COST,
-      assumedIntervalMs: meter.readHoldMs(service) / Math.max(1, pools.listReady(pool).slots),
+      cost: output + demand.promptTokens * PROMPT_TOKEN_COST,
+      assumedIntervalMs: meter.readHoldMs(service) / Math.max(1, pools.readReadyPool(pool).slots),
     };
   };
-  /** Counts a first attempt, or takes a credit for an extra one; tells whether it may be made. */
-  const drawBudget = ({ purpose, excludedServers }: Demand, pool: ServerPool): boolean => {
-    const isFirst = purpose === DemandPurpose.Start && excludedServers.length === 0;
-    const drawn = isFirst
-      ? addRetryCredit(budget, pool.limits.retryBudget)
-      : acquireRetryCredit(budget, purpose);
-    budget = drawn ?? budget;
-    return drawn !== null;
+  /** Earns credit for a first attempt or spends it for an extra one; false if it is used up. */
+  const applyRetryBudget = ({ purpose, excludedServers }: Demand, pool: ServerPool): boolean => {
+    const isFirstAttempt = purpose === DemandPurpose.Start && excludedServers.length === 0;
+    const updated = isFirstAttempt
+      ? addRetryCredit(retryBudget, pool.limits.retryBudget)
+      : acquireRetryCredit(retryBudget, purpose);
+    retryBudget = updated ?? retryBudget;
+    return updated !== null;
   };
   const admit = async (
     demand: Demand,
     pool: ServerPool,
     signal: AbortSignal,
   ): Promise<Result<Slot, Refusal>> => {
-    if (!drawBudget(demand, pool)) {
-      const message = 'the budget of extra attempts is spent';
+    if (!applyRetryBudget(demand, pool)) {
+      const message = 'the retry budget is exhausted';
       const waitMs = meter.readHoldMs(demand.service);
       return refuse(demand, pool, buildRefusal(RefusalCode.RetryBudgetSpent, message, waitMs));
     }
-    const ready = pools.listReady(pool);
+    const ready = pools.readReadyPool(pool);
     const canServe = ready.candidates.some((name) => !demand.excludedServers.includes(name));
     if (!canServe) {
       const message = `no backend server is ready for service "${demand.service}"`;
@@ -135,24 +135,24 @@
     if (queue.countWaiting() === 0 || demand.purpose !== DemandPurpose.Start) {
       const slot = trySend(queued);
       if (slot !== null) {
-        queue.recordSent(queued);
+        queue.recordUnqueued(queued);
         return ok(slot);
       }
     }
     if (demand.purpose === DemandPurpose.Hedge) {
-      const message = 'there is no room for a hedge';
+      const message = 'no free slot for a hedged request';
       return refuse(demand, pool, buildRefusal(RefusalCode.QueueFull, message, 0));
     }
-    const room = queue.checkRoom(queued);
-    if (room.isErr()) return refuse(demand, pool, room.error);
+    const admission = queue.checkAdmission(queued);
+    if (admission.isErr()) return refuse(demand, pool, admission.error);
     recorder.record(demand, pool.version, ready, {
       kind: 'queue',
       choice: '',
       reason: `${queue.countWaiting()} waiting`,
     });
-    const waiting = queue.waitForSlot(queued, signal);
+    const waitingSlot = queue.waitForSlot(queued, signal);
     serveQueues();
-    const slot = await waiting;
+    const slot = await waitingSlot;
     return slot.isErr() ? refuse(demand, pool, slot.error) : slot;
   };
 
@@ -160,12 +160,12 @@
     quality.updateSpeeds();
     serveQueues();
   });
-  const handleChange = (): void => {
-    pools.recordChange();
+  const handleAvailabilityChange = (): void => {
+    pools.invalidateReadyPools();
     serveQueues();
   };
-  health.addListener(handleChange);
-  quality.addListener(handleChange);
+  health.addListener(handleAvailabilityChange);
+  quality.addListener(handleAvailabilityChange);
   configuration.addListener(serveQueues);
 
   return {
--- a/src/application/routing/createServerPools/index.ts
+++ b/src/application/routing/createServerPools/index.ts
@@ -7,41 +7,41 @@
 import type { BackendServer, Refusal, VersionedConfiguration } from '../../../domain/types';
 import type { HealthRegistry } from '../../ports';
 import type { QualityTracker } from '../createQualityTracker';
-import type { ReadyPool, ReadyServer, RoutingLoad, ServerPool } from '../types';
+import type { ReadyPool, ReadyServer, RouterLoadView, ServerPool } from '../types';
 
-/** What the server pools need. */
+/** Dependencies of the server pools. */
 export interface ServerPoolsDependencies {
   readonly health: HealthRegistry;
-  readonly load: RoutingLoad;
-  readonly quality: Pick<QualityTracker, 'isEjected' | 'readSpeed'>;
+  readonly load: RouterLoadView;
+  readonly quality: Pick<QualityTracker, 'isEjected' | 'readSpeedEstimate'>;
 }
 
-/** Servers by workspace and service, worked out once and kept until something changes. */
+/** Caches the servers of each workspace and service until something changes. */
 export interface ServerPools {
-  /** The allowed servers, worked out once for each configuration version. */
+  /** Finds the allowed servers; computed once per configuration version. */
   findPool(
     current: VersionedConfiguration,
     workspace: string,
     service: string,
   ): Result<ServerPool, Refusal>;
-  /** The ready ones of a pool, worked out once until a health, report or ejection changes. */
-  listReady(pool: ServerPool): ReadyPool;
-  /** Notes that health or ejections have changed. */
-  recordChange(): void;
+  /** Reads the ready servers of a pool; rebuilt after a change of health, report or ejection. */
+  readReadyPool(pool: ServerPool): ReadyPool;
+  /** Invalidates the ready pools after a change of health or ejections. */
+  invalidateReadyPools(): void;
 }
 
-interface CachedReady {
+interface CachedReadyPool {
   readonly epoch: number;
   readonly ready: ReadyPool;
 }
 
-/** Names the group of servers that are comparable: they serve the same services. */
+/** Builds the name of a group of comparable servers: those that serve the same services. */
 function buildGroupName({ services }: BackendServer): string {
   return services.join('\n');
 }
 
-/** Builds the room of a server; without lookups to serve, no slot is kept for them. */
-function buildRoom(
+/** Builds the capacity of a server; slots are reserved for lookups only if it serves any. */
+function buildCapacity(
   server: BackendServer,
   reportedSlots: number,
   lookupServices: ReadonlySet<string>,
@@ -52,29 +52,29 @@
   return { slots, reservedSlots: servesLookups ? Math.ceil(slots * lookupReserve) : 0 };
 }
 
-/** Builds the limits of each class of work. */
-function buildLimits(room: ServerRoom): Readonly<Record<WorkClass, number>> {
+/** Builds the limit of requests at the server for each class of work. */
+function buildRequestLimits(capacity: ServerRoom): Readonly<Record<WorkClass, number>> {
   return {
-    lookup: findClassPolicy(WorkClass.Lookup).computeLimit(room),
-    long: findClassPolicy(WorkClass.Long).computeLimit(room),
-    plain: findClassPolicy(WorkClass.Plain).computeLimit(room),
+    lookup: findClassPolicy(WorkClass.Lookup).computeLimit(capacity),
+    long: findClassPolicy(WorkClass.Long).computeLimit(capacity),
+    plain: findClassPolicy(WorkClass.Plain).computeLimit(capacity),
   };
 }
 
 /** Creates the pools; a decision then only looks at the servers that are left. */
 export function createServerPools(dependencies: ServerPoolsDependencies): ServerPools {
   const { health, load, quality } = dependencies;
-  const knowledge = { readHealth: health.readHealth, findReport: load.findReport };
+  const serverState = { readHealth: health.readHealth, findReport: load.findReport };
   let version = 0;
-  let changes = 0;
+  let invalidations = 0;
   let lookupServices: ReadonlySet<string> = new Set();
   const pools = new Map<string, Result<ServerPool, Refusal>>();
-  const readies = new Map<ServerPool, CachedReady>();
+  const readyPools = new Map<ServerPool, CachedReadyPool>();
 
   const applyVersion = (current: VersionedConfiguration): void => {
     version = current.version;
     pools.clear();
-    readies.clear();
+    readyPools.clear();
     lookupServices = new Set(
       current.configuration.services
         .filter(({ workClass }) => workClass === WorkClass.Lookup)
@@ -100,38 +100,38 @@
       relativeWeight: weight / mean,
     });
   };
-  const buildReady = ({ allowed, limits }: ServerPool): ReadyPool => {
-    const hard = filterBackendServers(allowed.servers, allowed.service, [], knowledge);
-    const good = hard.ready.filter(({ name }) => !quality.isEjected(name));
-    // Ejection is a preference: with nothing else left, a bad server beats a refusal.
-    const servers = good.length > 0 ? good : hard.ready;
+  const buildReadyPool = ({ allowed, limits }: ServerPool): ReadyPool => {
+    const usable = filterBackendServers(allowed.servers, allowed.service, [], serverState);
+    const notEjected = usable.ready.filter(({ name }) => !quality.isEjected(name));
+    // If all usable servers are ejected, they are used anyway: better a poor server than a refusal.
+    const servers = notEjected.length > 0 ? notEjected : usable.ready;
     const groups = [...new Set(servers.map(buildGroupName))];
     const zones = [...new Set(servers.map(({ availabilityZone }) => availabilityZone))];
-    const ejected = hard.ready.filter((server) => !servers.includes(server));
-    const listed = servers.map((server): ReadyServer => {
-      const reported = load.findReport(server.name)?.slots ?? 0;
-      const room = buildRoom(server, reported, lookupServices, limits.lookupReserve);
+    const ejected = usable.ready.filter((server) => !servers.includes(server));
+    const readyServers = servers.map((server): ReadyServer => {
+      const reportedSlots = load.findReport(server.name)?.slots ?? 0;
+      const capacity = buildCapacity(server, reportedSlots, lookupServices, limits.lookupReserve);
       return {
         server,
-        room,
+        capacity,
         group: buildGroupName(server),
         groupIndex: groups.indexOf(buildGroupName(server)),
         zoneIndex: zones.indexOf(server.availabilityZone),
-        limits: buildLimits(room),
-        load: load.readRunning(server.name),
-        quality: quality.readSpeed(server.name),
+        requestLimits: buildRequestLimits(capacity),
+        runningEstimate: load.readRunningEstimate(server.name),
+        speedEstimate: quality.readSpeedEstimate(server.name),
       };
     });
     return {
-      servers: listed,
-      positions: new Map(listed.map(({ server }, index) => [server.name, index])),
-      slots: listed.reduce((sum, { room }) => sum + room.slots, 0),
+      servers: readyServers,
+      positions: new Map(readyServers.map(({ server }, index) => [server.name, index])),
+      slots: readyServers.reduce((sum, { capacity }) => sum + capacity.slots, 0),
       groups,
       zones,
       candidates: servers.map(({ name }) => name),
       filtered: [
         ...allowed.filtered,
-        ...hard.filtered,
+        ...usable.filtered,
         ...ejected.map(({ name }) => ({ backendServer: name, reason: 'ejected-as-outlier' })),
       ],
     };
@@ -142,20 +142,20 @@
       if (current.version !== version) applyVersion(current);
       const key = `${workspace}\n${service}`;
       const pool = pools.get(key) ?? buildPool(current, workspace, service);
-      // Refusals are not kept: callers could fill the memory with names that do not exist.
+      // Refusals are not cached: callers could fill the memory with names that do not exist.
       if (pool.isOk()) pools.set(key, pool);
       return pool;
     },
-    listReady: (pool) => {
-      const epoch = changes + load.readReadinessEpoch();
-      const cached = readies.get(pool);
+    readReadyPool: (pool) => {
+      const epoch = invalidations + load.readReadinessEpoch();
+      const cached = readyPools.get(pool);
       if (cached?.epoch === epoch) return cached.ready;
-      const ready = buildReady(pool);
-      if (pool.version === version) readies.set(pool, { epoch, ready });
+      const ready = buildReadyPool(pool);
+      if (pool.version === version) readyPools.set(pool, { epoch, ready });
       return ready;
     },
-    recordChange: () => {
-      changes += 1;
+    invalidateReadyPools: () => {
+      invalidations += 1;
     },
   };
 }
--- a/src/application/routing/createPlacement/index.ts
+++ b/src/application/routing/createServerSelector/index.ts
@@ -5,44 +5,44 @@
 import type { QualityTracker } from '../createQualityTracker';
 import type { ServiceMeter } from '../createServiceMeter';
 import { createSlot } from '../createSlot';
-import type { ReadyPool, ReadyServer, RoutingLoad } from '../types';
+import type { ReadyPool, ReadyServer, RouterLoadView } from '../types';
 
-/** Added to the priority of a resume, so that the engines serve it before new work of its class. */
+/** Added to the priority of a resume, so that engines serve it before new requests of its class. */
 const RESUME_PRIORITY = 5;
 
-/** What placing needs. */
-export interface PlacementDependencies {
-  readonly load: RoutingLoad;
+/** Dependencies of the server selector. */
+export interface ServerSelectorDependencies {
+  readonly load: RouterLoadView;
   readonly meter: ServiceMeter;
   readonly quality: QualityTracker;
   readonly clock: Clock;
   readonly randomness: Randomness;
 }
 
-/** A server chosen for a demand. */
-export interface Placed {
+/** A server selected for a demand, with the estimates behind the selection. */
+export interface SelectedServer {
   readonly ready: ReadyServer;
+  /** Estimated time to the first token, in milliseconds. */
   readonly firstTokenMs: number;
   readonly cachedTokens: number;
   readonly running: number;
 }
 
-/** Chooses servers by their estimated time to the first token, and hands out their slots. */
-export interface Placement {
-  /** Chooses a server with room, or null. */
-  findServer(demand: Demand, ready: ReadyPool): Placed | null;
-  /** Takes the slot on the chosen server. */
-  acquirePlaced(demand: Demand, placed: Placed): Slot;
+/** Selects servers by their estimated time to the first token and allocates their slots. */
+export interface ServerSelector {
+  /** Selects a server with free capacity; null if there is none. */
+  selectServer(demand: Demand, ready: ReadyPool): SelectedServer | null;
+  /** Allocates a slot on the selected server. */
+  acquireSlot(demand: Demand, selected: SelectedServer): Slot;
 }
 
 /**
- * Servers with room that one decision compares. The best of so many is close to the best of all,
- * and the cost of a decision stays the same however many there are. Those with a cached prefix
- * are always among them.
+ * Limit of the servers scored per decision, which bounds its cost in a large fleet. The best of
+ * this sample is close to the best of all. Servers with a cached prefix are scored first.
  */
-const MAX_SCORED = 48;
+const MAX_SCORED_SERVERS = 48;
 
-/** The servers that are compared, as columns. */
+/** The scored servers, as parallel arrays. */
 interface ScoreColumns {
   readonly positions: number[];
   readonly firstTokenMs: number[];
@@ -55,17 +55,17 @@
 
 const NO_CACHED_TOKENS: ReadonlyMap<string, number> = new Map();
 
-/** Creates the placement of demands on servers. */
-export function createPlacement(dependencies: PlacementDependencies): Placement {
+/** Creates the server selector. */
+export function createServerSelector(dependencies: ServerSelectorDependencies): ServerSelector {
   const { load, meter, quality, clock, randomness } = dependencies;
 
   const recordOutcome = (
     demand: Demand,
-    { ready: { server, room, group }, cachedTokens, running }: Placed,
+    { ready: { server, capacity, group }, cachedTokens, running }: SelectedServer,
     sentMs: number,
     { outcome, firstTokenMs, outputTokens }: SlotOutcome,
   ): void => {
-    if (outcome === 'not-started') load.recordFull(server.name, room.slots + 1);
+    if (outcome === 'not-started') load.recordServerFull(server.name, capacity.slots + 1);
     if (outcome === 'finished' || outcome === 'failed') {
       quality.recordAttempt(server.name, outcome === 'failed');
     }
@@ -78,30 +78,32 @@
       uncachedTokens: demand.promptTokens - cachedTokens,
       outputTokens,
       finished: outcome === 'finished',
-      unqueued: running < room.slots,
+      unqueued: running < capacity.slots,
     });
-    // Last, because it wakes those who wait, and they are judged by the measures above.
+    // Last: this call serves waiting demands, whose estimates use the measurements above.
     load.recordEnd(server.name, clock.readMonotonicMs() - sentMs);
   };
 
   return {
-    findServer: (demand, pool) => {
+    selectServer: (demand, pool) => {
       const { servers, groups, zones } = pool;
       const { workClass, excludedServers, promptTokens, prefixes } = demand;
       const { overtakes } = findClassPolicy(workClass);
       const cached = prefixes.length > 0 ? load.findCachedTokens(prefixes) : NO_CACHED_TOKENS;
       const holdMs = meter.readHoldMs(demand.service);
-      const prefills = groups.map((group) => meter.readPrefillMsPerToken(demand.service, group));
-      const zonesMs = zones.map(load.readZoneMs);
+      const prefillsMsPerToken = groups.map((group) =>
+        meter.readPrefillMsPerToken(demand.service, group),
+      );
+      const zoneRoundTripsMs = zones.map(load.readZoneRoundTripMs);
       const columns = createColumns();
       const addServer = (position: number): void => {
         const ready = servers[position];
         if (ready === undefined) return;
-        const { running } = ready.load;
-        if (running >= ready.limits[workClass]) return;
+        const { running } = ready.runningEstimate;
+        if (running >= ready.requestLimits[workClass]) return;
         const { name } = ready.server;
         if (excludedServers.length > 0 && excludedServers.includes(name)) return;
-        const { slots } = ready.room;
+        const { slots } = ready.capacity;
         columns.positions.push(position);
         columns.load.push(running / slots);
         columns.firstTokenMs.push(
@@ -112,16 +114,16 @@
             overtakes,
             promptTokens,
             cachedTokens: cached.size > 0 ? (cached.get(name) ?? 0) : 0,
-            prefillMsPerToken: prefills[ready.groupIndex] ?? 0,
-            zoneMs: zonesMs[ready.zoneIndex] ?? 0,
-            speed: ready.quality.speed,
+            prefillMsPerToken: prefillsMsPerToken[ready.groupIndex] ?? 0,
+            zoneMs: zoneRoundTripsMs[ready.zoneIndex] ?? 0,
+            speed: ready.speedEstimate.speed,
           }),
         );
       };
       cached.forEach((_, name) => addServer(pool.positions.get(name) ?? -1));
       const start = Math.floor(randomness.readFraction() * servers.length);
       for (let step = 0; step < servers.length; step += 1) {
-        if (columns.positions.length >= MAX_SCORED) break;
+        if (columns.positions.length >= MAX_SCORED_SERVERS) break;
         addServer((start + step) % servers.length);
       }
       const chosen = chooseServer(columns, randomness.readFraction(), randomness.readFraction());
@@ -131,18 +133,18 @@
         ready,
         firstTokenMs: columns.firstTokenMs[chosen] ?? 0,
         cachedTokens: cached.get(ready.server.name) ?? 0,
-        running: ready.load.running,
+        running: ready.runningEstimate.running,
       };
     },
-    acquirePlaced: (demand, placed) => {
-      const { server } = placed.ready;
+    acquireSlot: (demand, selected) => {
+      const { server } = selected.ready;
       const sentMs = clock.readMonotonicMs();
       const priority =
         findClassPolicy(demand.workClass).enginePriority +
         (demand.purpose === 'resume' ? RESUME_PRIORITY : 0);
       load.recordSend(server.name, demand.prefixes);
       return createSlot(server, priority, (outcome) =>
-        recordOutcome(demand, placed, sentMs, outcome),
+        recordOutcome(demand, selected, sentMs, outcome),
       );
     },
   };
--- a/src/application/routing/createServiceMeter/index.ts
+++ b/src/application/routing/createServiceMeter/index.ts
@@ -2,99 +2,106 @@
 import { addOutputSample, predictOutputTokens } from '../../../domain/prediction';
 import type { OutputSamples } from '../../../domain/prediction';
 
-/** Weight of a new measure: about the last ten requests count. */
-const MEASURE_WEIGHT = 0.1;
+/** Weight of a new sample in the moving averages: about the last ten requests count. */
+const SAMPLE_WEIGHT = 0.1;
 
-/** Assumed until the first request has finished: a few seconds, as for a short generation. */
-const UNMEASURED_HOLD_MS = 5000;
+/** Hold time until the first request has finished: a few seconds, as for a short generation. */
+const DEFAULT_HOLD_MS = 5000;
 
-/** Assumed until the first token was seen: a prompt of 4000 tokens takes 1 s. */
-const UNMEASURED_PREFILL_MS = 0.25;
+/** Prefill time until the first token was measured: a prompt of 4000 tokens takes 1 s. */
+const DEFAULT_PREFILL_MS_PER_TOKEN = 0.25;
 
-/** Time to the first token beyond which a lookup is hedged, as a multiple of the usual time. */
+/** A lookup is hedged after this multiple of the average time to the first token. */
 const HEDGE_FACTOR = 3;
 
-/** One ended attempt, as the meter takes it. */
+/** Measurements of one ended attempt. */
 export interface MeasuredAttempt {
   readonly service: string;
   readonly workspace: string;
-  /** Group of comparable servers to which the server belongs. */
+  /** Group of comparable servers that the server belongs to. */
   readonly group: string;
-  /** From the send to the end, in milliseconds. */
+  /** Time from send to end, in milliseconds. */
   readonly holdMs: number;
-  /** 0 if no token came. */
+  /** Time from send to the first token, in milliseconds; 0 if no token came. */
   readonly firstTokenMs: number;
   readonly uncachedTokens: number;
   readonly outputTokens: number;
-  /** True: it ended as it should, so that its length is a whole one. */
+  /** True if the attempt completed, so that its duration and output length are complete. */
   readonly finished: boolean;
-  /** True: the server had a free slot, so that the first token was not waited for in a queue. */
+  /** True if the server had a free slot, so that `firstTokenMs` contains no queueing time. */
   readonly unqueued: boolean;
 }
 
-interface ServiceMeasures {
+interface ServiceAverages {
   holdMs: number;
   firstTokenMs: number;
   prefillMsPerToken: number;
 }
 
-/** Measures of finished work by which the next is judged. */
+/** Statistics of ended attempts, from which the router estimates the next ones. */
 export interface ServiceMeter {
   recordAttempt(attempt: MeasuredAttempt): void;
-  /** Mean time for which a request of the service holds a slot, in milliseconds. */
+  /** Average time for which a request of the service holds a slot, in milliseconds. */
   readHoldMs(service: string): number;
-  /** Prefill time of the service at a group of servers; at all servers until it is known. */
+  /** Prefill time per token at a group of servers; that at all servers until it is measured. */
   readPrefillMsPerToken(service: string, group: string): number;
-  /** Time to the first token after which a hedge pays, in milliseconds; null before any measure. */
+  /** Time without a first token after which to hedge, in milliseconds; null if not measured. */
   estimateHedgeDelayMs(service: string): number | null;
-  predictTokens(service: string, workspace: string, maxOutputTokens: number): number;
+  predictOutputTokens(service: string, workspace: string, maxOutputTokens: number): number;
 }
 
-/** Creates the meter of services. */
+/** Creates the service meter. */
 export function createServiceMeter(): ServiceMeter {
-  const measures = new Map<string, ServiceMeasures>();
-  const groupPrefills = new Map<string, number>();
-  const samples = new Map<string, OutputSamples>();
-  /** Predictions without the limit of a request, until the next sample. */
+  const averagesByService = new Map<string, ServiceAverages>();
+  const groupPrefillsMsPerToken = new Map<string, number>();
+  const outputSamples = new Map<string, OutputSamples>();
+  /** Cached predictions, before the output limit of a request; dropped by the next sample. */
   const predictions = new Map<string, number>();
 
-  const readMeasures = (service: string): ServiceMeasures => {
-    const held = measures.get(service) ?? { holdMs: 0, firstTokenMs: 0, prefillMsPerToken: 0 };
-    measures.set(service, held);
+  const readAverages = (service: string): ServiceAverages => {
+    const held = averagesByService.get(service) ?? {
+      holdMs: 0,
+      firstTokenMs: 0,
+      prefillMsPerToken: 0,
+    };
+    averagesByService.set(service, held);
     return held;
   };
-  const buildKey = (service: string, other: string): string => `${service}\n${other}`;
+  const buildKey = (service: string, qualifier: string): string => `${service}\n${qualifier}`;
 
   return {
     recordAttempt: (attempt) => {
-      const held = readMeasures(attempt.service);
+      const held = readAverages(attempt.service);
       const { firstTokenMs } = attempt;
       if (firstTokenMs > 0 && attempt.unqueued) {
-        const perToken = firstTokenMs / Math.max(1, attempt.uncachedTokens);
-        held.prefillMsPerToken = addToLowEstimate(held.prefillMsPerToken, perToken);
+        const msPerToken = firstTokenMs / Math.max(1, attempt.uncachedTokens);
+        held.prefillMsPerToken = addToLowEstimate(held.prefillMsPerToken, msPerToken);
         const key = buildKey(attempt.service, attempt.group);
-        const before = groupPrefills.get(key) ?? 0;
-        groupPrefills.set(key, addToLowEstimate(before, perToken));
-        held.firstTokenMs = addToAverage(held.firstTokenMs, firstTokenMs, MEASURE_WEIGHT);
+        const before = groupPrefillsMsPerToken.get(key) ?? 0;
+        groupPrefillsMsPerToken.set(key, addToLowEstimate(before, msPerToken));
+        held.firstTokenMs = addToAverage(held.firstTokenMs, firstTokenMs, SAMPLE_WEIGHT);
       }
       if (!attempt.finished) return;
-      held.holdMs = addToAverage(held.holdMs, attempt.holdMs, MEASURE_WEIGHT);
+      held.holdMs = addToAverage(held.holdMs, attempt.holdMs, SAMPLE_WEIGHT);
       const key = buildKey(attempt.service, attempt.workspace);
-      samples.set(key, addOutputSample(samples.get(key) ?? { tokens: [] }, attempt.outputTokens));
+      outputSamples.set(
+        key,
+        addOutputSample(outputSamples.get(key) ?? { tokens: [] }, attempt.outputTokens),
+      );
       predictions.delete(key);
     },
-    readHoldMs: (service) => measures.get(service)?.holdMs || UNMEASURED_HOLD_MS,
+    readHoldMs: (service) => averagesByService.get(service)?.holdMs || DEFAULT_HOLD_MS,
     readPrefillMsPerToken: (service, group) =>
-      groupPrefills.get(buildKey(service, group)) ||
-      measures.get(service)?.prefillMsPerToken ||
-      UNMEASURED_PREFILL_MS,
+      groupPrefillsMsPerToken.get(buildKey(service, group)) ||
+      averagesByService.get(service)?.prefillMsPerToken ||
+      DEFAULT_PREFILL_MS_PER_TOKEN,
     estimateHedgeDelayMs: (service) => {
-      const usualMs = measures.get(service)?.firstTokenMs ?? 0;
+      const usualMs = averagesByService.get(service)?.firstTokenMs ?? 0;
       return usualMs > 0 ? usualMs * HEDGE_FACTOR : null;
     },
-    predictTokens: (service, workspace, maxOutputTokens) => {
+    predictOutputTokens: (service, workspace, maxOutputTokens) => {
       const key = buildKey(service, workspace);
-      const held = samples.get(key);
+      const held = outputSamples.get(key);
       if (held === undefined) return maxOutputTokens;
       const predicted = predictions.get(key) ?? predictOutputTokens(held, Infinity);
       predictions.set(key, predicted);
--- a/src/application/routing/createSlot/index.ts
+++ b/src/application/routing/createSlot/index.ts
@@ -2,10 +2,10 @@
 import type { BackendServer } from '../../../domain/types';
 
 /**
- * Creates a slot that can be released once.
+ * Creates a slot; only its first release counts.
  *
- * Both the normal end and the handling of a failure may release it; counted twice, the server would
- * look emptier than it is.
+ * Both the normal end and the failure handling may release a slot. If both counted, the server
+ * would appear less loaded than it is.
  */
 export function createSlot(
   server: BackendServer,
--- a/src/application/routing/createWaitQueue/index.ts
+++ b/src/application/routing/createWaitQueue/index.ts
@@ -14,13 +14,13 @@
 import type { Clock, Slot } from '../../ports';
 import type { ServerPool } from '../types';
 
-/** Weight of a new interval between two served waiters. */
+/** Weight of a new interval between two served waiters in its moving average. */
 const INTERVAL_WEIGHT = 0.1;
 
-/** A caller that was told that the queue is full comes back when this part of it was served. */
-const RETRY_QUEUE_PART = 0.25;
+/** Retry-after for a full queue: the estimated time to serve this fraction of its waiters. */
+const RETRY_QUEUE_FRACTION = 0.25;
 
-/** A demand with what the queue needs of it. */
+/** A demand with the data that the queue needs. */
 export interface QueuedDemand {
   readonly demand: Demand;
   readonly pool: ServerPool;
@@ -30,19 +30,19 @@
   readonly assumedIntervalMs: number;
 }
 
-/** Tries to give a waiter its slot: null if there is no room, a refusal if it lost its leave. */
-export type SendAttempt = (queued: QueuedDemand) => Result<Slot, Refusal> | null;
+/** Tries to get a slot for a waiter: null if none is free, a refusal if it is no longer allowed. */
+export type TrySend = (queued: QueuedDemand) => Result<Slot, Refusal> | null;
 
-/** A bounded queue of one class of work within one set of places. */
+/** Bounded queue for one class of work and one set of places. */
 export interface WaitQueue {
-  /** Serves in order of fair share as long as `trySend` gives slots. */
-  serve(trySend: SendAttempt): void;
-  /** Checks whether the demand may wait; a refusal is final and comes at once. */
-  checkRoom(queued: QueuedDemand): Result<void, Refusal>;
-  /** Waits for a slot until the deadline or the caller's signal. */
+  /** Serves the waiters in fair-share order; pools without a free slot are skipped. */
+  serve(trySend: TrySend): void;
+  /** Checks whether the demand may wait: the queue has space, and the deadline allows the wait. */
+  checkAdmission(queued: QueuedDemand): Result<void, Refusal>;
+  /** Waits for a slot until the deadline passes or `signal` aborts. */
   waitForSlot(queued: QueuedDemand, signal: AbortSignal): Promise<Result<Slot, Refusal>>;
-  /** Counts work that was sent without waiting, so that it weighs on the share too. */
-  recordSent(queued: QueuedDemand): void;
+  /** Charges a demand that was sent without waiting to the fair share of its workspace. */
+  recordUnqueued(queued: QueuedDemand): void;
   countWaiting(): number;
 }
 
@@ -50,23 +50,23 @@
   readonly finish: (result: Result<Slot, Refusal>) => void;
 }
 
-/** Tells whether a demand was let in before: a resume, or a retry elsewhere. */
-function hadItsTurn({ purpose, excludedServers }: Demand): boolean {
+/** Tells whether a demand was admitted before: a resume, or a retry on another server. */
+function wasAdmittedBefore({ purpose, excludedServers }: Demand): boolean {
   return purpose === DemandPurpose.Resume || excludedServers.length > 0;
 }
 
-/** Builds the refusal of a demand whose time ran out. */
-function buildLateRefusal(message: string, retryAfterMs: number): Refusal {
+/** Builds the refusal of a demand that cannot get a slot by its deadline. */
+function buildDeadlineRefusal(message: string, retryAfterMs: number): Refusal {
   return { code: RefusalCode.DeadlineTooShort, message, retryAfterMs: Math.ceil(retryAfterMs) };
 }
 
-/** Creates a bounded queue that serves workspaces by weighted fair shares. */
+/** Creates a bounded queue that serves workspaces by weighted fair queueing. */
 export function createWaitQueue({ clock }: { readonly clock: Clock }): WaitQueue {
   let shares: FairShares = { virtualTime: 0, finishTags: new Map() };
   let waiting: readonly WaitingDemand[] = [];
   let nextId = 0;
   let intervalMs = 0;
-  let servedMs: number | null = null;
+  let lastServedMs: number | null = null;
 
   const readInterval = ({ assumedIntervalMs }: QueuedDemand): number =>
     intervalMs > 0 ? intervalMs : assumedIntervalMs;
@@ -78,53 +78,54 @@
   };
   const measureInterval = (): void => {
     const nowMs = clock.readMonotonicMs();
-    if (servedMs !== null) intervalMs = addToAverage(intervalMs, nowMs - servedMs, INTERVAL_WEIGHT);
-    // The time from an empty queue to the next waiter says nothing about the rate.
-    servedMs = waiting.length > 0 ? nowMs : null;
+    if (lastServedMs !== null)
+      intervalMs = addToAverage(intervalMs, nowMs - lastServedMs, INTERVAL_WEIGHT);
+    // The idle time of an empty queue says nothing about the service rate.
+    lastServedMs = waiting.length > 0 ? nowMs : null;
   };
-  const addTag = ({ demand, pool, cost }: QueuedDemand): number => {
+  const assignTag = ({ demand, pool, cost }: QueuedDemand): number => {
     const tag = computeFairTag(shares, demand.workspace, pool.weight, cost);
     shares = tag.shares;
     return tag.startTag;
   };
 
-  const giveUp = (waiter: WaitingDemand, message: string): void => {
+  const rejectWaiter = (waiter: WaitingDemand, message: string): void => {
     removeWaiter(waiter);
     shares = removeFairCost(shares, waiter.workspace, waiter.pool.weight, waiter.cost);
-    waiter.finish(err(buildLateRefusal(message, readInterval(waiter))));
+    waiter.finish(err(buildDeadlineRefusal(message, readInterval(waiter))));
   };
 
   return {
     serve: (trySend) => {
-      // Demands of one pool are alike: once one found no room, the next ones need not try.
-      const full = new Set<ServerPool>();
+      // A pool without a free slot has none for the next demand, unless servers are excluded.
+      const fullPools = new Set<ServerPool>();
       waiting.forEach((waiter) => {
-        if (full.has(waiter.pool)) return;
-        const outcome = trySend(waiter);
-        if (outcome === null) {
-          if (waiter.demand.excludedServers.length === 0) full.add(waiter.pool);
+        if (fullPools.has(waiter.pool)) return;
+        const result = trySend(waiter);
+        if (result === null) {
+          if (waiter.demand.excludedServers.length === 0) fullPools.add(waiter.pool);
           return;
         }
         removeWaiter(waiter);
         recordServed(waiter.startTag);
         measureInterval();
-        waiter.finish(outcome);
+        waiter.finish(result);
       });
     },
-    checkRoom: (queued) => {
+    checkAdmission: (queued) => {
       const { demand, pool } = queued;
-      if (hadItsTurn(demand)) return ok();
+      if (wasAdmittedBefore(demand)) return ok();
       const interval = readInterval(queued);
       const own = waiting.filter(({ demand: other }) => other.workspace === demand.workspace);
-      const hasRoom = hasQueueRoom({
+      const hasCapacity = hasQueueRoom({
         waiting: waiting.length,
         waitingOfWorkspace: own.length,
         bound: pool.limits.maxQueuedLong,
         relativeWeight: pool.relativeWeight,
       });
-      if (!hasRoom) {
+      if (!hasCapacity) {
         const message = `the queue is full for workspace "${demand.workspace}"`;
-        const ahead = waiting.length * RETRY_QUEUE_PART;
+        const ahead = waiting.length * RETRY_QUEUE_FRACTION;
         const retryAfterMs = Math.ceil(estimateWaitMs(ahead, interval));
         return err({ code: RefusalCode.QueueFull, message, retryAfterMs });
       }
@@ -132,11 +133,13 @@
       const ahead = waiting.filter(
         (other) => other.comesFirst || other.startTag <= startTag,
       ).length;
-      const lateMs =
+      const excessMs =
         estimateWaitMs(ahead, interval) - (demand.deadlineMs - clock.readMonotonicMs());
-      return lateMs <= 0
+      return excessMs <= 0
         ? ok()
-        : err(buildLateRefusal('the queue is longer than the deadline allows', lateMs));
+        : err(
+            buildDeadlineRefusal('the estimated wait in the queue exceeds the deadline', excessMs),
+          );
     },
     waitForSlot: (queued, signal) =>
       new Promise((resolve) => {
@@ -148,24 +151,27 @@
           ...queued,
           id,
           workspace: demand.workspace,
-          comesFirst: hadItsTurn(demand),
-          startTag: addTag(queued),
+          comesFirst: wasAdmittedBefore(demand),
+          startTag: assignTag(queued),
           finish: (result) => {
             cleanups.forEach((cleanUp) => cleanUp());
             resolve(result);
           },
         };
-        const handleAbort = (): void => giveUp(waiter, 'the caller gave up while waiting');
+        const handleAbort = (): void =>
+          rejectWaiter(waiter, 'the request was aborted while it waited in the queue');
         signal.addEventListener('abort', handleAbort, { once: true });
         cleanups.push(() => signal.removeEventListener('abort', handleAbort));
         const waitMs = Math.max(0, demand.deadlineMs - clock.readMonotonicMs());
         cleanups.push(
-          clock.startTimer(waitMs, () => giveUp(waiter, 'the deadline passed in the queue')),
+          clock.startTimer(waitMs, () =>
+            rejectWaiter(waiter, 'the deadline passed while the request waited in the queue'),
+          ),
         );
-        if (waiting.length === 0) servedMs = clock.readMonotonicMs();
+        if (waiting.length === 0) lastServedMs = clock.readMonotonicMs();
         waiting = [...waiting, waiter].sort(compareWaiters);
       }),
-    recordSent: (queued) => recordServed(addTag(queued)),
+    recordUnqueued: (queued) => recordServed(assignTag(queued)),
     countWaiting: () => waiting.length,
   };
 }
--- a/src/application/routing/createWaitQueues/index.ts
+++ b/src/application/routing/createWaitQueues/index.ts
@@ -2,28 +2,28 @@
 import type { WorkClass } from '../../../domain/types';
 import type { Clock } from '../../ports';
 import { createWaitQueue } from '../createWaitQueue';
-import type { SendAttempt, WaitQueue } from '../createWaitQueue';
+import type { TrySend, WaitQueue } from '../createWaitQueue';
 import type { ServerPool } from '../types';
 
-/** The queues of this VM: one for each class of work and set of places. */
+/** The wait queues of this VM: one for each queue rank and set of places. */
 export interface WaitQueues {
   findQueue(pool: ServerPool, workClass: WorkClass): WaitQueue;
-  /** Serves all queues, quick work first. */
-  serve(trySend: SendAttempt): void;
+  /** Serves all queues, those of the lowest rank first. */
+  serve(trySend: TrySend): void;
   countWaiting(): number;
 }
 
-/** Creates the queues. */
+/** Creates the wait queues. */
 export function createWaitQueues(dependencies: { readonly clock: Clock }): WaitQueues {
   const queues = new Map<string, { readonly rank: number; readonly queue: WaitQueue }>();
-  let turn = 0;
+  let rotation = 0;
 
-  /** Queues of one class take turns in being first, so that none is always last. */
-  const listInTurn = (): readonly WaitQueue[] => {
-    const busy = [...queues.values()].filter(({ queue }) => queue.countWaiting() > 0);
-    const shift = busy.length > 0 ? turn % busy.length : 0;
-    turn += 1;
-    return [...busy.slice(shift), ...busy.slice(0, shift)]
+  /** Rotates the queues of equal rank round-robin, so that none is always served last. */
+  const listRoundRobin = (): readonly WaitQueue[] => {
+    const nonEmpty = [...queues.values()].filter(({ queue }) => queue.countWaiting() > 0);
+    const offset = nonEmpty.length > 0 ? rotation % nonEmpty.length : 0;
+    rotation += 1;
+    return [...nonEmpty.slice(offset), ...nonEmpty.slice(0, offset)]
       .sort((left, right) => left.rank - right.rank)
       .map(({ queue }) => queue);
   };
@@ -36,7 +36,7 @@
       queues.set(key, held);
       return held.queue;
     },
-    serve: (trySend) => listInTurn().forEach((queue) => queue.serve(trySend)),
+    serve: (trySend) => listRoundRobin().forEach((queue) => queue.serve(trySend)),
     countWaiting: () =>
       [...queues.values()].reduce((sum, { queue }) => sum + queue.countWaiting(), 0),
   };
--- a/src/application/routing/runHedged/index.ts
+++ b/src/application/routing/runHedged/index.ts
@@ -4,21 +4,26 @@
 import type { Demand, Refusal } from '../../../domain/types';
 import type { Clock, Router, Slot } from '../../ports';
 
-/** Runs one leg up to its first visible result; `signal` stops it, also after that result. */
+/**
+ * Runs one leg: one of the at most two concurrent attempts of a hedged request.
+ *
+ * @returns the result of the leg as soon as it can be shown to the caller; `signal` cancels the leg
+ * before and after that
+ */
 export type HedgeLeg<T, E> = (slot: Slot, signal: AbortSignal) => Promise<Result<T, E>>;
 
-/** The leg that won; its slot is the caller's to release. */
+/** Result of the first leg to succeed; the caller must release its slot. */
 export interface HedgeWinner<T> {
   readonly slot: Slot;
   readonly value: T;
 }
 
-/** Why there is no result: no slot for the first leg, or both legs failed. */
+/** Why there is no result: the first leg got no slot, or every leg failed. */
 export type HedgeError<E> =
   | { readonly kind: 'refused'; readonly refusal: Refusal }
   | { readonly kind: 'failed'; readonly slot: Slot; readonly error: E };
 
-/** What hedging needs. */
+/** Dependencies of hedging. */
 export interface HedgeDependencies {
   readonly router: Router;
   readonly clock: Clock;
@@ -28,7 +33,7 @@
 export interface HedgedRequest<T, E> {
   /** Demand of the first leg. */
   readonly demand: Demand;
-  /** True only for an idempotent lookup: anything else runs a single leg. */
+  /** True only for an idempotent lookup; any other request runs a single leg. */
   readonly mayHedge: boolean;
   /** Time without a result after which the second leg starts, in milliseconds. */
   readonly hedgeDelayMs: number;
@@ -42,7 +47,7 @@
   cancel(): void;
 }
 
-/** Starts a leg under a signal of its own that follows the caller's. */
+/** Starts a leg with its own abort signal, which also follows the signal of the request. */
 function startLeg<T, E>(slot: Slot, { runLeg, signal }: HedgedRequest<T, E>): RunningLeg<T, E> {
   const controller = new AbortController();
   const handleAbort = (): void => controller.abort();
@@ -50,7 +55,7 @@
   return { slot, result: runLeg(slot, controller.signal), cancel: handleAbort };
 }
 
-/** Waits for the delay or the end of the leg; true if the leg is still running. */
+/** Waits for the delay or the end of the leg; returns true if the leg is still running. */
 function waitForDelay<T, E>(
   leg: RunningLeg<T, E>,
   delayMs: number,
@@ -65,19 +70,19 @@
   });
 }
 
-/** Cancels the losing leg and gives back its slot when it has ended. */
+/** Cancels the losing leg and releases its slot once it has ended. */
 async function cancelLeg<T, E>(leg: RunningLeg<T, E>): Promise<void> {
   leg.cancel();
   await leg.result;
   leg.slot.release({ outcome: 'cancelled', firstTokenMs: 0, outputTokens: 0 });
 }
 
-/** Waits for the first leg that succeeds; the other one is cancelled. */
+/** Waits for the first leg that succeeds and cancels the other one. */
 async function chooseWinner<T, E>(
   legs: readonly RunningLeg<T, E>[],
 ): Promise<Result<HedgeWinner<T>, HedgeError<E>>> {
-  const indexed = legs.map(async (leg) => ({ leg, result: await leg.result }));
-  const first = await Promise.race(indexed);
+  const settling = legs.map(async (leg) => ({ leg, result: await leg.result }));
+  const first = await Promise.race(settling);
   const others = legs.filter((leg) => leg !== first.leg);
   if (first.result.isOk()) {
     others.forEach((leg) => {
@@ -93,12 +98,12 @@
 }
 
 /**
- * Runs an idempotent lookup with a second leg on another server if the first is late.
+ * Runs a request and, if it is hedgeable and late, a second leg on another server.
  *
- * The second leg draws on the retry budget and needs a free slot; without either the first goes on
- * alone. The first result wins, and only its leg is ever visible to the caller.
+ * The second leg spends retry budget and needs a free slot; without either, the first leg continues
+ * alone. The first success wins, and the caller sees only the winning leg.
  *
- * @returns the winner with its slot; after `failed` the slot is the caller's to release, too
+ * @returns the winner with its slot; the caller must release the slot, also that of `failed`
  */
 export async function runHedged<T, E>(
   { router, clock }: HedgeDependencies,
@@ -112,8 +117,8 @@
     return chooseWinner([first]);
   }
   const excludedServers = [...demand.excludedServers, first.slot.server.name];
-  const hedge = { ...demand, purpose: DemandPurpose.Hedge, excludedServers };
-  const secondSlot = await router.acquireSlot(hedge, signal);
+  const hedgeDemand = { ...demand, purpose: DemandPurpose.Hedge, excludedServers };
+  const secondSlot = await router.acquireSlot(hedgeDemand, signal);
   if (secondSlot.isErr()) return chooseWinner([first]);
   return chooseWinner([first, startLeg(secondSlot.value, request)]);
 }
--- a/src/application/routing/runHedged/test.ts
+++ b/src/application/routing/runHedged/test.ts
@@ -19,7 +19,7 @@
   deadlineMs: 1000,
 };
 
-/** Runs a hedge whose delay passes at once; `finish` ends the leg on a server. */
+/** Runs a hedged request whose delay passes at once; `finishes` ends the leg of a server. */
 const startHedge = (mayHedge: boolean, servers: readonly string[]) => {
   const released: string[] = [];
   const cancelled: string[] = [];
@@ -71,7 +71,7 @@
     setImmediate(resolve);
   });
 
-test('the second leg wins, the first is cancelled and its slot given back', async (t) => {
+test('when the second leg wins, the first is cancelled and its slot released', async (t) => {
   const hedge = startHedge(true, ['a', 'b']);
   await settle();
   t.deepEqual(hedge.demands[1]?.excludedServers, ['a']);
@@ -84,7 +84,7 @@
   t.deepEqual(hedge.released, ['a cancelled']);
 });
 
-test('a failed leg leaves the other one running', async (t) => {
+test('when one leg fails, the other keeps running', async (t) => {
   const hedge = startHedge(true, ['a', 'b']);
   await settle();
   hedge.finishes.get('a')?.(err('broken'));
@@ -94,7 +94,7 @@
   t.deepEqual(hedge.released, ['a failed']);
 });
 
-test('without leave or room there is one leg only', async (t) => {
+test('a request that may not be hedged or finds no second slot runs a single leg', async (t) => {
   const single = startHedge(false, ['a', 'b']);
   await settle();
   t.is(single.demands.length, 1);
--- a/src/application/routing/types/ServerPool.ts
+++ b/src/application/routing/types/ServerPool.ts
@@ -1,44 +1,44 @@
 import type { ServerRoom } from '../../../domain/admission';
-import type { SpeedFigure } from '../createQualityTracker';
-import type { RunningFigure } from './RoutingLoad';
+import type { SpeedEstimate } from '../createQualityTracker';
+import type { RunningEstimate } from './RouterLoadView';
 import type { AllowedServers } from '../../../domain/routing';
 import type { BackendServer, FilteredServer, Limits, WorkClass } from '../../../domain/types';
 
-/** The servers of one workspace and service under one configuration version. */
+/** Servers allowed for one workspace and service under one configuration version. */
 export interface ServerPool {
   readonly version: number;
   readonly limits: Limits;
   readonly allowed: AllowedServers;
-  /** Names the set of places; work of the same set queues together. */
+  /** Identifies the set of allowed places; demands with the same set share a queue. */
   readonly placesKey: string;
   readonly weight: number;
   /** Weight relative to the mean of all workspaces. */
   readonly relativeWeight: number;
 }
 
-/** A server that can take work now. */
+/** A server that can accept work now. */
 export interface ReadyServer {
   readonly server: BackendServer;
-  readonly room: ServerRoom;
-  /** Names the group of comparable servers: those that serve the same services. */
+  readonly capacity: ServerRoom;
+  /** Group of comparable servers: those that serve the same services. */
   readonly group: string;
-  /** Positions of its group and its zone in the lists of the pool. */
+  /** Indexes of its group and its availability zone in the lists of the `ReadyPool`. */
   readonly groupIndex: number;
   readonly zoneIndex: number;
-  /** Requests there below which one of each class may still be sent. */
-  readonly limits: Readonly<Record<WorkClass, number>>;
-  readonly load: RunningFigure;
-  readonly quality: SpeedFigure;
+  /** By class of work: a demand is sent only while the server has fewer requests than this. */
+  readonly requestLimits: Readonly<Record<WorkClass, number>>;
+  readonly runningEstimate: RunningEstimate;
+  readonly speedEstimate: SpeedEstimate;
 }
 
-/** The part of a pool that can take work now. */
+/** The servers of a pool that can accept work now. */
 export interface ReadyPool {
   readonly servers: readonly ReadyServer[];
-  /** Position of each server by its name. */
+  /** Index in `servers` by server name. */
   readonly positions: ReadonlyMap<string, number>;
-  /** Slots of all the servers. */
+  /** Total slots of all servers. */
   readonly slots: number;
-  /** Groups and zones of the servers, each once. */
+  /** Distinct groups and availability zones of the servers. */
   readonly groups: readonly string[];
   readonly zones: readonly string[];
   readonly candidates: readonly string[];
--- a/src/application/routing/types/ServingRouter.ts
+++ b/src/application/routing/types/ServingRouter.ts
@@ -1,8 +1,8 @@
 import type { Router } from '../../ports';
 
-/** The router with what hedging and the metrics ask of it. */
+/** The router with the operations that hedging and the metrics use. */
 export interface ServingRouter extends Router {
-  /** Time to the first token after which a hedge pays, in milliseconds; null if unknown. */
+  /** Time without a first token after which to hedge, in milliseconds; null if unknown. */
   estimateHedgeDelayMs(service: string): number | null;
   countWaiting(): number;
 }
--- a/tools/bench/load/_lib/createBaselineRouter/index.ts
+++ b/tools/bench/load/_lib/createBaselineRouter/index.ts
@@ -5,7 +5,7 @@
   Randomness,
   Router,
 } from '../../../../../src/application/ports';
-import type { RoutingLoad } from '../../../../../src/application/routing';
+import type { RouterLoadView } from '../../../../../src/application/routing';
 import { findClassPolicy } from '../../../../../src/domain/admission';
 import { filterAllowedServers, filterBackendServers } from '../../../../../src/domain/routing';
 import type { BackendServer } from '../../../../../src/domain/types';
@@ -24,7 +24,7 @@
 export interface BaselineDependencies {
   readonly configuration: ConfigurationView;
   readonly health: HealthRegistry;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly randomness: Randomness;
 }
 
