--- a/src/application/peers/_lib/createOwnFacts/index.ts
+++ b/src/application/peers/_lib/createOwnFacts/index.ts
@@ -2,7 +2,7 @@
   computeIncarnationTag,
   computeNameId,
   convertReportToFacts,
-  isLoadChanged,
+  isLoadUpdateDue,
 } from '../../../../domain/membership';
 import type { PeerRecord } from '../../../../domain/membership';
 import type { LoadReport } from '../../../../domain/types';
@@ -47,10 +47,15 @@
       onBoard?.kind === 'load'
         ? { fact: onBoard, sentAtMs: board.readWrittenAtMs(`load:${name}`) ?? nowMs }
         : null;
-    const leastMs = serverCount * LOAD_LEAST_MS_PER_SERVER;
-    const refreshMs = Math.max(LOAD_REFRESH_MS, leastMs);
-    const options = { slots: report.slots, nowMs, leastMs, refreshMs };
-    if (!isLoadChanged(sent, fact, options)) return;
+    const minIntervalMs = serverCount * LOAD_LEAST_MS_PER_SERVER;
+    const refreshIntervalMs = Math.max(LOAD_REFRESH_MS, minIntervalMs);
+    const options = {
+      slots: report.slots,
+      nowMs,
+      minIntervalMs: minIntervalMs,
+      refreshIntervalMs: refreshIntervalMs,
+    };
+    if (!isLoadUpdateDue(sent, fact, options)) return;
     if (JSON.stringify(board.find(`state:${name}`)) !== JSON.stringify(state)) {
       board.write(`state:${name}`, state, readSelf().vm);
     }
--- a/src/application/peers/createPeerExchange/index.ts
+++ b/src/application/peers/createPeerExchange/index.ts
@@ -1,4 +1,4 @@
-import { FULL_MESH_VMS } from '../../../domain/membership';
+import { MAX_FULL_MESH_VMS } from '../../../domain/membership';
 import type { PeerRecord, News } from '../../../domain/membership';
 import type { Clock, HealthRegistry, LoadView, Randomness } from '../../ports';
 import { createFactBoard } from '../_lib/createFactBoard';
@@ -106,7 +106,7 @@
     versions,
     readNewestReadAgeMs,
     countHeardHere: view.countHeardHere,
-    isFullMesh: () => view.countMembersHere() < FULL_MESH_VMS,
+    isFullMesh: () => view.countMembersHere() < MAX_FULL_MESH_VMS,
   });
   const readNews = (news: News): void => {
     // Changes that a peer's news makes must not be pushed again as if this VM had found them out.
--- a/src/application/rows/createRowFollower/index.ts
+++ b/src/application/rows/createRowFollower/index.ts
@@ -218,7 +218,11 @@
       if (held.readVersion() === 0) return;
       const otherRows = answer.rows.map((row) => row.version);
       const isBehind = (): boolean =>
-        hasMissedRows({ held: held.readVersion(), newest: answer.version, otherRows });
+        hasMissedRows({
+          held: held.readVersion(),
+          newest: answer.version,
+          otherRowVersions: otherRows,
+        });
       if (!isBehind()) {
         held.recordComplete(answer.version);
         recordAsOf(asOfMs);
