--- a/src/application/peers/_lib/createOwnFacts/index.ts
+++ b/src/application/peers/_lib/createOwnFacts/index.ts
@@ -49,7 +49,12 @@
         : null;
     const minIntervalMs = serverCount * LOAD_LEAST_MS_PER_SERVER;
     const refreshIntervalMs = Math.max(LOAD_REFRESH_MS, minIntervalMs);
-    const options = { slots: report.slots, nowMs, minIntervalMs, refreshIntervalMs };
+    const options = {
+      slots: report.slots,
+      nowMs,
+      minIntervalMs: minIntervalMs,
+      refreshIntervalMs: refreshIntervalMs,
+    };
     if (!isLoadUpdateDue(sent, fact, options)) return;
     if (JSON.stringify(board.find(`state:${name}`)) !== JSON.stringify(state)) {
       board.write(`state:${name}`, state, readSelf().vm);
--- a/src/domain/claim/chooseAcquireStep/index.ts
+++ b/src/domain/claim/chooseAcquireStep/index.ts
@@ -7,7 +7,7 @@
   const { row } = current;
   if (row.claimId === sent.claimId) return { kind: 'done', row };
   if (!isClaimReplaceable(current, nowS)) return { kind: 'lost', row };
-  // A random step up, as in `buildTakeoverClaim`.
+  // A random step up, as in `buildSuccessor`.
   const next = { ...sent, revision: row.revision + sent.revision };
   return { kind: 'write', row: next, expectedRevision: row.revision };
 }
--- a/src/domain/generation/_lib/handleNotStarted/index.ts
+++ b/src/domain/generation/_lib/handleNotStarted/index.ts
@@ -28,7 +28,7 @@
   // One that was read again had begun: its engine ended since.
   const hasCrashed = input.refused && attempt.phase === AttemptPhase.Resuming;
   const replace = hasCrashed ? replaceCrashedAttempt : replaceAttempt;
-  const next = replace({ ...state, mayHaveStarted }, attempt);
+  const next = replace({ ...state, mayHaveStarted: mayHaveStarted }, attempt);
   if (!input.refused) return next;
   const evidence: GenerationEffect = {
     kind: 'suspect-server',
--- a/src/domain/generation/_lib/recoverGeneration/index.ts
+++ b/src/domain/generation/_lib/recoverGeneration/index.ts
@@ -75,7 +75,7 @@
       retryAfterMs: MAX_RETRY_DELAY_MS,
     });
   }
-  const next = { ...state, attemptsWithoutProgress };
+  const next = { ...state, attemptsWithoutProgress: attemptsWithoutProgress };
   const mustWait = Boolean(options.retryAfterMs) || attemptsWithoutProgress > IMMEDIATE_ATTEMPTS;
   if (mustWait) return waitForRetry(next, options.retryAfterMs ?? 0);
   return openAttempt(next, state.mayHaveStarted || state.offset > 0 ? 'resume' : 'start');
