--- a/src/application/forwarding/types/ServerDirectory.ts
+++ b/src/application/forwarding/types/ServerDirectory.ts
@@ -1,12 +1,12 @@
 import type { ServerEntry, ServerLoad, ServerStatus } from '../../../domain/forwarding';
 import type { SharedRow } from '../../ports';
-import type { RowsInfo } from '../../rows';
+import type { RowsOrigin } from '../../rows';
 import type { ServerWork, ServerWorkOptions } from '../_lib/startServerWork';
 import type { SuspicionCause } from './SuspicionCause';
 
 /** Knows the backend servers, and what this VM has at each. */
 export interface ServerDirectory {
-  applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
+  applyRows(rows: readonly SharedRow[], info: RowsOrigin): void;
   /** Servers of a service that may take new work. */
   listServing(service: string): readonly ServerStatus[];
   /** A server that may take new work; null if it is leaving or gone. */
--- a/src/application/gossip/_lib/createMemberList/index.ts
+++ b/src/application/gossip/_lib/createMemberList/index.ts
@@ -30,7 +30,7 @@
   /** Those to exchange news with: all of a small fleet, some of a large one, always the same. */
   listPartners(): readonly Member[];
   /** True: news must be passed on, as each VM tells some others only. */
-  isLarge(): boolean;
+  needsRelay(): boolean;
 }
 
 /**
@@ -103,6 +103,6 @@
       const chosen = new Set(chooseGossipPartners(self, candidates, options));
       return live.filter(({ vm }) => chosen.has(vm));
     },
-    isLarge: () => listLive().length >= MAX_FULL_MESH_VMS,
+    needsRelay: () => listLive().length >= MAX_FULL_MESH_VMS,
   };
 };
