--- a/src/adapters/connect/createGatewayClient/index.ts
+++ b/src/adapters/connect/createGatewayClient/index.ts
@@ -3,7 +3,7 @@
 import type { GossipCalls } from '../../../application/gossip';
 import type { PermitRequest } from '../../../application/limits';
 import type { TrialReport } from '../../../application/rollouts';
-import type { Statements, StatementsRequest } from '../../../application/rows';
+import type { StatementsResponse, StatementsRequest } from '../../../application/rows';
 import type { PermitDecision } from '../../../domain/limits';
 import type { RolloutVerdict } from '../../../domain/rollouts';
 import { buildKnowledgeMessage, readKnowledgeMessage } from '../_lib/convertKnowledge';
@@ -29,7 +29,7 @@
     address: string,
     request: StatementsRequest,
     timeoutMs: number,
-  ): Promise<Statements | null>;
+  ): Promise<StatementsResponse | null>;
   /** Tells a gateway what was seen of a new version; null if it does not take it in time. */
   reportTrial(address: string, report: TrialReport): Promise<RolloutVerdict | null>;
   /** Closes every connection. */
@@ -37,15 +37,17 @@
 }
 
 /**
- * A gateway answers within some milliseconds; one that is cut off never does. A configuration of 2,000
- * routes has 0.5 MB, which a VM of 7 Mbit/s receives in 0.6 s.
+ * A gateway answers within some milliseconds; one that is cut off never does. A configuration of
+ * 2,000 routes has 0.5 MB, which a VM of 7 Mbit/s receives in 0.6 s.
  */
 const CALL_TIMEOUT_MS = 1000;
 
 /** A stream waits for this answer, and may ask two more. */
 const RETRY_TIMEOUT_MS = 100;
 
-/** Reports go to the next gateway in line then; a bad version must be known within a second or two. */
+/**
+ * Reports go to the next gateway in line then; a bad version must be known within a second or two.
+ */
 const REPORT_TIMEOUT_MS = 300;
 
 /** A prompt waits for this answer; sound gateways take some milliseconds. */
--- a/src/application/forwarding/_lib/createServerRecords/index.ts
+++ b/src/application/forwarding/_lib/createServerRecords/index.ts
@@ -1,7 +1,7 @@
 import type { Result } from 'neverthrow';
 import { compareIncarnations, type ServerEntry } from '../../../../domain/forwarding';
 import type { Clock, EventLog, SharedRow } from '../../../ports';
-import type { RowsInfo } from '../../../rows';
+import type { RowsOrigin } from '../../../rows';
 import { createGoneEntries } from '../createGoneEntries';
 import { createIncarnationSet } from '../createIncarnationSet';
 import { buildServerRecord, type ServerRecord } from '../buildServerRecord';
@@ -19,7 +19,7 @@
 export interface ServerRecords {
   find(id: string): ServerRecord | undefined;
   list(): readonly ServerRecord[];
-  applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
+  applyRows(rows: readonly SharedRow[], info: RowsOrigin): void;
   /** Ends a server that surely is not there any more: what runs there is lost. */
   end(id: string): void;
   /** Forgets a server of which nothing is known to say that it ended. */
@@ -50,7 +50,9 @@
   const ended = createIncarnationSet();
   /** Servers whose entries went: a copy of the store does not bring them back. */
   const gone = createGoneEntries();
-  /** Servers that said in an answer that they leave: entries that were written before do not count. */
+  /**
+   * Servers that said in an answer that they leave: entries that were written before do not count.
+   */
   const leaving = createIncarnationSet();
 
   const dropGone = (id: string, record: ServerRecord): void => {
@@ -74,7 +76,7 @@
     [...record.voidHandlers].forEach((handleVoid) => handleVoid());
   };
 
-  const removeEntry = (id: string, info: RowsInfo): void => {
+  const removeEntry = (id: string, info: RowsOrigin): void => {
     const record = records.get(id);
     if (!record || record.goneAtMs !== Infinity) return;
     const nowMs = clock.readMonotonicMs();
@@ -88,8 +90,8 @@
 
   /**
    * A server that starts at the address of another one proves that the other has ended. That is an
-   * entry's word only, which another writer may have written: the other one's runs go on, and its next
-   * entry brings it back.
+   * entry's word only, which another writer may have written: the other one's runs go on, and its
+   * next entry brings it back.
    */
   const addRecord = (entry: ServerEntry): ServerRecord => {
     const record = buildServerRecord(entry);
@@ -123,7 +125,7 @@
     return known.entry.isLeaving && !entry.isLeaving && entry.sequence <= known.entry.sequence;
   };
 
-  const applyEntry = (read: ServerEntry, { isRestored }: RowsInfo): void => {
+  const applyEntry = (read: ServerEntry, { isRestored }: RowsOrigin): void => {
     if (isRestored && isSuperseded(read)) {
       log.info('server entry of a copy ignored', { server: read.id, sequence: read.sequence });
       return;
@@ -148,7 +150,7 @@
     }
   };
 
-  const applyValue = (id: string, value: Buffer, info: RowsInfo): void => {
+  const applyValue = (id: string, value: Buffer, info: RowsOrigin): void => {
     const decoded = decode(id, value);
     if (decoded.isOk()) {
       applyEntry(decoded.value, info);
--- a/src/application/forwarding/types/ServerDirectory.ts
+++ b/src/application/forwarding/types/ServerDirectory.ts
@@ -1,12 +1,12 @@
 import type { ServerEntry, ServerLoad, ServerStatus } from '../../../domain/forwarding';
 import type { SharedRow } from '../../ports';
-import type { RowsInfo } from '../../rows';
+import type { RowsOrigin } from '../../rows';
 import type { ServerWork, ServerWorkOptions } from '../_lib/startServerWork';
 import type { SuspicionCause } from './SuspicionCause';
 
 /** Knows the backend servers, and what this VM has at each. */
 export interface ServerDirectory {
-  applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
+  applyRows(rows: readonly SharedRow[], info: RowsOrigin): void;
   /** Servers of a service that may take new work. */
   listServing(service: string): readonly ServerStatus[];
   /** A server that may take new work; null if it is leaving or gone. */
@@ -28,7 +28,10 @@
   /** Its rate limit leaves nothing to this VM for so long: it is not listed meanwhile. */
   recordLimited(id: string, waitMs: number): void;
   isLimited(id: string): boolean;
-  /** Time until the first server of a service that paused, or reached its limit, takes work; 0 if none did. */
+  /**
+   * Time until the first server of a service that paused, or reached its limit, takes work; 0 if
+   * none did.
+   */
   readPauseMs(service: string): number;
   recordSuspicion(id: string, cause: SuspicionCause): void;
   /** The server answered a request under its id. */
@@ -44,8 +47,8 @@
   /** Takes a server that another VM met. */
   applyInferred(entry: ServerEntry): void;
   /**
-   * Servers whose ids are to be asked for: who is at the address of one that failed just now, and is
-   * one without an entry still there?
+   * Servers whose ids are to be asked for: who is at the address of one that failed just now, and
+   * is one without an entry still there?
    */
   listUncertain(): readonly ServerEntry[];
   /** Servers without an entry; those that have not answered for long are forgotten first. */
--- a/src/application/rows/_lib/createAgeRecord/index.ts
+++ b/src/application/rows/_lib/createAgeTracker/index.ts
@@ -1,23 +1,23 @@
 import type { Clock } from '../../../ports';
 
-/** Knows how old the newest knowledge of a table is. */
-export interface AgeRecord {
-  /** The table had no newer change at this monotonic time than those that are known. */
+/** Tracks the age of the local rows of a table. */
+export interface AgeTracker {
+  /** Records that the local rows were up to date at this monotonic time. */
   recordAsOf(atMs: number): void;
-  /** Age in milliseconds; infinite before anything is known. */
+  /** Age in milliseconds; infinite before the first record. */
   readAgeMs(): number;
 }
 
 /**
- * Creates the record of an age.
+ * Creates an age tracker.
  *
- * The steady clock of a VM that was suspended did not run meanwhile, but the time of day did: the
- * larger of both differences counts. A time of day that jumps forward makes knowledge look too old,
- * which costs one more call; one that jumps back changes nothing.
+ * The monotonic clock stops while a VM is suspended, but the wall clock does not, so the age is the
+ * larger of both differences. A wall clock that jumps forward makes the rows look too old, which
+ * costs one more call; a jump back changes nothing.
  */
-export const createAgeRecord = (
+export const createAgeTracker = (
   clock: Pick<Clock, 'readMonotonicMs' | 'readWallMs'>,
-): AgeRecord => {
+): AgeTracker => {
   let asOfMs = -Infinity;
   let asOfWallMs = -Infinity;
   const readAgeMs = (): number =>
--- a/src/application/rows/_lib/createCallRecord/index.ts
+++ b/src/application/rows/_lib/createCallTracker/index.ts
@@ -2,47 +2,47 @@
 
 /** A call to the store. */
 export interface StoreCall {
-  /** `read` gives all rows, `feed` waits for changes. */
+  /** `read` returns all rows; `feed` is a long poll for changes. */
   readonly call: 'read' | 'feed';
   readonly sentAtMs: number;
   readonly waitMs: number;
-  /** Gives the call up. */
+  /** Aborts the call. */
   readonly abort: AbortController;
 }
 
-/** What a record of calls needs. */
-export interface CallRecordDependencies {
+/** Dependencies of a call tracker. */
+export interface CallTrackerDependencies {
   readonly table: string;
   readonly clock: Clock;
   readonly log: EventLog;
   /** Called when an outage begins. */
-  readonly handleLost: () => void;
+  readonly handleOutageStart: () => void;
 }
 
-/** Knows how the calls for a table went, and whether the store answers. */
-export interface CallRecord {
+/** Tracks successes and failures of the calls for a table, and outages of the store. */
+export interface CallTracker {
   startCall(call: StoreCall['call'], waitMs: number): StoreCall;
   recordSuccess(call: StoreCall): void;
   recordFailure(call: StoreCall, error: RowError, version: number): void;
-  /** Failures since the last success. */
-  countFailures(): number;
+  /** Counts the failures since the last success. */
+  countConsecutiveFailures(): number;
   isInOutage(): boolean;
   /** Monotonic time at which the newest outage ended, or null. */
   readOutageEndedAtMs(): number | null;
 }
 
-/** Creates the record of the calls for one table. */
-export const createCallRecord = ({
+/** Creates a call tracker for one table. */
+export const createCallTracker = ({
   clock,
-  handleLost,
+  handleOutageStart,
   log,
   table,
-}: CallRecordDependencies): CallRecord => {
+}: CallTrackerDependencies): CallTracker => {
   let failures = 0;
   let outageStartedAtMs: number | null = null;
   let outageEndedAtMs: number | null = null;
 
-  const readTookMs = ({ sentAtMs }: StoreCall): number =>
+  const computeTookMs = ({ sentAtMs }: StoreCall): number =>
     Math.round(clock.readMonotonicMs() - sentAtMs);
 
   return {
@@ -58,7 +58,7 @@
       const lastedMs = Math.round(clock.readMonotonicMs() - outageStartedAtMs);
       outageStartedAtMs = null;
       outageEndedAtMs = clock.readMonotonicMs();
-      log.info('store regained', { table, lastedMs, call: call.call, tookMs: readTookMs(call) });
+      log.info('store regained', { table, lastedMs, call: call.call, tookMs: computeTookMs(call) });
     },
     recordFailure: (call, error, version) => {
       if (error.kind === 'history-lost') {
@@ -70,7 +70,7 @@
         table,
         call: call.call,
         waitMs: call.waitMs,
-        tookMs: readTookMs(call),
+        tookMs: computeTookMs(call),
         reason: error.reason,
         failures,
         version,
@@ -78,9 +78,9 @@
       if (outageStartedAtMs !== null) return;
       outageStartedAtMs = clock.readMonotonicMs();
       log.warn('store lost', { table, reason: error.reason, version });
-      handleLost();
+      handleOutageStart();
     },
-    countFailures: () => failures,
+    countConsecutiveFailures: () => failures,
     isInOutage: () => outageStartedAtMs !== null,
     readOutageEndedAtMs: () => outageEndedAtMs,
   };
--- a/src/application/rows/_lib/createEraRecord/index.ts
+++ b/src/application/rows/_lib/createRestoreDetector/index.ts
@@ -1,26 +1,30 @@
 import { parseRowVersion } from '../../../../domain/rows';
 import type { Clock, EventLog } from '../../../ports';
 
-/** What a record of eras needs. */
-export interface EraRecordDependencies {
+/** Dependencies of a restore detector. */
+export interface RestoreDetectorDependencies {
   readonly table: string;
   readonly clock: Pick<Clock, 'readMonotonicMs'>;
   readonly log: EventLog;
 }
 
-/** Knows when it showed that the store came back from a copy. */
-export interface EraRecord {
-  /** Takes the version of all rows of a table; true if they are of a later era than those held. */
-  recordWhole(version: number, heldVersion: number): boolean;
-  /** Monotonic time at which it showed last, or null. */
+/** Detects that the store was restored from a backup, by the era in its versions. */
+export interface RestoreDetector {
+  /** Records the version of a full read; true if its era is later than that of the held rows. */
+  recordSnapshot(version: number, heldVersion: number): boolean;
+  /** Monotonic time at which the last restore was detected, or null. */
   readRestoredAtMs(): number | null;
 }
 
-/** Creates the record of a table; the store has not come back from a copy. */
-export const createEraRecord = ({ clock, log, table }: EraRecordDependencies): EraRecord => {
+/** Creates a restore detector for a table. */
+export const createRestoreDetector = ({
+  clock,
+  log,
+  table,
+}: RestoreDetectorDependencies): RestoreDetector => {
   let restoredAtMs: number | null = null;
   return {
-    recordWhole: (version, heldVersion) => {
+    recordSnapshot: (version, heldVersion) => {
       const { era, revision } = parseRowVersion(version);
       const held = parseRowVersion(heldVersion);
       const isFirst = heldVersion === 0;
--- a/src/application/rows/_lib/checkStatements/test.ts
+++ b/src/application/rows/_lib/validateStatements/test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import type { StatementsRequest, TableStatement } from '../../types';
-import { checkStatements } from '.';
+import { validateStatements } from '.';
 
 const REQUEST: StatementsRequest = {
   held: [{ table: 'op', version: 5, ageMs: 100 }],
   waitMs: 1000,
 };
 
-const SOUND: TableStatement = {
+const VALID_STATEMENT: TableStatement = {
   table: 'op',
   after: 5,
   version: 8,
@@ -17,16 +17,19 @@
 };
 
 const check = (change: Partial<TableStatement>, heldMs = 10) =>
-  checkStatements({ heldMs, isCutOff: false, tables: [{ ...SOUND, ...change }] }, REQUEST);
+  validateStatements(
+    { heldMs, isCutOff: false, tables: [{ ...VALID_STATEMENT, ...change }] },
+    REQUEST,
+  );
 
-test('what was asked for is taken, also all rows, and from a VM that knows less', (t) => {
+test('changes, whole tables and older versions of a requested table are accepted', (t) => {
   t.true(check({}).isOk());
   t.true(check({ after: 0 }).isOk());
   t.true(check({ after: 3, version: 3, rows: [] }).isOk());
   t.true(check({ ageMs: Infinity }).isOk());
 });
 
-test('what is malformed or was not asked for is refused, with the reason', (t) => {
+test('malformed statements and tables that were not requested are refused with a reason', (t) => {
   const refused: readonly Partial<TableStatement>[] = [
     { table: 'servers' },
     { after: 4 },
--- a/src/application/rows/createFollowerPair/index.ts
+++ b/src/application/rows/createFollowerPair/index.ts
@@ -1,104 +1,107 @@
-import { createStoreTime } from '../_lib/createStoreTime';
+import { createStoreClockConverter } from '../_lib/createStoreClockConverter';
 import { createRowFollower } from '../createRowFollower';
 import type { RowFollower, RowFollowerDependencies } from '../types';
 
-/** A table and who takes its rows. */
+/** A table and the handlers of its rows. */
 export type FollowedTable = Pick<
   RowFollowerDependencies,
   'handleRestored' | 'handleRows' | 'table'
 >;
 
-/** What a pair needs. */
+/** Dependencies of a follower pair. */
 export interface FollowerPairDependencies extends Pick<
   RowFollowerDependencies,
-  'burstPauseMs' | 'clock' | 'handleAdvance' | 'log' | 'randomness' | 'store'
+  'burstPauseMs' | 'clock' | 'handleUpdate' | 'log' | 'randomness' | 'store'
 > {
-  /** Its calls wait briefly; their answers show what the other table's calls miss. */
-  readonly guard: FollowedTable;
-  readonly guarded: FollowedTable;
-  /** Wait of a call whose loss nothing else shows, in milliseconds. */
-  readonly aloneWaitMs: number;
-  /** What is known may grow this old between two answers, in milliseconds; infinite: no bound. */
+  /** Followed with short long polls, whose responses show changes missed in the secondary table. */
+  readonly primary: FollowedTable;
+  readonly secondary: FollowedTable;
+  /** Wait of a long poll whose loss no other response would show, in milliseconds. */
+  readonly shortWaitMs: number;
+  /** Age that the rows may reach between two responses, in milliseconds; infinite: no bound. */
   readonly freshMs: number;
-  /** Knowledge older than this counts as cut off while another VM's is taken. */
+  /** Age from which the store counts as unreachable while another VM's rows are copied. */
   readonly staleMs: number;
 }
 
 /** Followers of two tables of one store. */
 export interface FollowerPair {
-  readonly guard: RowFollower;
-  readonly guarded: RowFollower;
-  /** Whether the store is followed from here; it is, until said otherwise. */
+  readonly primary: RowFollower;
+  readonly secondary: RowFollower;
+  /** Sets whether this VM follows the store itself, which is the default. */
   setFollowing(isFollowing: boolean): void;
-  /** Asks the store once for what is missing; false if it does not answer. */
+  /** Reads missing changes from the store once; false if the store does not answer. */
   readOnce(): Promise<boolean>;
-  /** Age of the older knowledge of the two, in milliseconds. */
+  /** Age of the older of the two tables, in milliseconds. */
   readAgeMs(): number;
 }
 
 /**
- * Wait of a call whose loss the other table's answers show, each of which names the store's newest
- * version. Half of the history that the store keeps, so that it can still tell what changed since.
- * With short waits on both tables a quiet VM would make 1.2 calls a second, not 0.7.
+ * Wait of the secondary table's long poll. A lost one shows in the primary table's responses, which
+ * name the store's newest version. Half of the history that the store keeps, so that the store can
+ * still list the changes. Short waits on both tables would cost an idle VM 1.2 calls a second in
+ * place of 0.7.
  */
-const GUARDED_WAIT_MS = 10_000;
+const SECONDARY_WAIT_MS = 10_000;
 
-/** Ages that come from one answer differ by less. */
-const SAME_ANSWER_MS = 20;
+/** Ages derived from the same response differ by less than this. */
+const SAME_RESPONSE_MS = 20;
 
 /**
- * Creates the followers of two tables of one store. What the store answers for the first also tells
- * whether the second, which asks less often, misses anything; an outage of the first is taken for
- * one of both.
+ * Creates the followers of two tables of one store. The store's responses for the primary table
+ * also show whether the secondary follower, which polls less often, misses changes. An outage of
+ * the primary follower counts for both.
  */
 export const createFollowerPair = ({
-  aloneWaitMs,
+  shortWaitMs,
   freshMs,
-  guard: guardTable,
-  guarded: guardedTable,
+  primary: primaryTable,
+  secondary: secondaryTable,
   ...shared
 }: FollowerPairDependencies): FollowerPair => {
   let isFollowing = true;
-  let waiters: (() => void)[] = [];
-  let isGuardReachable = (): boolean => false;
+  let resumeCallbacks: (() => void)[] = [];
+  let isPrimaryReachable = (): boolean => false;
   const common = {
     ...shared,
-    storeTime: createStoreTime(shared.clock),
+    storeClock: createStoreClockConverter(shared.clock),
     isFollowing: () => isFollowing,
-    waitForTurn: () =>
+    waitUntilFollowing: () =>
       new Promise<void>((resolve) => {
         if (isFollowing) resolve();
-        else waiters.push(resolve);
+        else resumeCallbacks.push(resolve);
       }),
   };
-  const guarded = createRowFollower({
+  const secondary = createRowFollower({
     ...common,
-    ...guardedTable,
-    readWaitMs: () => (isGuardReachable() ? GUARDED_WAIT_MS : aloneWaitMs),
+    ...secondaryTable,
+    readWaitMs: () => (isPrimaryReachable() ? SECONDARY_WAIT_MS : shortWaitMs),
   });
-  const guard = createRowFollower({
+  const primary = createRowFollower({
     ...common,
-    ...guardTable,
-    readWaitMs: (ageMs) => (ageMs < freshMs ? Math.min(aloneWaitMs, freshMs - ageMs) : 0),
-    handleAnswer: guarded.checkAnswer,
-    handleLost: () => guarded.dropCall(`${guardTable.table} is lost`),
+    ...primaryTable,
+    readWaitMs: (ageMs) => (ageMs < freshMs ? Math.min(shortWaitMs, freshMs - ageMs) : 0),
+    handleAnswer: secondary.checkAnswer,
+    handleOutageStart: () => secondary.abortCall(`calls for table ${primaryTable.table} fail`),
   });
-  isGuardReachable = guard.isStoreReachable;
+  isPrimaryReachable = primary.isStoreReachable;
   return {
-    guard,
-    guarded,
+    primary,
+    secondary,
     setFollowing: (next) => {
       isFollowing = next;
       if (!next) return;
-      const resumed = waiters;
-      waiters = [];
+      const resumed = resumeCallbacks;
+      resumeCallbacks = [];
       resumed.forEach((resume) => resume());
     },
     readOnce: async () => {
-      if (!(await guard.readOnce())) return false;
-      // The answer showed that nothing is missing of the other table, or it must be asked for.
-      return guarded.readAgeMs() <= guard.readAgeMs() + SAME_ANSWER_MS || guarded.readOnce();
+      if (!(await primary.readOnce())) return false;
+      // The response showed that the secondary table is complete, or the table must be read itself.
+      return (
+        secondary.readAgeMs() <= primary.readAgeMs() + SAME_RESPONSE_MS || secondary.readOnce()
+      );
     },
-    readAgeMs: () => Math.max(guard.readAgeMs(), guarded.readAgeMs()),
+    readAgeMs: () => Math.max(primary.readAgeMs(), secondary.readAgeMs()),
   };
 };
--- a/src/application/rows/createRowFollower/index.ts
+++ b/src/application/rows/createRowFollower/index.ts
@@ -1,88 +1,89 @@
 import type { RowChanges, SharedRow } from '../../ports';
 import { hasMissedRows } from '../../../domain/forwarding';
 import { waitDelay } from '../../time';
-import { createAgeRecord } from '../_lib/createAgeRecord';
-import { createCallRecord, type StoreCall } from '../_lib/createCallRecord';
-import { createEraRecord } from '../_lib/createEraRecord';
-import { createHeldRows } from '../_lib/createHeldRows';
-import type { RowFollower, RowFollowerDependencies, RowsInfo } from '../types';
+import { createAgeTracker } from '../_lib/createAgeTracker';
+import { createCallTracker, type StoreCall } from '../_lib/createCallTracker';
+import { createRestoreDetector } from '../_lib/createRestoreDetector';
+import { createTableReplica } from '../_lib/createTableReplica';
+import type { RowFollower, RowFollowerDependencies, RowsOrigin } from '../types';
 
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 1000;
 
 /**
- * A waiting call that another table's answer has overtaken is given up after this time: answers of
- * one moment arrive within some ms of each other, also at a VM with much to do.
+ * A waiting call that another table's response has overtaken is aborted after this time: responses
+ * sent at the same moment arrive within some milliseconds of each other, even at a busy VM.
  */
 const OVERTAKEN_MS = 300;
 
-/** Timers of two machines agree within this. */
-const EARLY_MS = 20;
+/** Timers of two machines agree to within this. */
+const MAX_TIMER_SKEW_MS = 20;
 
 /**
- * Creates the follower of a table: it reads all rows once, then waits for changes. A row never
- * goes back to an older version, whichever source tells of it.
+ * Creates a row follower, which reads all rows of a table once and then polls for changes. A row
+ * never goes back to an older version, whichever source it comes from.
  */
 export const createRowFollower = (dependencies: RowFollowerDependencies): RowFollower => {
-  const { clock, handleRows, isFollowing, log, randomness, store, storeTime, table } = dependencies;
-  const held = createHeldRows();
-  const age = createAgeRecord(clock);
-  const eras = createEraRecord({ table, clock, log });
+  const { clock, handleRows, isFollowing, log, randomness, store, storeClock, table } =
+    dependencies;
+  const replica = createTableReplica();
+  const age = createAgeTracker(clock);
+  const restores = createRestoreDetector({ table, clock, log });
   const abort = new AbortController();
-  /** The call that waits, and why it is given up, if it is. */
+  /** The waiting long poll, and why it was aborted, if it was. */
   let waiting: StoreCall | null = null;
-  let dropReason: string | null = null;
+  let abortReason: string | null = null;
   let mustReadAll = false;
-  /** The store answered, but nothing was ever written to it: its first rows are waited for. */
+  /** The store answered, but nothing was ever written to it: its first rows are polled for. */
   let isStoreEmpty = false;
-  /** Monotonic time of the end of an outage that another VM told of. */
-  let toldOutageEndedAtMs: number | null = null;
-  /** Whole reads in a row that the store could not go on from. */
-  let vainReads = 0;
-  const calls = createCallRecord({
+  /** Monotonic time of the end of the newest outage that another VM reported. */
+  let peerOutageEndedAtMs: number | null = null;
+  /** Consecutive full reads after which the store could not list the changes. */
+  let failedResumes = 0;
+  const calls = createCallTracker({
     table,
     clock,
     log,
-    handleLost: () => dependencies.handleLost?.(),
+    handleOutageStart: () => dependencies.handleOutageStart?.(),
   });
 
   const readOutageEndedAtMs = (): number | null => {
     const known = [
       calls.readOutageEndedAtMs(),
-      toldOutageEndedAtMs,
-      eras.readRestoredAtMs(),
+      peerOutageEndedAtMs,
+      restores.readRestoredAtMs(),
     ].filter((at) => at !== null);
     return known.length === 0 ? null : Math.max(...known);
   };
 
-  const tellRows = (
-    news: readonly SharedRow[],
-    { isRestored, source }: Pick<RowsInfo, 'isRestored' | 'source'>,
+  const deliverRows = (
+    newer: readonly SharedRow[],
+    { isRestored, source }: Pick<RowsOrigin, 'isRestored' | 'source'>,
   ): void => {
-    if (news.length > 0) {
-      log.info('rows taken', { table, source, rows: news.length, version: held.readVersion() });
-      handleRows(news, { source, isRestored, outageEndedAtMs: readOutageEndedAtMs() });
+    if (newer.length > 0) {
+      log.info('rows taken', { table, source, rows: newer.length, version: replica.readVersion() });
+      handleRows(newer, { source, isRestored, outageEndedAtMs: readOutageEndedAtMs() });
     }
     if (isRestored) dependencies.handleRestored?.();
   };
 
-  const recordAsOf = (atMs: number): void => {
+  const confirmAsOf = (atMs: number): void => {
     age.recordAsOf(atMs);
-    dependencies.handleAdvance?.();
+    dependencies.handleUpdate?.();
   };
 
-  /** Takes an answer of the store; `isWhole`: all rows, not changes. */
-  const takeAnswer = (call: StoreCall, answer: RowChanges, isWhole: boolean): void => {
+  /** Applies a response of the store; `isSnapshot`: it holds all rows, not changes. */
+  const applyResponse = (call: StoreCall, answer: RowChanges, isSnapshot: boolean): void => {
     calls.recordSuccess(call);
-    const asOfMs = storeTime.convertAnswer({
+    const asOfMs = storeClock.convertAnswer({
       sentAtMs: call.sentAtMs,
       storeMs: answer.storeMs ?? null,
     });
-    const isRestored = isWhole && eras.recordWhole(answer.version, held.readVersion());
-    const news = isWhole ? held.mergeWhole(answer) : held.mergeRows(answer.rows);
-    held.recordComplete(answer.version);
-    tellRows(news, { source: 'store', isRestored });
-    recordAsOf(asOfMs);
+    const isRestored = isSnapshot && restores.recordSnapshot(answer.version, replica.readVersion());
+    const newer = isSnapshot ? replica.mergeSnapshot(answer) : replica.mergeRows(answer.rows);
+    replica.advanceVersion(answer.version);
+    deliverRows(newer, { source: 'store', isRestored });
+    confirmAsOf(asOfMs);
     dependencies.handleAnswer?.(answer, asOfMs);
   };
 
@@ -90,53 +91,55 @@
     const call = calls.startCall('read', 0);
     const all = await store.readRows(table);
     if (all.isErr()) {
-      calls.recordFailure(call, all.error, held.readVersion());
+      calls.recordFailure(call, all.error, replica.readVersion());
       return false;
     }
-    takeAnswer(call, all.value, true);
+    applyResponse(call, all.value, true);
     mustReadAll = false;
-    isStoreEmpty = held.readVersion() === 0;
+    isStoreEmpty = replica.readVersion() === 0;
     return true;
   };
 
-  /** Asks for changes; returns those that came, or null if none could be had. */
-  const askForChanges = async (
+  /** Fetches changes; null if the call failed. */
+  const fetchChanges = async (
     call: StoreCall,
     readFailure: (reason: string) => string,
   ): Promise<RowChanges | null> => {
     const signal = AbortSignal.any([abort.signal, call.abort.signal]);
-    const version = held.readVersion();
+    const version = replica.readVersion();
     const answered = await store.followRows(table, { version, waitMs: call.waitMs }, signal);
     if (abort.signal.aborted) return null;
     if (answered.isOk()) {
-      vainReads = 0;
-      takeAnswer(call, answered.value, false);
+      failedResumes = 0;
+      applyResponse(call, answered.value, false);
       return answered.value;
     }
     const { error } = answered;
-    const told =
+    const reported =
       error.kind === 'unavailable' ? { ...error, reason: readFailure(error.reason) } : error;
-    calls.recordFailure(call, told, version);
+    calls.recordFailure(call, reported, version);
     if (error.kind === 'history-lost') {
       mustReadAll = true;
-      vainReads += 1;
+      failedResumes += 1;
     }
     return null;
   };
 
-  /** By how much a call was answered before its time was over: without changes it should not be. */
+  /** Computes how early a call was answered; a call without changes should use its whole wait. */
   const computeEarlyMs = ({ sentAtMs, waitMs }: StoreCall): number => {
     const earlyMs = sentAtMs + waitMs - clock.readMonotonicMs();
-    return earlyMs < EARLY_MS ? 0 : earlyMs;
+    return earlyMs < MAX_TIMER_SKEW_MS ? 0 : earlyMs;
   };
 
   const followOnce = async (): Promise<void> => {
-    // After a failure a call that waits could not tell the end of an outage from its going on.
-    const waitMs = calls.countFailures() > 0 ? 0 : dependencies.readWaitMs(age.readAgeMs());
+    // After a failure the call does not wait: a long poll would not show whether the outage is
+    // over.
+    const waitMs =
+      calls.countConsecutiveFailures() > 0 ? 0 : dependencies.readWaitMs(age.readAgeMs());
     const call = calls.startCall('feed', waitMs);
     waiting = call;
-    dropReason = null;
-    const changes = await askForChanges(call, (reason) => dropReason ?? reason);
+    abortReason = null;
+    const changes = await fetchChanges(call, (reason) => abortReason ?? reason);
     waiting = null;
     if (changes && changes.rows.length > 0) await waitDelay(clock, dependencies.burstPauseMs);
     else if (changes) await waitDelay(clock, Math.min(MAX_RETRY_MS, computeEarlyMs(call)));
@@ -144,15 +147,15 @@
 
   const run = async (): Promise<void> => {
     while (!abort.signal.aborted) {
-      const isNew = held.readVersion() === 0;
+      const isNew = replica.readVersion() === 0;
       if (mustReadAll || (isNew && !isStoreEmpty)) await readAll();
       else {
-        // Who knows nothing yet has no other VM to follow.
-        if (!isNew) await dependencies.waitForTurn();
+        // While this VM has no rows, it reads the store itself in place of another VM.
+        if (!isNew) await dependencies.waitUntilFollowing();
         if (!abort.signal.aborted) await followOnce();
       }
-      // The first whole read after a loss is not put off.
-      const failures = Math.max(calls.countFailures(), vainReads - 1);
+      // The first full read after lost history is not delayed.
+      const failures = Math.max(calls.countConsecutiveFailures(), failedResumes - 1);
       if (failures > 0) {
         const boundMs = Math.min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** (failures - 1));
         await waitDelay(clock, boundMs * (0.5 + randomness.readFraction() / 2));
@@ -160,80 +163,83 @@
     }
   };
 
-  const dropCall = (reason: string): void => {
+  const abortCall = (reason: string): void => {
     if (!waiting) return;
-    dropReason = reason;
+    abortReason = reason;
     waiting.abort.abort();
   };
 
   const mergeChanges = (changes: RowChanges, afterVersion: number): void => {
-    const isWhole = afterVersion === 0;
-    const isRestored = isWhole && eras.recordWhole(changes.version, held.readVersion());
-    const news = isWhole ? held.mergeWhole(changes) : held.mergeRows(changes.rows);
-    // Only news that begin where this VM stands leave no gap.
-    if (afterVersion <= held.readVersion()) held.recordComplete(changes.version);
-    tellRows(news, { source: 'peer', isRestored });
+    const isSnapshot = afterVersion === 0;
+    const isRestored =
+      isSnapshot && restores.recordSnapshot(changes.version, replica.readVersion());
+    const newer = isSnapshot ? replica.mergeSnapshot(changes) : replica.mergeRows(changes.rows);
+    // Only changes that begin at or before the held version leave no gap.
+    if (afterVersion <= replica.readVersion()) replica.advanceVersion(changes.version);
+    deliverRows(newer, { source: 'peer', isRestored });
   };
 
   return {
     start: () => {
       run().catch((error: unknown) => {
         const reason = error instanceof Error ? error.message : 'unknown';
-        log.error('following stopped unexpectedly', { table, reason });
+        log.error('row follower stopped unexpectedly', { table, reason });
       });
     },
     stop: () => abort.abort(),
-    readVersion: held.readVersion,
-    listChanges: held.listChanges,
+    readVersion: replica.readVersion,
+    listChanges: replica.listChanges,
     mergeChanges,
     mergeStatement: (statement, asOfMs) => {
-      // Older, or with a gap before it.
-      if (statement.version < held.readVersion() || statement.after > held.readVersion()) return;
+      // The statement is older than the replica, or leaves a gap after it.
+      if (statement.version < replica.readVersion() || statement.after > replica.readVersion())
+        return;
       const { outageEndedAgoMs } = statement;
       if (outageEndedAgoMs !== null)
-        toldOutageEndedAtMs = Math.max(toldOutageEndedAtMs ?? 0, asOfMs - outageEndedAgoMs);
+        peerOutageEndedAtMs = Math.max(peerOutageEndedAtMs ?? 0, asOfMs - outageEndedAgoMs);
       mergeChanges(statement, statement.after);
-      recordAsOf(asOfMs);
+      confirmAsOf(asOfMs);
     },
     buildStatement: (afterVersion) => {
-      const changes = held.listChanges(afterVersion);
-      const given = changes ?? held.listChanges(0) ?? { rows: [], version: 0 };
+      const changes = replica.listChanges(afterVersion);
+      const statement = changes ?? replica.listChanges(0) ?? { rows: [], version: 0 };
       const ageMs = age.readAgeMs();
       const outageEndedAtMs = readOutageEndedAtMs();
       return {
         table,
         after: changes ? afterVersion : 0,
-        rows: given.rows,
-        version: given.version,
+        rows: statement.rows,
+        version: statement.version,
         ageMs,
         outageEndedAgoMs:
           outageEndedAtMs === null ? null : clock.readMonotonicMs() - ageMs - outageEndedAtMs,
       };
     },
     isStoreReachable: () =>
-      held.readVersion() > 0 &&
+      replica.readVersion() > 0 &&
       (isFollowing() ? !calls.isInOutage() : age.readAgeMs() <= dependencies.staleMs),
     checkAnswer: (answer, asOfMs) => {
-      // Before the first whole read nothing is known of the rows that were there.
-      if (held.readVersion() === 0) return;
+      // Before the first full read the replica is empty, so that it cannot be complete.
+      if (replica.readVersion() === 0) return;
       const otherRows = answer.rows.map((row) => row.version);
       const isBehind = (): boolean =>
-        hasMissedRows({ held: held.readVersion(), newest: answer.version, otherRows });
+        hasMissedRows({ held: replica.readVersion(), newest: answer.version, otherRows });
       if (!isBehind()) {
-        held.recordComplete(answer.version);
-        recordAsOf(asOfMs);
+        replica.advanceVersion(answer.version);
+        confirmAsOf(asOfMs);
         return;
       }
-      const overtaken = waiting;
+      const overtakenCall = waiting;
       clock.startTimer(OVERTAKEN_MS, () => {
-        if (overtaken && overtaken === waiting && isBehind()) dropCall('overtaken');
+        if (overtakenCall && overtakenCall === waiting && isBehind())
+          abortCall('a response for another table shows a missed change');
       });
     },
-    dropCall,
+    abortCall,
     readOnce: async () => {
-      if (held.readVersion() === 0 || mustReadAll) return readAll();
+      if (replica.readVersion() === 0 || mustReadAll) return readAll();
       const call = calls.startCall('feed', 0);
-      const changes = await askForChanges(call, (reason) => reason);
+      const changes = await fetchChanges(call, (reason) => reason);
       return changes !== null || (mustReadAll && readAll());
     },
     readAgeMs: age.readAgeMs,
--- a/src/application/rows/createRowFollower/test.ts
+++ b/src/application/rows/createRowFollower/test.ts
@@ -2,8 +2,8 @@
 import { err, ok, type Result } from 'neverthrow';
 import { createFakeClock, createSeededRandomness } from '../../../../standins/fakes';
 import type { EventFields, RowChanges, RowError, SharedRow } from '../../ports';
-import { createStoreTime } from '../_lib/createStoreTime';
-import type { RowsInfo } from '../types';
+import { createStoreClockConverter } from '../_lib/createStoreClockConverter';
+import type { RowsOrigin } from '../types';
 import { createRowFollower } from '.';
 
 const buildRow = (key: string, version: number, value: string | null = key): SharedRow => ({
@@ -12,13 +12,13 @@
   version,
 });
 
-/** A follower whose source answers what the test says, call by call. */
+/** Creates a follower whose source returns the results that the test queues, call by call. */
 const setUp = () => {
   const clock = createFakeClock();
   const reads: Result<RowChanges, RowError>[] = [];
   const feeds: Result<RowChanges, RowError>[] = [];
-  const asked: number[] = [];
-  const taken: { readonly rows: readonly SharedRow[]; readonly info: RowsInfo }[] = [];
+  const requestedVersions: number[] = [];
+  const deliveries: { readonly rows: readonly SharedRow[]; readonly info: RowsOrigin }[] = [];
   const lines: (EventFields & { readonly message: string })[] = [];
   const take = (message: string, fields: EventFields): void => {
     lines.push({ message, ...fields });
@@ -29,45 +29,44 @@
     store: {
       readRows: async () => reads.shift() ?? never,
       followRows: async (_table, { version }) => {
-        asked.push(version);
+        requestedVersions.push(version);
         return feeds.shift() ?? never;
       },
     },
-    storeTime: createStoreTime(clock),
+    storeClock: createStoreClockConverter(clock),
     readWaitMs: () => 2500,
-    waitForTurn: async () => undefined,
+    waitUntilFollowing: async () => undefined,
     isFollowing: () => true,
     staleMs: Infinity,
     burstPauseMs: 600,
     clock,
     randomness: createSeededRandomness(1),
     log: { info: take, warn: take, error: take },
-    handleRows: (rows, info) => taken.push({ rows, info }),
+    handleRows: (rows, info) => deliveries.push({ rows, info }),
   });
   const listKeys = (): string[] =>
-    taken.flatMap(({ rows }) =>
+    deliveries.flatMap(({ rows }) =>
       rows.map(({ key, value }) => `${value === null ? '-' : '+'}${key}`),
     );
-  return { asked, clock, feeds, follower, lines, listKeys, reads, taken };
+  return { requestedVersions, clock, feeds, follower, lines, listKeys, reads, deliveries };
 };
 
 const UNAVAILABLE = err({ kind: 'unavailable', reason: 'status 503' } as const);
 
-test('all rows are read once, then changes are followed from there', async (t) => {
-  const { asked, clock, feeds, follower, listKeys, reads } = setUp();
+test('all rows are read once, then changes are followed from that version', async (t) => {
+  const { requestedVersions, clock, feeds, follower, listKeys, reads } = setUp();
   reads.push(ok({ rows: [buildRow('a', 3)], version: 5 }));
   feeds.push(ok({ rows: [buildRow('b', 6), buildRow('a', 7, null)], version: 7 }));
   follower.start();
   await clock.advanceAsync(1000);
   t.deepEqual(listKeys(), ['+a', '+b', '-a']);
-  t.deepEqual(asked, [5, 7]);
+  t.deepEqual(requestedVersions, [5, 7]);
   t.is(follower.readVersion(), 7);
 });
 
-// Symptom: a server that has left gets requests for good.
-// Sequence: the store drops its history while a row is removed.
-// Cause: a whole read says nothing of rows that are not there any more.
-test('rows that a whole read lacks after lost history count as removed', async (t) => {
+// Guards against requests being sent forever to a server that has left: the store drops its history
+// while a row is removed, and a full read does not list removed rows.
+test('rows missing from a full read after lost history count as removed', async (t) => {
   const { clock, feeds, follower, listKeys, reads } = setUp();
   reads.push(ok({ rows: [buildRow('a', 3), buildRow('b', 4)], version: 5 }));
   feeds.push(err({ kind: 'history-lost' }));
@@ -78,9 +77,8 @@
   t.is(follower.readVersion(), 9);
 });
 
-// Symptom: a configuration goes back to an older one.
-// Sequence: a late answer, or a peer that lags, brings an older version of a row.
-// Cause: rows are taken in the order of their arrival.
+// Guards against a configuration that goes back to an older one: a late response, or a lagging
+// peer, delivers an older version of a row, and rows are applied in the order of arrival.
 test('an older version of a row changes nothing', async (t) => {
   const { clock, follower, listKeys, reads } = setUp();
   reads.push(ok({ rows: [buildRow('a', 8)], version: 8 }));
@@ -91,7 +89,7 @@
   t.is(follower.readVersion(), 8);
 });
 
-test('news of a peer with a gap before them is taken, but not for complete', async (t) => {
+test('changes of a peer after a gap are applied, but do not advance the version', async (t) => {
   const { clock, follower, listKeys, reads } = setUp();
   reads.push(ok({ rows: [], version: 5 }));
   follower.start();
@@ -103,8 +101,8 @@
   t.is(follower.readVersion(), 20);
 });
 
-test('an outage is logged once, retried, and its end told with the rows after it', async (t) => {
-  const { clock, feeds, follower, lines, reads, taken } = setUp();
+test('an outage is logged once, and its end is passed along with the rows after it', async (t) => {
+  const { clock, feeds, follower, lines, reads, deliveries } = setUp();
   reads.push(ok({ rows: [], version: 5 }));
   feeds.push(UNAVAILABLE, UNAVAILABLE, ok({ rows: [buildRow('a', 6, null)], version: 6 }));
   follower.start();
@@ -112,14 +110,13 @@
   t.is(lines.filter(({ message }) => message === 'store lost').length, 1);
   t.is(lines.filter(({ message }) => message === 'store regained').length, 1);
   t.true(follower.isStoreReachable());
-  t.not(taken.at(-1)?.info.outageEndedAtMs ?? null, null);
+  t.not(deliveries.at(-1)?.info.outageEndedAtMs ?? null, null);
 });
 
-// Symptom: after an outage VMs went on with an old configuration; no line told since when they had
-// heard nothing, nor which call was waited for.
-// Sequence: one call fails and begins an outage; the next one is lost as well.
-// Cause: only the first failure of an outage was told.
-test('each call that fails is told, with how long it had waited, and the age of what is known', async (t) => {
+// Guards against outages that the log does not explain: one call fails and begins an outage, the
+// next one is lost as well. With only the first failure logged, no line showed how long a VM had
+// used an old configuration, nor which call it waited for.
+test('each failed call is logged, and the age of the rows goes on growing', async (t) => {
   const { clock, feeds, follower, lines, reads } = setUp();
   reads.push(ok({ rows: [], version: 5 }));
   feeds.push(UNAVAILABLE, UNAVAILABLE);
@@ -134,12 +131,11 @@
   t.is(follower.readAgeMs(), 3000);
 });
 
-// Symptom: a VM that follows another one goes on to use a server that has left, for good.
-// Sequence: a server leaves at version 4; a VM starts, and reads all rows of version 5; one that
-// stands at version 3 asks it for what came after.
-// Cause: rows that went before the first whole read were taken for known, so that the changes told
-// began at the version asked for although a removal among them was missing.
-test('a VM that stands before the first whole read is given all rows, not changes', async (t) => {
+// Guards against a VM that copies another VM's rows and keeps a server that has left: a server
+// leaves at version 4; a VM starts and reads all rows at version 5; a VM at version 3 requests the
+// changes. The first VM has no tombstone from before its full read, so its changes would lack the
+// removal.
+test('a VM behind the first full read is given all rows, not changes', async (t) => {
   const { clock, feeds, follower, reads } = setUp();
   reads.push(ok({ rows: [buildRow('a', 3), buildRow('b', 5)], version: 5 }));
   feeds.push(ok({ rows: [buildRow('c', 6)], version: 6 }));
@@ -153,7 +149,7 @@
   t.is(follower.listChanges(0)?.rows.length, 3);
 });
 
-test('rows that a VM told all of lacks count as removed, but not newer ones', async (t) => {
+test("rows missing from a peer's whole table count as removed, except newer ones", async (t) => {
   const { clock, follower, listKeys, reads } = setUp();
   reads.push(ok({ rows: [buildRow('a', 3), buildRow('b', 4)], version: 4 }));
   follower.start();
@@ -164,10 +160,9 @@
   t.is(follower.readVersion(), 7);
 });
 
-// Symptom: after a VM was suspended it told others that its old rows were young.
-// Sequence: the VM is suspended for eight seconds, in which the store changes; it wakes.
-// Cause: the steady clock stands still meanwhile; only the time of day goes on.
-test('what is known grows older while the VM is suspended', async (t) => {
+// Guards against a VM that reports old rows as fresh: the VM is suspended for eight seconds, in
+// which the store changes. The monotonic clock stops meanwhile; only the wall clock goes on.
+test('the age of the rows grows while the VM is suspended', async (t) => {
   const { clock, follower, reads } = setUp();
   reads.push(ok({ rows: [], version: 5 }));
   follower.start();
@@ -178,30 +173,28 @@
   t.true(follower.readAgeMs() < 100);
 });
 
-// Symptom: VMs asked the store thousands of times a second.
-// Sequence: the store answers a call that waits at once, and without changes.
-// Cause: the next call was sent as soon as the one before was answered.
-test('a store that does not wait is not asked without end', async (t) => {
-  const { asked, clock, feeds, follower, reads } = setUp();
+// Guards against thousands of calls a second to a store that answers long polls at once without
+// changes, while the next call is sent as soon as the one before was answered.
+test('a store that answers long polls at once is not polled in a tight loop', async (t) => {
+  const { requestedVersions, clock, feeds, follower, reads } = setUp();
   reads.push(ok({ rows: [], version: 5 }));
   feeds.push(...Array.from({ length: 50 }, () => ok({ rows: [], version: 5 })));
   follower.start();
   await clock.advanceAsync(2000);
-  t.true(asked.length <= 6, `${asked.length} calls`);
+  t.true(requestedVersions.length <= 6, `${requestedVersions.length} calls`);
 });
 
-// Symptom: 150 calls a VM to a store in its first second, before anything is written to it.
-// Sequence: the store answers that it has no row, and has never had one.
-// Cause: a version of 0 is taken for nothing known.
-test('the first row of an empty store is waited for, not asked for again and again', async (t) => {
-  const { asked, feeds, follower, listKeys, reads, clock } = setUp();
+// Guards against 150 calls a VM in the first second of an empty store: the store answers that it
+// has never had a row, and version 0 is taken for rows that were not read yet.
+test('the first row of an empty store is awaited with long polls, not repeated reads', async (t) => {
+  const { requestedVersions, feeds, follower, listKeys, reads, clock } = setUp();
   reads.push(ok({ rows: [], version: 0 }));
   feeds.push(ok({ rows: [], version: 0 }), ok({ rows: [buildRow('a', 1)], version: 1 }));
   follower.start();
   await clock.advanceAsync(0);
-  t.deepEqual(asked, [0]);
+  t.deepEqual(requestedVersions, [0]);
   await clock.advanceAsync(1000);
-  t.deepEqual(asked, [0, 0]);
+  t.deepEqual(requestedVersions, [0, 0]);
   t.deepEqual(listKeys(), ['+a']);
   follower.stop();
 });
--- a/src/application/rows/index.ts
+++ b/src/application/rows/index.ts
@@ -6,17 +6,17 @@
 } from './createFollowerPair';
 export { createRowFollower } from './createRowFollower';
 export {
-  createSharedReading,
+  createZoneReplication,
   type RowReader,
-  type SharedReading,
-  type SharedReadingDependencies,
-} from './createSharedReading';
+  type ZoneReplication,
+  type ZoneReplicationDependencies,
+} from './createZoneReplication';
 export type {
   HeldTable,
   RowFollower,
   RowFollowerDependencies,
-  RowsInfo,
-  Statements,
+  RowsOrigin,
+  StatementsResponse,
   StatementsRequest,
   TableStatement,
 } from './types';
--- a/src/application/rows/types/RowFollower.ts
+++ b/src/application/rows/types/RowFollower.ts
@@ -1,60 +1,66 @@
 import type { Clock, EventLog, Randomness, RowChanges, RowSource, SharedRow } from '../../ports';
-import type { StoreTime } from '../_lib/createStoreTime';
-import type { RowsInfo } from './RowsInfo';
+import type { StoreClockConverter } from '../_lib/createStoreClockConverter';
+import type { RowsOrigin } from './RowsOrigin';
 import type { TableStatement } from './Statements';
 
-/** What a follower needs. */
+/** Dependencies of a row follower. */
 export interface RowFollowerDependencies {
   readonly table: string;
   readonly store: RowSource;
-  /** Converts the store's times; shared by all tables of a store. */
-  readonly storeTime: StoreTime;
-  /** How long the next call waits for changes, by the age of what is known. */
+  /** Converts times of the store's clock to the local clock; shared by all tables of a store. */
+  readonly storeClock: StoreClockConverter;
+  /** Computes how long the next long poll waits for changes, from the age of the local rows. */
   readonly readWaitMs: (ageMs: number) => number;
-  /** Resolves when the store may be followed from here. */
-  readonly waitForTurn: () => Promise<void>;
-  /** Knowledge older than this counts as cut off while another VM's is taken; infinite if none is. */
+  /** Resolves once this VM may follow the store itself. */
+  readonly waitUntilFollowing: () => Promise<void>;
+  /**
+   * Age from which the store counts as unreachable while this VM copies the rows of another VM;
+   * infinite if this VM never does so.
+   */
   readonly staleMs: number;
-  /** True while the store is followed from here. */
+  /** Whether this VM follows the store itself. */
   readonly isFollowing: () => boolean;
-  /** How long the next call is put off after changes, which come in bursts. */
+  /** Delay of the next call after a change, since changes come in bursts. */
   readonly burstPauseMs: number;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
-  /** Takes rows that changed, in the order of their versions. */
-  readonly handleRows: (rows: readonly SharedRow[], info: RowsInfo) => void;
-  /** Takes each answer of the store: it also tells of changes in other tables. */
+  /** Handles changed rows, ordered by version. */
+  readonly handleRows: (rows: readonly SharedRow[], origin: RowsOrigin) => void;
+  /** Handles each response of the store, which also names changes in other tables. */
   readonly handleAnswer?: (answer: RowChanges, asOfMs: number) => void;
-  /** Called when the store came back from a copy, after its rows were taken. */
+  /** Called after the rows of a store that was restored from a backup were applied. */
   readonly handleRestored?: () => void;
-  /** Called when an outage begins here. */
-  readonly handleLost?: () => void;
-  /** Called when more is known, or the same of a later moment. */
-  readonly handleAdvance?: () => void;
+  /** Called when this VM's calls to the store begin to fail. */
+  readonly handleOutageStart?: () => void;
+  /** Called when rows changed or were confirmed as of a later time. */
+  readonly handleUpdate?: () => void;
 }
 
-/** Keeps up with a table. */
+/** Follows the changes of a table. */
 export interface RowFollower {
   start(): void;
   stop(): void;
-  /** Version up to which no change is missing here; 0 before the first read. */
+  /** Version up to which the local rows are complete; 0 before the first read. */
   readVersion(): number;
-  /** Rows that changed after the version; null if that is not known any more. */
+  /** Lists the rows that changed after a version; null if the local history is too short. */
   listChanges(afterVersion: number): RowChanges | null;
-  /** Takes changes that another VM knows of; `afterVersion` is the version that they follow. */
+  /** Merges changes from another VM; `afterVersion` is the version that they follow. */
   mergeChanges(changes: RowChanges, afterVersion: number): void;
-  /** Takes what another VM holds; `asOfMs` is the monotonic time of which it is told. */
+  /** Merges a table statement of another VM, which holds as of the monotonic time `asOfMs`. */
   mergeStatement(statement: TableStatement, asOfMs: number): void;
-  /** Tells another VM what it lacks. */
+  /** Builds the statement for a VM whose rows are complete up to `afterVersion`. */
   buildStatement(afterVersion: number): TableStatement;
   isStoreReachable(): boolean;
-  /** Takes the store's answer for another table: gives a call up that should have been answered. */
+  /**
+   * Compares this table with the store's response for another table. Aborts the waiting call if
+   * the response shows a change that the call should have returned.
+   */
   checkAnswer(answer: RowChanges, asOfMs: number): void;
-  /** Gives up the call that waits, as if it had failed. */
-  dropCall(reason: string): void;
-  /** Asks the store once, without waiting for changes; false if it does not answer. */
+  /** Aborts the waiting call, which then counts as failed. */
+  abortCall(reason: string): void;
+  /** Reads from the store once, without a long poll; false if the store does not answer. */
   readOnce(): Promise<boolean>;
-  /** How long ago the store surely had no newer change, in milliseconds; infinite at the start. */
+  /** Upper bound on the age of the local rows, in milliseconds; infinite before the first read. */
   readAgeMs(): number;
 }
--- a/src/application/rows/types/Statements.ts
+++ b/src/application/rows/types/Statements.ts
@@ -1,38 +1,38 @@
 import type { SharedRow } from '../../ports';
 
-/** What one VM holds of a table, without a gap, and how old that knowledge is. */
+/** A VM's gap-free rows or changes of a table, with their age. */
 export interface TableStatement {
   readonly table: string;
-  /** The rows are those that changed after this version; 0 if they are all rows. */
+  /** The rows are the changes after this version; 0: the rows are the whole table. */
   readonly after: number;
-  /** Version up to which no change is missing. */
+  /** Version up to which the rows are complete. */
   readonly version: number;
   readonly rows: readonly SharedRow[];
-  /** How long ago the store had no newer change, in milliseconds. */
+  /** Time since the store had no newer change, in milliseconds. */
   readonly ageMs: number;
-  /** How long before then the newest outage of the store ended, in milliseconds, or null. */
+  /** Time from the end of the store's newest outage until then, in milliseconds, or null. */
   readonly outageEndedAgoMs: number | null;
 }
 
-/** What a VM holds of a table when it asks another one for more. */
+/** Version and age of the rows that the requesting VM already holds. */
 export interface HeldTable {
   readonly table: string;
   readonly version: number;
   readonly ageMs: number;
 }
 
-/** Asks a VM for what it holds beyond this. */
+/** Request for the changes that another VM holds beyond the held versions. */
 export interface StatementsRequest {
   readonly held: readonly HeldTable[];
-  /** How long the answer may be held back until there is more to tell, in milliseconds. */
+  /** How long the response may wait for newer rows, in milliseconds. */
   readonly waitMs: number;
 }
 
-/** A VM's answer. */
-export interface Statements {
-  /** How long it was held back, in milliseconds. */
+/** Response to a `StatementsRequest`. */
+export interface StatementsResponse {
+  /** How long the response waited at the responding VM, in milliseconds. */
   readonly heldMs: number;
-  /** The VM's own calls to the store fail. */
+  /** Whether the responding VM's own calls to the store fail. */
   readonly isCutOff: boolean;
   readonly tables: readonly TableStatement[];
 }
