--- a/src/application/gossip/_lib/computeOutcomesDigest/index.ts
+++ b/src/application/gossip/_lib/computeOutcomesDigest/index.ts
@@ -1,7 +1,7 @@
 import type { SharedOutcome } from '../../../../domain/forwarding';
 import { computeNameId } from '../../../../domain/membership';
 
-/** Computes a digest that does not depend on the order of outcomes, nor on their age. */
+/** Computes a digest that depends neither on the order nor on the age of the outcomes. */
 export const computeOutcomesDigest = (outcomes: readonly SharedOutcome[]): number =>
   outcomes.reduce(
     (digest, { fingerprint, hasCrashed, server }) =>
--- a/src/application/gossip/_lib/createMemberList/index.ts
+++ b/src/application/gossip/_lib/createMemberList/index.ts
@@ -2,40 +2,41 @@
 import type { Clock } from '../../../ports';
 import type { Knowledge, Member } from '../../types';
 
-/** What a member list needs. */
+/** Dependencies of a member list. */
 export interface MemberListDependencies {
-  /** Name of this VM, which is no member. */
+  /** Name of this VM, which is not listed as a member. */
   readonly self: string;
   readonly clock: Clock;
 }
 
-/** The other VMs that were heard of lately. */
+/** The other VMs heard of recently. */
 export interface MemberList {
-  /** Takes news of a VM; older ones than those held change nothing. True: it was not known. */
+  /** Records a VM, unless newer news of it is held; true if the VM was not known. */
   record(member: Member): boolean;
-  /** Takes the ages that another VM has of those known here. */
+  /** Merges the ages that another VM reports for known VMs. */
   recordHeard(heard: Knowledge['heard']): void;
-  /** Ages of those heard of lately, by the id of their name. */
+  /** Lists the ages of the VMs heard of recently, by the id of their name. */
   listHeard(): Knowledge['heard'];
-  /** Those heard of lately that are not among these. */
+  /** Lists the VMs heard of recently that are missing in `heard`. */
   listMissing(heard: Knowledge['heard']): readonly Member[];
-  /** Takes whether a VM answered a call. */
+  /** Records whether a VM answered a call. */
   recordCall(vm: string, call: { readonly hasAnswered: boolean }): void;
-  /** Those heard of lately, with the present age of the news. */
+  /** Lists the VMs heard of recently, with the current age of the news. */
   listLive(): readonly Member[];
-  /** Those to exchange news with: all of a small fleet, some of a large one, always the same. */
+  /** Lists the VMs to exchange news with: all of a small fleet, a stable few of a large one. */
   listPartners(): readonly Member[];
-  /** True: news must be passed on, as each VM tells some others only. */
-  isLarge(): boolean;
+  /** Whether news must be relayed, because each VM sends it to some of the others only. */
+  needsRelay(): boolean;
 }
 
 /**
- * A VM that was not heard of for this long is drawn and counted no more. Twice the time that news of
- * one of 200 VMs takes to reach all others: VMs that count too few of them share out too many repeats.
+ * A VM not heard of for this long is neither chosen nor counted. Twice the time that news of one of
+ * 200 VMs takes to reach all others: a VM that counts too few others takes too large a share of the
+ * retries.
  */
-const MEMBER_AGE_MS = 12_000;
+const MEMBER_TIMEOUT_MS = 12_000;
 
-/** A partner that failed is left out for this long. */
+/** A partner that failed is skipped for this long. */
 const PARTNER_BACKOFF_MS = 8000;
 
 interface Known {
@@ -44,14 +45,14 @@
   readonly heardAtMs: number;
 }
 
-/** Creates the list of the other VMs; it is empty. */
+/** Creates an empty member list. */
 export const createMemberList = ({ clock, self }: MemberListDependencies): MemberList => {
   const known = new Map<string, Known>();
   const vmOfNameId = new Map<number, string>();
   const failedAtMs = new Map<string, number>();
 
   const listKnownLive = (): readonly Known[] => {
-    const sinceMs = clock.readMonotonicMs() - MEMBER_AGE_MS;
+    const sinceMs = clock.readMonotonicMs() - MEMBER_TIMEOUT_MS;
     return [...known.values()].filter(({ heardAtMs }) => heardAtMs >= sinceMs);
   };
 
@@ -99,6 +100,6 @@
       const chosen = new Set(choosePartners(self, candidates, options));
       return live.filter(({ vm }) => chosen.has(vm));
     },
-    isLarge: () => listLive().length >= FULL_MESH_VMS,
+    needsRelay: () => listLive().length >= FULL_MESH_VMS,
   };
 };
--- a/src/application/gossip/createGossip/index.ts
+++ b/src/application/gossip/createGossip/index.ts
@@ -4,54 +4,54 @@
 import { startLoop } from '../../time';
 import { computeOutcomesDigest } from '../_lib/computeOutcomesDigest';
 import { createMemberList } from '../_lib/createMemberList';
-import { createNewsGatherer, NO_NEWS, type News } from '../_lib/createNewsGatherer';
-import { drawSome } from '../_lib/drawSome';
+import { createNewsBatcher, NO_NEWS, type News } from '../_lib/createNewsBatcher';
+import { drawSample } from '../_lib/drawSample';
 import { listTableChanges } from '../_lib/listTableChanges';
-import { recordJoined } from '../_lib/recordJoined';
+import { logJoinedMembers } from '../_lib/logJoinedMembers';
 import type { GossipDependencies, Knowledge, Member } from '../types';
 
-/** Passes on what this VM knows, and learns what others know. */
+/** Gossip with the other VMs of the deployment. */
 export interface Gossip {
   start(): void;
   stop(): void;
-  /** Takes other addresses to begin with. */
+  /** Replaces the seed addresses. */
   applySeeds(addresses: readonly string[]): void;
-  /** Answers another VM. */
+  /** Merges a message of another VM and builds the response. */
   handleKnowledge(knowledge: Knowledge): Knowledge;
-  /** Tells others of a server that failed here. */
+  /** Sends the suspicion of a server that failed at this VM. */
   sendSuspicion(server: string, cause: string): void;
-  /** Tells others of a server without an entry. */
+  /** Sends a server that was found without an entry. */
   sendInferred(server: ServerEntry): void;
-  /** Tells others how a server fared under a request. */
+  /** Sends whether a server crashed or answered while it ran a suspected request. */
   sendOutcome(outcome: SharedOutcome): void;
-  /** Tells others of a verdict on a roll-out. */
+  /** Sends a verdict on a roll-out. */
   sendVerdict(verdict: RolloutVerdict): void;
-  /** Tells others of a server's rate limit. */
+  /** Sends the rate limit of a server. */
   sendLimit(limit: SharedLimit): void;
-  /** Other VMs heard lately. */
+  /** Lists the other VMs heard of recently. */
   listMembers(): readonly Member[];
-  /** VMs heard lately, this one included. */
+  /** Counts the VMs heard of recently, including this one. */
   countVms(): number;
-  /** Addresses of some other VMs heard lately, drawn at random. */
+  /** Draws the addresses of some other VMs heard of recently at random. */
   drawAddresses(count: number): readonly string[];
 }
 
 /**
- * Time between two exchanges with a VM drawn at random. Each VM follows the store itself: what it
- * learns from others it needs only once it can't.
+ * Interval between exchanges with a random VM. The rows come from the store; those learned by
+ * gossip are needed only while the store does not answer this VM.
  */
-const EXCHANGE_MS = 1500;
+const EXCHANGE_INTERVAL_MS = 1500;
 
-/** The same while the store does not answer: a change is in force within a second or two. */
-const EXCHANGE_IN_OUTAGE_MS = 300;
+/** The same while the store does not answer, so that a change arrives within a second or two. */
+const EXCHANGE_INTERVAL_IN_OUTAGE_MS = 300;
 
-/** VMs that one answer tells of at most, of those that the other does not know: 50 bytes each. */
-const MAX_TOLD_MEMBERS = 400;
+/** Most members listed in one response, of those that the other VM lacks; 50 bytes each. */
+const MAX_MEMBERS_PER_MESSAGE = 400;
 
-/** A seed is asked with this chance in each exchange, so that two halves find each other again. */
-const SEED_CHANCE = 0.15;
+/** Probability that an exchange goes to a seed, so that a partitioned fleet rejoins. */
+const SEED_PROBABILITY = 0.15;
 
-/** Creates the gossip of this VM. */
+/** Creates the gossip participant of this VM. */
 export const createGossip = (dependencies: GossipDependencies): Gossip => {
   const {
     calls,
@@ -68,14 +68,17 @@
   } = dependencies;
   let { seedAddresses } = dependencies;
   const members = createMemberList({ self: self.vm, clock });
-  /** By member: versions that it had when it was last heard. */
-  const versionsOf = new Map<string, ReadonlyMap<string, number>>();
+  /** Table versions in the last message of each VM. */
+  const versionsByVm = new Map<string, ReadonlyMap<string, number>>();
   let isStopped = false;
   let stopLoop = (): void => undefined;
 
   const isCutOff = (): boolean => [...followers.values()].some((one) => !one.isStoreReachable());
 
-  /** Who names no version is given no rows: they come from the store, and would come twice. */
+  /**
+   * Lists the versions of the tables that this VM cannot read from the store. For other tables no
+   * version is sent, so that no rows are returned: they already come from the store.
+   */
   const listVersions = (): Knowledge['versions'] =>
     new Map(
       [...followers]
@@ -85,7 +88,7 @@
 
   const buildKnowledge = (
     versions: ReadonlyMap<string, number> | undefined,
-    told: News,
+    news: News,
   ): Knowledge => ({
     sender: { ...self, ageMs: 0 },
     isMembersAsked: false,
@@ -93,78 +96,80 @@
     versions: listVersions(),
     changes: listTableChanges(followers, versions),
     outcomesDigest: computeOutcomesDigest(outcomes.listOutcomes()),
-    ...told,
+    ...news,
     verdicts: verdicts.listVerdicts(),
     limits: limits.listLimits(),
   });
 
-  let tell: (gathered: News) => void = () => undefined;
-  const gatherer = createNewsGatherer({ clock, tell: (gathered) => tell(gathered) });
+  let sendToPartners: (batch: News) => void = () => undefined;
+  const batcher = createNewsBatcher({ clock, sendNews: (batch) => sendToPartners(batch) });
 
-  const mergeKnowledge = (taken: Knowledge): void => {
-    const joined = [taken.sender, ...taken.members].filter((member) => members.record(member));
-    members.recordHeard(taken.heard);
-    recordJoined(log, taken.sender.vm, joined);
-    versionsOf.set(taken.sender.vm, taken.versions);
-    taken.changes.forEach(({ after, rows, table, version }) =>
+  const mergeKnowledge = (received: Knowledge): void => {
+    const joined = [received.sender, ...received.members].filter((member) =>
+      members.record(member),
+    );
+    members.recordHeard(received.heard);
+    logJoinedMembers(log, received.sender.vm, joined);
+    versionsByVm.set(received.sender.vm, received.versions);
+    received.changes.forEach(({ after, rows, table, version }) =>
       followers.get(table)?.mergeChanges({ rows, version }, after),
     );
-    taken.suspicions.forEach(handleSuspicion);
-    taken.inferred.forEach(handleInferred);
-    // Where all VMs are told at once, nobody needs to pass it on.
-    const fresh = taken.outcomes.filter(outcomes.mergeOutcome);
-    const changed = taken.verdicts.filter(verdicts.mergeVerdict);
-    const limited = taken.limits.filter(limits.mergeLimit);
-    if (members.isLarge()) {
-      gatherer.gather({
-        ...taken,
+    received.suspicions.forEach(handleSuspicion);
+    received.inferred.forEach(handleInferred);
+    // In a small fleet the sender reaches all VMs itself, so that nothing is relayed.
+    const newOutcomes = received.outcomes.filter(outcomes.mergeOutcome);
+    const newVerdicts = received.verdicts.filter(verdicts.mergeVerdict);
+    const newLimits = received.limits.filter(limits.mergeLimit);
+    if (members.needsRelay()) {
+      batcher.addNews({
+        ...received,
         members: joined,
-        outcomes: fresh,
-        verdicts: changed,
-        limits: limited,
+        outcomes: newOutcomes,
+        verdicts: newVerdicts,
+        limits: newLimits,
       });
-    } else gatherer.recordPassed({ ...taken, members: [] });
+    } else batcher.recordRelayed({ ...received, members: [] });
   };
 
-  const askMembers = (knowledge: Knowledge): Knowledge => ({
+  const requestMembers = (knowledge: Knowledge): Knowledge => ({
     ...knowledge,
     isMembersAsked: true,
     heard: members.listHeard(),
   });
 
-  const exchange = async (address: string, vm: string | null, told: News): Promise<void> => {
-    const versions = vm === null ? undefined : versionsOf.get(vm);
-    const knowledge = buildKnowledge(versions, told);
-    // News of servers comes by the dozen when an availability zone is lost.
-    const news = [told.suspicions, told.inferred, told.outcomes, told.verdicts, told.limits];
-    const sent = news.some((some) => some.length > 0) ? knowledge : askMembers(knowledge);
-    const taken = await calls.exchangeKnowledge(address, sent);
-    if (vm !== null) members.recordCall(vm, { hasAnswered: taken !== null });
-    if (taken && !isStopped) mergeKnowledge(taken);
+  const exchange = async (address: string, vm: string | null, news: News): Promise<void> => {
+    const versions = vm === null ? undefined : versionsByVm.get(vm);
+    const knowledge = buildKnowledge(versions, news);
+    // News of servers comes by the dozen when a zone fails: such messages do not request members.
+    const lists = [news.suspicions, news.inferred, news.outcomes, news.verdicts, news.limits];
+    const sent = lists.some((list) => list.length > 0) ? knowledge : requestMembers(knowledge);
+    const received = await calls.exchangeKnowledge(address, sent);
+    if (vm !== null) members.recordCall(vm, { hasAnswered: received !== null });
+    if (received && !isStopped) mergeKnowledge(received);
   };
 
-  tell = (gathered: News): void => {
+  sendToPartners = (batch: News): void => {
     members.listPartners().forEach(({ address, vm }) => {
-      exchange(address, vm, gathered);
+      exchange(address, vm, batch);
     });
   };
 
   const exchangeOnce = async (): Promise<void> => {
-    // One that is cut off asks any: its partners may be cut off as well.
-    const [drawn] = drawSome(
+    // A VM that is cut off from the store asks any VM: its partners may be cut off as well.
+    const [drawn] = drawSample(
       isCutOff() ? members.listLive() : members.listPartners(),
       1,
       randomness,
     );
     const seeds = seedAddresses.filter((address) => address !== self.address);
-    const [seed] = drawSome(seeds, 1, randomness);
-    const wantsSeed = drawn === undefined || randomness.readFraction() < SEED_CHANCE;
-    if (seed !== undefined && wantsSeed) await exchange(seed, null, NO_NEWS);
+    const [seed] = drawSample(seeds, 1, randomness);
+    const isSeedChosen = drawn === undefined || randomness.readFraction() < SEED_PROBABILITY;
+    if (seed !== undefined && isSeedChosen) await exchange(seed, null, NO_NEWS);
     else if (drawn) await exchange(drawn.address, drawn.vm, NO_NEWS);
   };
 
   const computeDelayMs = (): number => {
-    const baseMs = isCutOff() ? EXCHANGE_IN_OUTAGE_MS : EXCHANGE_MS;
+    const baseMs = isCutOff() ? EXCHANGE_INTERVAL_IN_OUTAGE_MS : EXCHANGE_INTERVAL_MS;
     return baseMs * (0.75 + randomness.readFraction() / 2);
   };
 
@@ -183,26 +188,28 @@
           return computeDelayMs();
         },
         handleFailure: (reason) => {
-          log.error('exchange failed unexpectedly', { reason });
+          log.error('gossip exchange failed unexpectedly', { reason });
           return computeDelayMs();
         },
       });
     },
     stop: () => {
       isStopped = true;
-      gatherer.stop();
+      batcher.stop();
       stopLoop();
     },
     applySeeds: (addresses) => {
       seedAddresses = addresses;
     },
-    handleKnowledge: (taken) => {
-      mergeKnowledge(taken);
-      if (!taken.isMembersAsked) return buildKnowledge(taken.versions, NO_NEWS);
-      const missing = members.listMissing(taken.heard).filter(({ vm }) => vm !== taken.sender.vm);
-      const told = drawSome(missing, MAX_TOLD_MEMBERS, randomness);
-      const answer = buildKnowledge(taken.versions, { ...NO_NEWS, members: told });
-      const isSame = answer.outcomesDigest === taken.outcomesDigest;
+    handleKnowledge: (received) => {
+      mergeKnowledge(received);
+      if (!received.isMembersAsked) return buildKnowledge(received.versions, NO_NEWS);
+      const missing = members
+        .listMissing(received.heard)
+        .filter(({ vm }) => vm !== received.sender.vm);
+      const listed = drawSample(missing, MAX_MEMBERS_PER_MESSAGE, randomness);
+      const answer = buildKnowledge(received.versions, { ...NO_NEWS, members: listed });
+      const isSame = answer.outcomesDigest === received.outcomesDigest;
       return {
         ...answer,
         heard: members.listHeard(),
@@ -210,14 +217,14 @@
       };
     },
     sendSuspicion: (server, cause) => {
-      gatherer.gather({ ...NO_NEWS, suspicions: [{ server, cause, ageMs: 0 }] });
+      batcher.addNews({ ...NO_NEWS, suspicions: [{ server, cause, ageMs: 0 }] });
     },
-    sendInferred: (server) => gatherer.gather({ ...NO_NEWS, inferred: [server] }),
-    sendOutcome: (outcome) => gatherer.gather({ ...NO_NEWS, outcomes: [outcome] }),
-    sendVerdict: (verdict) => gatherer.gather({ ...NO_NEWS, verdicts: [verdict] }),
-    sendLimit: (limit) => gatherer.gather({ ...NO_NEWS, limits: [limit] }),
+    sendInferred: (server) => batcher.addNews({ ...NO_NEWS, inferred: [server] }),
+    sendOutcome: (outcome) => batcher.addNews({ ...NO_NEWS, outcomes: [outcome] }),
+    sendVerdict: (verdict) => batcher.addNews({ ...NO_NEWS, verdicts: [verdict] }),
+    sendLimit: (limit) => batcher.addNews({ ...NO_NEWS, limits: [limit] }),
     drawAddresses: (count) =>
-      drawSome(members.listLive(), count, randomness).map(({ address }) => address),
+      drawSample(members.listLive(), count, randomness).map(({ address }) => address),
     listMembers: members.listLive,
     countVms: () => members.listLive().length + 1,
   };
--- a/src/application/gossip/createGossip/test.ts
+++ b/src/application/gossip/createGossip/test.ts
@@ -12,7 +12,7 @@
 
 const NAMES = ['a', 'b', 'c', 'd', 'e'];
 
-test('VMs that know one seed learn of all others', async (t) => {
+test('VMs that know one seed discover all others', async (t) => {
   const { clock, gossips, stop } = createGossipFleet(NAMES, {});
   gossips.forEach((gossip) => gossip.start());
   await clock.advanceAsync(6000);
@@ -20,10 +20,9 @@
   stop();
 });
 
-// Symptom: a VM goes on with an old configuration, or with a key that was taken away.
-// Sequence: the store turns this VM away and serves the others; the configuration changes.
-// Cause: rows come from the store only.
-test('a VM that the store turns away gets the rows of the others within a second or two', async (t) => {
+// Guards against a VM that keeps an old configuration or a revoked key: the store refuses this VM
+// and serves the others while the configuration changes, and rows come from the store only.
+test('a VM that the store refuses gets the rows of other VMs within two seconds', async (t) => {
   const { clock, followers, gossips, stop } = createGossipFleet(NAMES, { a: [buildRow('x', 7)] });
   gossips.forEach((gossip) => gossip.start());
   await clock.advanceAsync(2000);
@@ -31,7 +30,7 @@
   stop();
 });
 
-test('a suspicion is told to all VMs at once', async (t) => {
+test('a suspicion reaches all VMs within 100 ms', async (t) => {
   const { clock, gossips, stop, suspicions } = createGossipFleet(NAMES, {});
   gossips.forEach((gossip) => gossip.start());
   await clock.advanceAsync(6000);
@@ -41,10 +40,9 @@
   stop();
 });
 
-// Symptom: a VM counts VMs that are long gone, and uses too small a part of the repeats.
-// Sequence: a VM is cut off, or removed for good.
-// Cause: whoever was heard once counts for ever.
-test('a VM that is not heard any more is not counted, and is counted again when it is back', async (t) => {
+// Guards against a VM that counts VMs long gone and so uses too small a share of the retries: a VM
+// is cut off or removed for good, and whoever was heard of once counts forever.
+test('a VM not heard of any more is not counted until it returns', async (t) => {
   const { clock, cut, gossips, stop } = createGossipFleet(NAMES, {});
   gossips.forEach((gossip) => gossip.start());
   await clock.advanceAsync(6000);
@@ -57,7 +55,7 @@
   stop();
 });
 
-test('while nothing happens a VM makes less than one call a second', async (t) => {
+test('an idle VM makes less than one call a second', async (t) => {
   const { clock, countCalls, gossips, stop } = createGossipFleet(NAMES, {
     a: [buildRow('x', 1)],
     b: [buildRow('x', 1)],
@@ -79,15 +77,15 @@
     (_, index) => `vm-${String(index).padStart(count > 100 ? 3 : 2, '0')}`,
   );
 
-/** All VMs with the same rows, read from the store. */
+/** Gives all VMs the same rows, as if read from the store. */
 const buildReachable = (names: readonly string[]): Record<string, SharedRow[]> =>
   Object.fromEntries(names.map((vm) => [vm, [buildRow('x', 1)]]));
 
-// Symptom: with 60 VMs every day was given up as too slow; processes spent their time on messages.
-// Sequence: an availability zone is lost, and each VM finds its 27 servers silent within 0.2 s.
-// Cause: what was told already was told again at each hop, with all rows that had changed.
-// Before: 67 messages a VM where each one had heard of 6 to 40 others; now 10, and all are heard of.
-test('the loss of a zone that every VM notices costs few messages, and reaches all', async (t) => {
+// Guards against message storms: an availability zone fails, and each of 60 VMs finds its 27
+// servers silent within 0.2 s. Known news was sent again at each hop, with all changed rows: 67
+// messages a VM, where each VM had heard of 6 to 40 others, in place of 10 with all heard of. The
+// processes spent their time on messages, and simulated days of 60 VMs were aborted as too slow.
+test('the loss of a zone that every VM notices costs few messages and reaches all', async (t) => {
   const names = buildNames(60);
   const { clock, countCalls, gossips, stop, suspicions } = createGossipFleet(
     names,
@@ -113,9 +111,9 @@
   stop();
 });
 
-// Symptom: VMs that count too few of one another share out more repeats than they may send together.
-// Sequence: 60 VMs, each in touch with a few of them.
-// Cause: news of the others is older than what still counts when it arrives: one VM counted 6 of 60.
+// Guards against VMs that count too few others and together send more retries than allowed: each of
+// 60 VMs exchanges news with a few others, and news of the rest arrived when it was already too old
+// to count. One VM counted 6 of 60.
 test('60 VMs count one another', async (t) => {
   const names = buildNames(60);
   const { clock, gossips, stop } = createGossipFleet(names, buildReachable(names));
@@ -126,11 +124,10 @@
   stop();
 });
 
-// Symptom: VMs of a large fleet share out twice the repeats that they may send together, and do not
-// agree on who keeps a server's places.
-// Sequence: 195 VMs run for half a minute.
-// Cause: each message named 64 members, drawn at random, in full; news of most VMs was older than what
-// still counts when it arrived. Before: the median VM counted 98 of 195, the one that counted least 36.
+// Guards against the same in a large fleet, where the VMs together send twice the retries allowed
+// and do not agree on who manages a server's slots. Each message named 64 random members in full,
+// and news of most VMs arrived when it was too old to count: the median VM counted 98 of 195, the
+// lowest count was 36.
 test('195 VMs count one another', async (t) => {
   const names = buildNames(195);
   const { clock, gossips, stop } = createGossipFleet(names, buildReachable(names));
@@ -143,10 +140,9 @@
   stop();
 });
 
-// Symptom: VMs that join are counted late, and the others go on to send their part of the repeats.
-// Sequence: 28 VMs, three quarters of the spare ones, join 195 at once.
-// Cause: only the VMs at the seed addresses hear of them at first. Before: half of the others knew of
-// 5 of the 28 after three seconds.
+// Guards against VMs that are counted late after joining, while the others still send their share
+// of the retries: 28 VMs, three quarters of the spare ones, join 195 at once. At first only the VMs
+// at the seed addresses hear of them; half of the others knew 5 of the 28 after three seconds.
 test('VMs that join a large fleet are counted by all within three seconds', async (t) => {
   const names = buildNames(195);
   const { addVm, clock, gossips, stop } = createGossipFleet(names, buildReachable(names));
@@ -166,7 +162,7 @@
   stop();
 });
 
-test('a server without an entry that one of 60 VMs met is known to three quarters within half a second', async (t) => {
+test('a server without an entry found by one of 60 VMs reaches three quarters in 0.5 s', async (t) => {
   const names = buildNames(60);
   const { clock, gossips, inferred, stop } = createGossipFleet(names, buildReachable(names));
   gossips.forEach((gossip) => gossip.start());
--- a/src/application/gossip/types/GossipDependencies.ts
+++ b/src/application/gossip/types/GossipDependencies.ts
@@ -2,27 +2,27 @@
 import type { PassedLimits } from '../../limits';
 import type { Clock, EventLog, Randomness } from '../../ports';
 import type { PassedVerdicts } from '../../rollouts';
-import type { GossipCalls, Member, PassedOutcomes, PassedRows, SharedSuspicion } from '.';
+import type { GossipCalls, Member, RelayedOutcomes, RelayedRows, SharedSuspicion } from '.';
 
-/** What gossip needs. */
+/** Dependencies of gossip. */
 export interface GossipDependencies {
   readonly self: Omit<Member, 'ageMs'>;
-  /** Peer addresses to begin with; some may be stale. */
+  /** Seed addresses for the first exchanges; some may be stale. */
   readonly seedAddresses: readonly string[];
   readonly calls: GossipCalls;
-  /** Followers whose rows are passed on, by table. */
-  readonly followers: ReadonlyMap<string, PassedRows>;
-  /** What is known of requests that end their servers. */
-  readonly outcomes: PassedOutcomes;
-  /** What is known of roll-outs. */
+  /** Followers whose rows are relayed, by table. */
+  readonly followers: ReadonlyMap<string, RelayedRows>;
+  /** Outcomes of requests suspected of crashing servers. */
+  readonly outcomes: RelayedOutcomes;
+  /** Verdicts on roll-outs. */
   readonly verdicts: PassedVerdicts;
-  /** What is known of servers' rate limits. */
+  /** Rate limits of servers. */
   readonly limits: PassedLimits;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
-  /** Takes a suspicion that another VM has. */
+  /** Handles a suspicion of another VM. */
   readonly handleSuspicion: (suspicion: SharedSuspicion) => void;
-  /** Takes a server without an entry that another VM met. */
+  /** Handles a server without an entry that another VM found. */
   readonly handleInferred: (server: ServerEntry) => void;
 }
--- a/src/application/gossip/types/index.ts
+++ b/src/application/gossip/types/index.ts
@@ -6,7 +6,7 @@
 
 export type { GossipDependencies } from './GossipDependencies';
 
-/** A VM as others know it. */
+/** A VM as other VMs know it. */
 export interface Member {
   readonly vm: string;
   /** IP:PORT of its peer address. */
@@ -14,7 +14,7 @@
   readonly availabilityZone: string;
   /** Processor share; 0 if it is not known. */
   readonly cores: number;
-  /** How long ago it was heard, in milliseconds. */
+  /** Time since the VM was last heard of, in milliseconds. */
   readonly ageMs: number;
 }
 
@@ -26,53 +26,56 @@
   readonly rows: readonly SharedRow[];
 }
 
-/** A server that failed somewhere. */
+/** A backend server that failed at some VM. */
 export interface SharedSuspicion {
   readonly server: string;
   readonly cause: string;
   readonly ageMs: number;
 }
 
-/** What one VM tells another. */
+/** Gossip message from one VM to another. */
 export interface Knowledge {
   readonly sender: Member;
-  /** VMs that the receiver may not know. */
+  /** VMs that the receiver may not know yet. */
   readonly members: readonly Member[];
-  /** Whether the receiver tells in turn which VMs it has heard of; it costs most of a message. */
+  /** Whether the response should list the VMs heard of, which are most of a message's bytes. */
   readonly isMembersAsked: boolean;
-  /** VMs heard of lately, in messages that ask for them and their answers: age in milliseconds, by the id of their name (`computeNameId`). */
+  /**
+   * VMs heard of recently: age in milliseconds by the id of the name (`computeNameId`). Only in
+   * requests with `isMembersAsked` and their responses.
+   */
   readonly heard: ReadonlyMap<number, number>;
-  /** By table that the sender can't read itself: the version up to which it misses no change. */
+  /** For each table that the sender cannot read itself: the version up to which it is complete. */
   readonly versions: ReadonlyMap<string, number>;
   readonly changes: readonly TableChanges[];
   readonly suspicions: readonly SharedSuspicion[];
-  /** Servers that were met at the address of one that ended, and have no entry yet. */
+  /** Servers found at the address of a server that ended, without an entry in the table yet. */
   readonly inferred: readonly ServerEntry[];
-  /** Servers that ended, or answered, under requests that are suspected. */
+  /** Whether servers crashed or answered while they ran requests suspected of crashing servers. */
   readonly outcomes: readonly SharedOutcome[];
-  /** Digest of the outcomes that the sender knows: one that knows others tells them. */
+  /** Digest of the outcomes known to the sender; a receiver with other outcomes returns its own. */
   readonly outcomesDigest: number;
-  /** Roll-outs that have come to another state lately. */
+  /** Roll-outs whose state changed recently. */
   readonly verdicts: readonly RolloutVerdict[];
-  /** Rate limits that servers name, and those that ended lately. */
+  /** Rate limits stated by servers, and those lifted recently. */
   readonly limits: readonly SharedLimit[];
 }
 
-/** Calls to other VMs. */
+/** Gossip calls to other VMs. */
 export interface GossipCalls {
-  /** Gives knowledge and takes the other's; null if it does not answer in time. */
+  /** Sends a message and returns the other VM's response; null if it does not answer in time. */
   exchangeKnowledge(address: string, knowledge: Knowledge): Promise<Knowledge | null>;
 }
 
-/** What gossip asks of the history of crashes. */
-export interface PassedOutcomes {
-  /** True if it was news. */
+/** The part of the crash history that gossip uses. */
+export interface RelayedOutcomes {
+  /** Merges an outcome; true if it was not known. */
   mergeOutcome(outcome: SharedOutcome): boolean;
   listOutcomes(): readonly SharedOutcome[];
 }
 
-/** What gossip asks of a follower whose rows it passes on. */
-export type PassedRows = Pick<
+/** The part of a row follower that gossip uses to relay its rows. */
+export type RelayedRows = Pick<
   RowFollower,
   'isStoreReachable' | 'listChanges' | 'mergeChanges' | 'readVersion'
 >;
--- a/src/application/store/_lib/waitForResult/index.ts
+++ b/src/application/store/_lib/waitForResult/index.ts
@@ -2,7 +2,7 @@
 import type { Clock, StoreError } from '../../../ports';
 import { startDeadline } from '../../startDeadline';
 
-/** Waits for an operation's result, or for the deadline; a late result is dropped. */
+/** Waits for the result of an operation or for the deadline; a late result is discarded. */
 export async function waitForResult<T>(
   operation: () => Promise<Result<T, StoreError>>,
   clock: Clock,
--- a/src/application/store/createStoreGuard/index.ts
+++ b/src/application/store/createOperationRunner/index.ts
@@ -13,24 +13,24 @@
 import type { StorePolicy } from '../policies';
 import { waitForResult } from '../_lib/waitForResult';
 
-/** What a guard needs. */
-export interface StoreGuardDependencies {
+/** Dependencies of an operation runner. */
+export interface OperationRunnerDependencies {
   readonly clock: Clock;
   readonly randomness: Randomness;
-  /** Told when the breaker opens and closes. */
+  /** Receives an event when the circuit breaker opens or closes. */
   readonly eventLog?: EventLog;
 }
 
-/** What a lost answer means for an operation. */
+/** How an operation is treated when its response is lost. */
 export interface OperationKind {
-  /** A write whose answer is late is `ambiguous`, a read merely `unavailable`. */
+  /** A write without a response in time fails as `ambiguous`, a read as `unavailable`. */
   readonly write: boolean;
-  /** Whether it can be sent again after a lost answer without harm. */
+  /** Whether the operation is idempotent, so that it is retried after a lost response. */
   readonly repeatable: boolean;
 }
 
-/** Runs operations on one store under one policy. */
-export interface StoreGuard {
+/** Runs operations on one store with deadline, retries and circuit breaker. */
+export interface OperationRunner {
   runOperation<T>(
     operation: () => Promise<Result<T, StoreError>>,
     kind: OperationKind,
@@ -50,28 +50,28 @@
   (result.error.kind === 'unavailable' || (result.error.kind === 'ambiguous' && kind.repeatable));
 
 /**
- * Creates a guard over one store: one deadline over an operation and its retries, jittered backoff,
- * a retry budget, and a circuit breaker that all operations share.
+ * Creates an operation runner for one store: one deadline for an operation and its retries,
+ * jittered backoff, a retry budget, and a circuit breaker shared by all operations.
  */
-export function createStoreGuard(
+export function createOperationRunner(
   name: string,
   policy: StorePolicy,
-  { clock, randomness, eventLog }: StoreGuardDependencies,
-): StoreGuard {
+  { clock, randomness, eventLog }: OperationRunnerDependencies,
+): OperationRunner {
   let breaker: Breaker = CLOSED_BREAKER;
   let budget: RetryBudget = { tokens: policy.budget.maxTokens };
 
   const setBreaker = (next: Breaker): void => {
-    const was = breaker.kind;
+    const previousKind = breaker.kind;
     breaker = next;
-    if (was === 'closed' && next.kind === 'open') {
+    if (previousKind === 'closed' && next.kind === 'open') {
       eventLog?.warn('store circuit opened', { store: name });
     }
-    if (was !== 'closed' && next.kind === 'closed') {
+    if (previousKind !== 'closed' && next.kind === 'closed') {
       eventLog?.info('store circuit closed', { store: name });
     }
   };
-  const takeRetry = (): boolean => {
+  const spendRetry = (): boolean => {
     const next = updateRetryBudget(budget, 'retry', policy.budget);
     if (next !== null) budget = next;
     return next !== null;
@@ -80,38 +80,38 @@
   const runOnce = async <T>(
     operation: () => Promise<Result<T, StoreError>>,
     kind: OperationKind,
-    untilMs: number,
+    deadlineAtMs: number,
   ): Promise<Result<T, StoreError>> => {
-    const leave = checkBreaker(breaker, clock.readMonotonicMs(), policy.breaker.probeTimeoutMs);
-    if (leave.isErr()) {
-      const { retryAfterMs } = leave.error;
-      return err({ kind: 'unavailable', reason: `${name}: circuit open`, retryAfterMs });
+    const admission = checkBreaker(breaker, clock.readMonotonicMs(), policy.breaker.probeTimeoutMs);
+    if (admission.isErr()) {
+      const { retryAfterMs } = admission.error;
+      return err({ kind: 'unavailable', reason: `${name}: circuit breaker open`, retryAfterMs });
     }
-    setBreaker(leave.value.breaker);
-    const remainingMs = untilMs - clock.readMonotonicMs();
+    setBreaker(admission.value.breaker);
+    const remainingMs = deadlineAtMs - clock.readMonotonicMs();
     const result = await waitForResult(operation, clock, remainingMs, kind.write);
-    const end = {
+    const callEnd = {
       failed: isFailure(result),
-      probe: leave.value.probe,
+      probe: admission.value.probe,
       nowMs: clock.readMonotonicMs(),
       fraction: randomness.readFraction(),
     };
-    setBreaker(updateBreaker(breaker, end, policy.breaker));
+    setBreaker(updateBreaker(breaker, callEnd, policy.breaker));
     return result;
   };
 
   return {
     runOperation: async (operation, kind) => {
-      const untilMs = clock.readMonotonicMs() + policy.deadlineMs;
+      const deadlineAtMs = clock.readMonotonicMs() + policy.deadlineMs;
       budget = updateRetryBudget(budget, 'request', policy.budget) ?? budget;
-      let result = await runOnce(operation, kind, untilMs);
+      let result = await runOnce(operation, kind, deadlineAtMs);
       for (let retry = 0; retry < policy.maxRetries && isRetryable(result, kind); retry += 1) {
         const delayMs = computeBackoffMs(retry, randomness.readFraction(), policy.backoff);
-        const inTime = clock.readMonotonicMs() + delayMs < untilMs;
-        if (breaker.kind !== 'closed' || !inTime || !takeRetry()) return result;
+        const isInTime = clock.readMonotonicMs() + delayMs < deadlineAtMs;
+        if (breaker.kind !== 'closed' || !isInTime || !spendRetry()) return result;
         await waitDelay(clock, delayMs);
         if (breaker.kind !== 'closed') return result;
-        result = await runOnce(operation, kind, untilMs);
+        result = await runOnce(operation, kind, deadlineAtMs);
       }
       return result;
     },
--- a/src/application/store/createGuardedTableStore/test.ts
+++ b/src/application/store/createResilientTableStore/test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { createGuardedTableStore, TABLE_POLICY } from '..';
+import { createResilientTableStore, TABLE_POLICY } from '..';
 import {
   createFakeClock,
   createMemoryTableStore,
@@ -9,7 +9,7 @@
 function startStore() {
   const clock = createFakeClock();
   const table = createMemoryTableStore();
-  const store = createGuardedTableStore(table, TABLE_POLICY, {
+  const store = createResilientTableStore(table, TABLE_POLICY, {
     clock,
     randomness: createSeededRandomness(1),
   });
@@ -21,9 +21,9 @@
   return { clock, table, store, write };
 }
 
-test('no operation outlasts its deadline, whatever the outage', async (t) => {
-  // Symptom: requests pile up while the platform is down. Sequence: the table stops answering, or
-  // refuses every call; requests keep coming for a minute. Cause: each one waits and retries.
+test('no operation exceeds its deadline in an outage', async (t) => {
+  // Guards against requests that pile up during an outage: the table stops answering or refuses
+  // every call for a minute, and each request waits and retries.
   for (const outage of ['hang', 'unavailable'] as const) {
     const { clock, table, store, write } = startStore();
     table.setOutage(outage);
@@ -42,7 +42,7 @@
   }
 });
 
-test('an open circuit fails at once and lets one probe through', async (t) => {
+test('an open circuit breaker fails calls at once and lets one probe through', async (t) => {
   const { clock, table, store, write } = startStore();
   table.setOutage('unavailable');
   const down = Array.from({ length: 5 }, write);
@@ -65,9 +65,9 @@
   t.true((await store.readItem('p', 's')).isOk());
 });
 
-test('an ambiguous write is sent once, a refused one again', async (t) => {
-  // Symptom: a conditional write reports a conflict with itself. Sequence: it takes effect, its
-  // answer is lost, the client sends it again. Cause: a lost answer retried as if it had failed.
+test('an ambiguous write is sent once, a refused one is retried', async (t) => {
+  // Guards against a conditional write that conflicts with itself: the write takes effect, its
+  // response is lost, and the client retries as if it had failed.
   const { clock, table, write } = startStore();
   table.loseNextAnswers(1);
   t.is((await write())._unsafeUnwrapErr().kind, 'ambiguous');
@@ -81,11 +81,11 @@
   t.is(table.countWrites(), 3);
 });
 
-test('retries end with their budget', async (t) => {
+test('retries stay within the retry budget', async (t) => {
   const { clock, table, store } = startStore();
   let reads = 0;
   for (let n = 0; n < 400; n += 1) {
-    // Every second read fails, so that the circuit stays closed.
+    // Only every second read fails, so that the circuit breaker stays closed.
     table.setOutage(n % 2 === 0 ? 'unavailable' : 'none');
     const read = store.readItem('p', 's');
     await clock.advanceAsync(200);
--- a/src/application/store/policies.ts
+++ b/src/application/store/policies.ts
@@ -1,8 +1,8 @@
 import type { BackoffPolicy, BreakerPolicy, RetryBudgetPolicy } from '../../domain/retry';
 
-/** How a client of the platform's store repeats calls and gives up. */
+/** Deadline, retries and circuit breaker of a client of the platform's store. */
 export interface StorePolicy {
-  /** Time for an operation with all its retries, milliseconds. */
+  /** Time limit of an operation with all its retries, in milliseconds. */
   readonly deadlineMs: number;
   readonly maxRetries: number;
   readonly backoff: BackoffPolicy;
@@ -11,9 +11,9 @@
 }
 
 /**
- * The table's policy. An operation fits one lost call (300 ms) and a retry. The breaker's longest
- * pause stays well below the 5 s after which a VM that has not read the configuration counts it
- * as old.
+ * Policy of the table store. The deadline leaves time for one lost call (300 ms) and a retry. The
+ * breaker's longest pause stays well below 5 s, the age at which a VM counts its configuration as
+ * stale.
  */
 export const TABLE_POLICY: StorePolicy = {
   deadlineMs: 500,
@@ -27,7 +27,7 @@
   },
 };
 
-/** The object store's policy: answers are larger than rows, and no one waits for their write. */
+/** Policy of the object store: objects are larger than rows, and no one waits for their writes. */
 export const OBJECT_POLICY: StorePolicy = {
   ...TABLE_POLICY,
   deadlineMs: 2000,
--- a/src/application/store/startDeadline/index.ts
+++ b/src/application/store/startDeadline/index.ts
@@ -1,34 +1,34 @@
 import type { Clock } from '../../ports';
 
-/** Lateness from which a timer shows that this process stood still, milliseconds. */
+/** Delay of a timer from which this process counts as stalled, in milliseconds. */
 const STALLED_MS = 50;
 
-/** Time to read what arrived while this process stood still, milliseconds. */
-const GRACE_MS = 50;
+/** Time to read responses that arrived while this process was stalled, in milliseconds. */
+const GRACE_PERIOD_MS = 50;
 
-/** Graces in a row: together they stay below one usual deadline. */
-const MAX_GRACES = 3;
+/** Most grace periods in a row, so that together they stay below a usual deadline. */
+const MAX_GRACE_PERIODS = 3;
 
 /**
- * Calls `onPassed` when the time is up; the returned function cancels it.
+ * Calls `onPassed` when the deadline passes; the returned function cancels the deadline.
  *
- * When the process was paused or its loop blocked, timers run before the sockets are read, and an
- * answer that arrived in time would be taken for lost: after each pause of a VM all its calls to
- * the store would fail, and its circuit open. One notices by the timer's own lateness; a short
- * grace then lets the answers in first.
+ * After the process was paused or its event loop blocked, timers run before the sockets are read. A
+ * response that arrived in time would count as lost: after each pause of a VM all its calls to the
+ * store would fail and open its circuit breaker. A late timer reveals the stall, and a short grace
+ * period lets the responses be read first.
  *
- * @param deadlineMs milliseconds from now
+ * @param deadlineMs - milliseconds from now
  */
 export function startDeadline(clock: Clock, deadlineMs: number, onPassed: () => void): () => void {
   let cancelTimer = (): void => {};
-  const startTimer = (delayMs: number, gracesLeft: number): void => {
+  const startTimer = (delayMs: number, gracePeriodsLeft: number): void => {
     const dueMs = clock.readMonotonicMs() + delayMs;
     cancelTimer = clock.startTimer(delayMs, () => {
       const isStalled = clock.readMonotonicMs() - dueMs >= STALLED_MS;
-      if (isStalled && gracesLeft > 0) startTimer(GRACE_MS, gracesLeft - 1);
+      if (isStalled && gracePeriodsLeft > 0) startTimer(GRACE_PERIOD_MS, gracePeriodsLeft - 1);
       else onPassed();
     });
   };
-  startTimer(deadlineMs, MAX_GRACES);
+  startTimer(deadlineMs, MAX_GRACE_PERIODS);
   return () => cancelTimer();
 }
--- a/src/application/store/startDeadline/test.ts
+++ b/src/application/store/startDeadline/test.ts
@@ -2,8 +2,8 @@
 import { startDeadline } from '..';
 import { createFakeClock } from '../../../../standins/fakes';
 
-/** A clock whose timers fire late, as after a pause of the process. */
-function startLate(firstLagMs: number, laterLagMs: number) {
+/** Starts a deadline on a clock whose timers fire late, as after a pause of the process. */
+function startLateDeadline(firstLagMs: number, laterLagMs: number) {
   const clock = createFakeClock();
   let lagMs = firstLagMs;
   let passed = 0;
@@ -18,23 +18,23 @@
   return { clock, cancel, countPassed: () => passed };
 }
 
-test('a deadline passes at its time, and not once cancelled', (t) => {
-  const { clock, countPassed } = startLate(0, 0);
+test('a deadline passes on time, and not after it was cancelled', (t) => {
+  const { clock, countPassed } = startLateDeadline(0, 0);
   clock.advance(299);
   t.is(countPassed(), 0);
   clock.advance(1);
   t.is(countPassed(), 1);
-  const other = startLate(0, 0);
+  const other = startLateDeadline(0, 0);
   other.cancel();
   other.clock.advance(1000);
   t.is(other.countPassed(), 0);
 });
 
-test('after a pause of the process, answers that arrived meanwhile come first', (t) => {
-  // Symptom: after a pause all calls to the store fail although it answered. Sequence: a call is
-  // sent, the process stands still past the deadline, the answer arrives, the process goes on.
-  // Cause: timers run before the sockets are read.
-  const { clock, cancel, countPassed } = startLate(400, 0);
+test('after a pause of the process, responses that arrived meanwhile are read first', (t) => {
+  // Guards against calls to the store that all fail after a pause although the store answered: a
+  // call is sent, the process is paused past the deadline, the response arrives, and the process
+  // resumes. Timers run before the sockets are read.
+  const { clock, cancel, countPassed } = startLateDeadline(400, 0);
   clock.advance(700);
   t.is(countPassed(), 0);
   cancel();
@@ -42,8 +42,8 @@
   t.is(countPassed(), 0);
 });
 
-test('a process that keeps standing still gives up all the same', (t) => {
-  const { clock, countPassed } = startLate(100, 100);
+test('the deadline also passes in a process that stalls repeatedly', (t) => {
+  const { clock, countPassed } = startLateDeadline(100, 100);
   clock.advance(400 + 3 * 150);
   t.is(countPassed(), 1);
 });
--- a/src/application/time/startLoop/index.ts
+++ b/src/application/time/startLoop/index.ts
@@ -1,22 +1,22 @@
 import type { Clock } from '../../ports';
 
-/** What a loop does. */
+/** Options of a loop. */
 export interface LoopOptions {
   readonly clock: Pick<Clock, 'startTimer'>;
   readonly firstDelayMs: number;
-  /** Does one step; returns how long until the next one, in milliseconds, or null for no other. */
+  /** Runs one step; returns the delay until the next one in milliseconds, or null to end. */
   readonly runStep: () => Promise<number | null>;
-  /** Takes why a step failed unexpectedly; returns as a step does. */
+  /** Handles an unexpected failure of a step; returns the delay or null, as `runStep` does. */
   readonly handleFailure: (reason: string) => number | null;
 }
 
-/** A step that is due at once still lets others run before it. */
+/** Lets other tasks run before a step that is due at once. */
 const MIN_DELAY_MS = 1;
 
 /**
- * Starts to repeat a step, one after the other: the next one is due some time after the last ended.
+ * Starts a loop of steps that never overlap: each delay counts from the end of the previous step.
  *
- * @returns ends the loop; a step that runs goes on to its end
+ * @returns a function that ends the loop; a running step still completes
  */
 export const startLoop = ({
   clock,
--- a/src/application/time/startLoop/test.ts
+++ b/src/application/time/startLoop/test.ts
@@ -2,7 +2,7 @@
 import { createFakeClock } from '../../../../standins/fakes';
 import { startLoop } from '.';
 
-/** A loop whose steps do what the test says. */
+/** Starts a loop whose steps return, or throw, the given values. */
 const setUp = (steps: readonly (number | null | Error)[]) => {
   const clock = createFakeClock();
   const ranAtMs: number[] = [];
@@ -24,21 +24,21 @@
   return { clock, ranAtMs, reasons, stop };
 };
 
-test('each step says when the next one is due, or that there is none', async (t) => {
+test('each step sets the delay until the next one, and null ends the loop', async (t) => {
   const { clock, ranAtMs } = setUp([20, 30, null]);
   await clock.advanceAsync(1000);
   t.deepEqual(ranAtMs, [10, 30, 60]);
   t.is(clock.countTimers(), 0);
 });
 
-test('a step that fails is told, and the loop goes on as its handler says', async (t) => {
+test("a failed step is reported, and the loop goes on after the handler's delay", async (t) => {
   const { clock, ranAtMs, reasons } = setUp([new Error('broken'), null]);
   await clock.advanceAsync(1000);
   t.deepEqual(ranAtMs, [10, 110]);
   t.deepEqual(reasons, ['broken']);
 });
 
-test('nothing runs after the end', async (t) => {
+test('no step runs after the loop was stopped', async (t) => {
   const { clock, ranAtMs, stop } = setUp([20, 30]);
   await clock.advanceAsync(15);
   stop();
--- a/src/application/time/waitDelay/index.ts
+++ b/src/application/time/waitDelay/index.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../../ports';
 
 /**
- * Waits for some time on the given clock.
+ * Waits for a delay on the given clock.
  *
  * @param delayMs - milliseconds
  *
--- a/src/application/time/waitDelay/test.ts
+++ b/src/application/time/waitDelay/test.ts
@@ -2,7 +2,7 @@
 import { createFakeClock } from '../../../../standins/fakes';
 import { waitDelay } from '.';
 
-test('it resolves when the time is over on the given clock, and not before', async (t) => {
+test('waitDelay resolves when the delay has passed on the given clock, and not before', async (t) => {
   const clock = createFakeClock();
   let isOver = false;
   const waiting = waitDelay(clock, 50).then(() => {
