--- a/src/application/configuration/_lib/convertStoreError/index.ts
+++ b/src/application/configuration/_lib/convertStoreError/index.ts
@@ -1,8 +1,11 @@
 import type { StoreError } from '../../../ports';
 import type { ConfigurationStoreError } from '../../types';
 
-/** Converts a failure of a read. */
+/** Converts the error of a read into a configuration store error. */
 export function convertStoreError(error: StoreError): ConfigurationStoreError {
-  const reason = error.kind === 'condition-failed' ? 'a condition failed on a read' : error.reason;
+  const reason =
+    error.kind === 'condition-failed'
+      ? 'the store reported a failed condition for a read'
+      : error.reason;
   return { kind: 'unavailable', reason };
 }
--- a/src/application/configuration/_lib/decodeItem/index.ts
+++ b/src/application/configuration/_lib/decodeItem/index.ts
@@ -3,7 +3,7 @@
 import type { TableItem } from '../../../ports';
 import type { ConfigurationStoreError } from '../../types';
 
-/** Decodes a row of the configuration's partition. */
+/** Decodes an item of the configuration partition. */
 export function decodeItem(item: TableItem): Result<ConfigurationRow, ConfigurationStoreError> {
   return decodeConfigurationRow(Number(item.sort), item.body);
 }
--- a/src/application/configuration/_lib/writeVersionRow/index.ts
+++ b/src/application/configuration/_lib/writeVersionRow/index.ts
@@ -10,22 +10,22 @@
 import { readVersionRow } from '../../readVersionRow';
 import type { ApplyError } from '../../types';
 
-/** What a write needs. */
+/** Dependencies of a write. */
 export interface WriteVersionDependencies {
   readonly table: TableStore;
   readonly clock: Clock;
   readonly randomness: Randomness;
 }
 
-/** How a write of a version's row ended. */
+/** Outcome of writing the row of a version. */
 export type WriteOutcome =
   | { readonly kind: 'written' }
-  /** The version is another's. */
+  /** Another writer holds the version. */
   | { readonly kind: 'taken' };
 
-/** The table takes items of 400 KB with keys and attribute names (limit of DynamoDB). */
+/** Stays below DynamoDB's limit of 400 KB an item, which includes keys and attribute names. */
 const MAX_BODY_BYTES = 390_000;
-/** Attempts to find out what became of the write, for about six seconds. */
+/** Attempts to write and to resolve the outcome; with the pauses they take about six seconds. */
 const MAX_ATTEMPTS = 6;
 const FIRST_PAUSE_MS = 100;
 
@@ -34,14 +34,14 @@
   return waitDelay(deps.clock, pauseMs);
 }
 
-/** Tells by reading back whose the version is; null while that is not known. */
+/** Reads the version back to find out who wrote it; null if that stays unknown. */
 async function readOwner(
   deps: WriteVersionDependencies,
   row: ConfigurationRow,
 ): Promise<WriteOutcome | null> {
   const read = await readVersionRow(deps.table, row.version);
   if (read.isErr()) {
-    // A malformed row under this version is surely not ours.
+    // A malformed row at this version cannot be this writer's.
     return read.error.kind === 'bad-configuration' ? { kind: 'taken' } : null;
   }
   if (read.value === null) {
@@ -51,11 +51,11 @@
 }
 
 /**
- * Writes a version's row if it does not exist.
+ * Writes the row of a version if it does not exist.
  *
- * What goes wrong: the answer to the write is lost after it took effect, so that a repeat finds the
- * row present. The apply id in the row tells our own write from another's. Sending the same row
- * again is harmless, since it takes effect only if the version is still free.
+ * The response can be lost after the write took effect, so that a retry finds the row present. The
+ * apply id in the row distinguishes this writer's row from another's. The retry is idempotent,
+ * since it takes effect only if the version is still free.
  */
 export async function writeVersionRow(
   deps: WriteVersionDependencies,
@@ -90,7 +90,10 @@
         return ok(owner);
       }
     }
-    reason = written.error.kind === 'condition-failed' ? 'cannot read back' : written.error.reason;
+    reason =
+      written.error.kind === 'condition-failed'
+        ? 'the row could not be read back'
+        : written.error.reason;
     await waitPause(deps, attempt);
   }
   const { version, applyId } = row;
--- a/src/application/configuration/applyConfiguration/index.ts
+++ b/src/application/configuration/applyConfiguration/index.ts
@@ -6,10 +6,10 @@
 import { readVersionRow } from '../readVersionRow';
 import type { ApplyError, ApplyRequest } from '../types';
 
-/** Bytes of an apply id: enough that two never meet. */
+/** Size of a random apply id, large enough that ids do not collide. */
 const APPLY_ID_BYTES = 16;
 
-/** Tells an operator what others changed since the version that he has seen. */
+/** Builds the conflict error, which lists the changes since the version that the operator saw. */
 async function buildConflict(
   table: TableStore,
   expectedVersion: number,
@@ -22,13 +22,13 @@
 }
 
 /**
- * Puts a whole configuration into force as the version after the expected one.
+ * Applies a whole configuration as the version after the expected one.
  *
- * The version is accepted at the moment its row exists; there is no second step that a crash could
- * leave undone. Of two operators who expect the same version, one creates the row; the other gets
- * `conflict` with the first one's changes, and has written nothing.
+ * The version is accepted once its row exists; there is no second step that a crash could leave
+ * undone. Of two operators who expect the same version, one creates the row. The other gets
+ * `conflict` with the first one's changes and has written nothing.
  *
- * @returns the accepted row, or why nothing (or, for `unknown`, perhaps something) was written
+ * @returns the accepted row, or an error; only after `unknown` the row may have been written
  */
 export async function applyConfiguration(
   deps: WriteVersionDependencies,
@@ -39,7 +39,7 @@
   if (newest.isErr()) {
     return err(newest.error);
   }
-  // Also refuses a version that does not exist yet: a gap would hide what is written after it.
+  // Also refuses a version that does not exist yet: a gap would hide the versions after it.
   if ((newest.value?.version ?? 0) !== expectedVersion) {
     return err(await buildConflict(deps.table, expectedVersion, newest.value));
   }
--- a/src/application/configuration/applyConfiguration/test.ts
+++ b/src/application/configuration/applyConfiguration/test.ts
@@ -26,26 +26,25 @@
   return { table, clock, apply, listApplied };
 }
 
-/** Error kind of a failed apply, or the version of an accepted one. */
-async function judge(applied: ReturnType<typeof applyConfiguration>) {
+/** Returns the error kind of a failed apply, or the version of an accepted one. */
+async function readOutcome(applied: ReturnType<typeof applyConfiguration>) {
   return (await applied).match(
     ({ version }) => version,
     ({ kind }) => kind,
   );
 }
 
-test('writes versions one after the other and refuses a version that does not exist', async (t) => {
+test('versions are written in order, and a missing expected version is refused', async (t) => {
   const { apply, listApplied } = setUp();
-  t.is(await judge(apply('first', 0)), 1);
-  t.is(await judge(apply('second', 1)), 2);
-  t.is(await judge(apply('too-far', 7)), 'conflict');
+  t.is(await readOutcome(apply('first', 0)), 1);
+  t.is(await readOutcome(apply('second', 1)), 2);
+  t.is(await readOutcome(apply('too-far', 7)), 'conflict');
   t.deepEqual(await listApplied(), ['second', 'first']);
 });
 
-// Symptom: an operator's accepted change is gone.
-// Sequence: two operators read version 1, change different things and apply at the same moment.
-// Cause: a write without the condition that the version's row is absent: the later one stands.
-test('of two operators at once one wins and the other sees the difference', async (t) => {
+// Guards against a lost update: two operators read version 1, change different things and apply at
+// the same moment. Without the condition that the version's row is absent the later write wins.
+test('of two concurrent operators one wins and the other sees the difference', async (t) => {
   const { apply, listApplied } = setUp();
   await apply('first', 0);
   const [one, two] = await Promise.all([apply('alice', 1), apply('robert', 1)]);
@@ -56,26 +55,25 @@
   ]);
 });
 
-// Symptom: the tool reports a conflict with its own change, or applies it twice.
-// Sequence: the write takes effect and its answer is lost; the tool sends it again.
-// Cause: the row was not told apart from another operator's by its apply id.
-test('a lost answer is resolved by reading back', async (t) => {
+// Guards against a conflict with one's own change, or a change applied twice: the write takes
+// effect, its response is lost and the tool retries. The apply id identifies the tool's own row.
+test('a lost response is resolved by reading back', async (t) => {
   const { table, apply, listApplied } = setUp();
   table.loseNextAnswers(1);
-  t.is(await judge(apply('first', 0)), 1);
+  t.is(await readOutcome(apply('first', 0)), 1);
   t.deepEqual(await listApplied(), ['first']);
 });
 
-test('a write that was lost on its way is sent again', async (t) => {
+test('a write that was lost on its way is retried', async (t) => {
   const { table, clock, apply, listApplied } = setUp();
   table.dropNextWrites(2);
-  const applied = judge(apply('first', 0));
+  const applied = readOutcome(apply('first', 0));
   await clock.advanceAsync(1_000);
   t.is(await applied, 1);
   t.deepEqual(await listApplied(), ['first']);
 });
 
-test('an outage after the lost answer ends as unknown, one before it as unavailable', async (t) => {
+test('an outage after a lost response ends as unknown, one before the write as unavailable', async (t) => {
   const { table, clock, apply } = setUp();
   const write = table.writeItem;
   table.writeItem = async (...args) => {
@@ -84,8 +82,8 @@
     table.setOutage('unavailable');
     return written;
   };
-  const applied = judge(apply('first', 0));
+  const applied = readOutcome(apply('first', 0));
   await clock.advanceAsync(60_000);
   t.is(await applied, 'unknown');
-  t.is(await judge(apply('second', 1)), 'unavailable');
+  t.is(await readOutcome(apply('second', 1)), 'unavailable');
 });
--- a/src/application/configuration/createConfigurationFollower/index.ts
+++ b/src/application/configuration/createConfigurationFollower/index.ts
@@ -19,10 +19,10 @@
 
 /** Mean time between two polls of the table, in milliseconds. */
 export const POLL_INTERVAL_MS = 1_000;
-/** Part of the interval by which polls vary, so that many VMs do not poll at one moment. */
+/** Fraction of the interval by which polls vary, so that VMs do not poll all at once. */
 const POLL_JITTER = 0.2;
 
-/** What the follower needs. */
+/** Dependencies of the configuration follower. */
 export interface ConfigurationFollowerDependencies {
   readonly table: TableStore;
   readonly peers: PeerConfigurations;
@@ -31,36 +31,39 @@
   readonly log: EventLog;
 }
 
-/** Keeps up with the accepted configuration. */
+/** Follows the accepted configuration. */
 export interface ConfigurationFollower extends ConfigurationView {
   start(): void;
   stop(): void;
   /** Version in force at this VM, 0 if none. */
   readVersion(): number;
-  /** Tells of a version that a peer has; a higher one is read at once. */
-  offerVersion(version: number, peer: { readonly vm: string; readonly peerAddress: string }): void;
+  /** Records the version of a peer; a version higher than this VM's is read at once. */
+  recordPeerVersion(
+    version: number,
+    peer: { readonly vm: string; readonly peerAddress: string },
+  ): void;
   /** Monotonic time at which this VM's newest successful read of the table began, or null. */
   readTableReadAtMs(): number | null;
-  /** How long a peer has had a higher version than this VM, in milliseconds; 0 if none has. */
+  /** How long this VM has been behind a peer's version, in milliseconds; 0 if it is not. */
   readBehindMs(): number;
-  /** Gives the configuration in force to a peer; null if it is not above `newerThan`. */
+  /** Encodes the configuration in force for a peer; null if not above version `newerThan`. */
   readEncoded(newerThan: number): EncodedConfiguration | null;
 }
 
-/** A version that a peer has. */
-interface Offer {
+/** The version in force at a peer. */
+interface PeerVersion {
   readonly version: number;
   readonly vm: string;
   readonly peerAddress: string;
 }
 
 /**
- * Creates the follower of the configuration.
+ * Creates the configuration follower.
  *
- * It polls for the row of the next version, which costs the table one small read while there is
- * none. A version never goes down: an older row, from a lagging peer or an old read, changes
- * nothing. A version that only peers can give, since the table does not answer, is read from them:
- * what a VM has in force was accepted.
+ * The follower polls for the row of the next version, which costs one small read while there is
+ * none. The version never goes down: an older row, from a lagging peer or a stale read, changes
+ * nothing. While the table does not answer, newer versions are read from peers: any version in
+ * force at a VM was accepted.
  */
 export function createConfigurationFollower(
   deps: ConfigurationFollowerDependencies,
@@ -69,9 +72,9 @@
   const listeners = new Set<(current: ConfigurationRow) => void>();
   let current: ConfigurationRow | null = null;
   let tableReadAtMs: number | null = null;
-  let offer: Offer | null = null;
+  let peerVersion: PeerVersion | null = null;
   let behindSinceMs: number | null = null;
-  let highestKnown = 0;
+  let highestPeerVersion = 0;
   let isRunning = false;
   let isPolling = false;
   let isPollWanted = false;
@@ -79,12 +82,12 @@
 
   const readVersion = (): number => current?.version ?? 0;
 
-  const takeRow = (row: ConfigurationRow | null, source: string): boolean => {
+  const applyRow = (row: ConfigurationRow | null, source: string): boolean => {
     if (row === null || row.version <= readVersion()) {
       return false;
     }
     current = row;
-    if (row.version >= highestKnown) {
+    if (row.version >= highestPeerVersion) {
       behindSinceMs = null;
     }
     log.info('configuration in force', { version: row.version, source });
@@ -92,7 +95,7 @@
     return true;
   };
 
-  /** Runs one read of the table; tells whether something lies beyond the version in force. */
+  /** Reads the table once; true if there is, or may be, a version after the one in force. */
   const readTable = async (
     read: () => Promise<Result<ConfigurationRow | null, ConfigurationStoreError>>,
   ): Promise<boolean> => {
@@ -104,7 +107,7 @@
       return kind === 'bad-configuration';
     }
     tableReadAtMs = startedAtMs;
-    return takeRow(result.value, 'table');
+    return applyRow(result.value, 'table');
   };
 
   const readNext = (): Promise<boolean> =>
@@ -116,31 +119,31 @@
       await readNewest();
       return;
     }
-    // Usually there is nothing after the next version; a VM that was paused, or that met a
-    // malformed row, goes straight to the newest.
+    // Usually there is no version after the next one. After a pause of this VM or a malformed row,
+    // the newest version is read directly.
     if ((await readNext()) && (await readNext())) {
       await readNewest();
     }
   };
 
   const pollPeer = async (): Promise<void> => {
-    const asked = offer;
-    offer = null;
-    if (asked === null || asked.version <= readVersion()) {
+    const requested = peerVersion;
+    peerVersion = null;
+    if (requested === null || requested.version <= readVersion()) {
       return;
     }
-    const read = await peers.readConfiguration(asked.peerAddress, readVersion());
+    const read = await peers.readConfiguration(requested.peerAddress, readVersion());
     if (read.isErr()) {
-      log.warn('configuration not read from peer', { vm: asked.vm, reason: read.error.reason });
+      log.warn('configuration not read from peer', { vm: requested.vm, reason: read.error.reason });
       return;
     }
     if (read.value === null) {
       return;
     }
     decodeConfigurationRow(read.value.version, read.value.body).match(
-      (row) => takeRow(row, asked.vm),
+      (row) => applyRow(row, requested.vm),
       ({ reason }) => {
-        log.warn('configuration of peer is malformed', { vm: asked.vm, reason });
+        log.warn('configuration of peer is malformed', { vm: requested.vm, reason });
       },
     );
   };
@@ -159,8 +162,8 @@
     isPolling = false;
   };
 
-  // Polls that peers bring about leave this rhythm alone. If they did not, all VMs would poll at one
-  // moment after each change, and none would see the next change before the interval is over.
+  // Polls caused by peers do not reset the timer. Otherwise all VMs would poll at the same moment
+  // after each change, and none would see the next change before the interval is over.
   const scheduleNext = (delayMs: number): void => {
     cancelTimer = clock.startTimer(delayMs, () => {
       scheduleNext(POLL_INTERVAL_MS * (1 + POLL_JITTER * (2 * randomness.readFraction() - 1)));
@@ -187,13 +190,13 @@
       cancelTimer();
     },
     readVersion,
-    offerVersion: (version, { vm, peerAddress }) => {
-      if (version <= readVersion() || version <= (offer?.version ?? 0)) {
+    recordPeerVersion: (version, { vm, peerAddress }) => {
+      if (version <= readVersion() || version <= (peerVersion?.version ?? 0)) {
         return;
       }
-      highestKnown = Math.max(highestKnown, version);
+      highestPeerVersion = Math.max(highestPeerVersion, version);
       behindSinceMs ??= clock.readMonotonicMs();
-      offer = { version, vm, peerAddress };
+      peerVersion = { version, vm, peerAddress };
       if (isRunning) {
         poll();
       }
--- a/src/application/configuration/createConfigurationFollower/test.ts
+++ b/src/application/configuration/createConfigurationFollower/test.ts
@@ -38,12 +38,12 @@
           follow.source === null ? err({ kind: 'unreachable', reason: 'none' }) : ok(peer()),
       },
     });
-  /** The peer from which followers may read; null: none answers. */
+  /** The peer that answers reads of the followers; null: no peer answers. */
   follow.source = null as ReturnType<typeof createConfigurationFollower> | null;
   return { table, clock, apply, follow };
 }
 
-test('follows the table within a poll, and at once when a peer tells', async (t) => {
+test('a version is read within one poll, or at once when a peer has it', async (t) => {
   const { clock, apply, follow } = setUp();
   const follower = follow();
   const seen: number[] = [];
@@ -54,14 +54,14 @@
   await apply(0);
   await clock.advanceAsync(1_200);
   await apply(1);
-  follower.offerVersion(2, PEER);
+  follower.recordPeerVersion(2, PEER);
   await clock.advanceAsync(0);
   t.deepEqual(seen, [1, 2]);
   follower.stop();
   t.is(clock.countTimers(), 0);
 });
 
-test('an idle poll costs one read, and a VM far behind goes to the newest', async (t) => {
+test('an idle poll costs one read, and a VM far behind reads the newest version', async (t) => {
   const { table, clock, apply, follow } = setUp();
   await apply(0);
   const follower = follow();
@@ -78,9 +78,9 @@
   follower.stop();
 });
 
-// Symptom: a change that was in force at a VM is undone there for a while.
-// Sequence: the VM holds version 2; a replica of the table, or a peer that lags, answers with 1.
-// Cause: the newest answer was taken in place of the highest version.
+// Guards against a change that is undone at a VM for a while: the VM holds version 2, and a replica
+// of the table or a lagging peer answers with version 1. The highest version counts, not the latest
+// response.
 test('a version never goes down', async (t) => {
   const { table, clock, apply, follow } = setUp();
   await apply(0);
@@ -102,16 +102,15 @@
   follower.start();
   await clock.advanceAsync(0);
   isOld = true;
-  follower.offerVersion(3, PEER);
+  follower.recordPeerVersion(3, PEER);
   await clock.advanceAsync(5_000);
   t.is(follower.readVersion(), 2);
   follower.stop();
 });
 
-// Symptom: a VM that boots in an outage of the table serves nothing until the outage ends.
-// Sequence: the table is down; the VM starts without any state; its peers have version 1 in force.
-// Cause: the table was the only source of a configuration.
-test('a VM that boots in an outage reads from a peer that tells of a version', async (t) => {
+// Guards against a VM that boots in an outage of the table and serves nothing until it ends: the VM
+// starts without any state, its peers have version 1 in force, and the table is the only source.
+test('a VM that boots in an outage reads the configuration from a peer', async (t) => {
   const { table, clock, apply, follow } = setUp();
   await apply(0);
   const peer = follow();
@@ -120,12 +119,12 @@
   table.setOutage('unavailable');
   const follower = follow();
   follower.start();
-  follower.offerVersion(1, PEER);
+  follower.recordPeerVersion(1, PEER);
   await clock.advanceAsync(3_000);
   t.is(follower.readCurrent(), null);
   t.is(follower.readBehindMs(), 3_000);
   follow.source = peer;
-  follower.offerVersion(1, PEER);
+  follower.recordPeerVersion(1, PEER);
   await clock.advanceAsync(0);
   t.is(follower.readCurrent()?.version, 1);
   t.is(follower.readBehindMs(), 0);
@@ -134,7 +133,7 @@
   peer.stop();
 });
 
-test('goes past a malformed row once a later version is there', async (t) => {
+test('a malformed row is skipped once a later version exists', async (t) => {
   const { table, clock, apply, follow } = setUp();
   await apply(0);
   const follower = follow();
@@ -152,10 +151,10 @@
   follower.stop();
 });
 
-// Symptom: after a change, the next one takes most of an interval to reach the first VM.
-// Sequence: a change spreads; all VMs poll as their peers tell them of it; a second change follows.
-// Cause: a poll that a peer brought about started the interval anew, on all VMs at one moment.
-test('polls that peers bring about leave the rhythm of polls alone', async (t) => {
+// Guards against a second change that takes most of an interval to reach the first VM: a change
+// spreads, and all VMs poll because of their peers. If such a poll restarted the interval, all VMs
+// would poll at the same moments.
+test('polls caused by peers do not restart the poll interval', async (t) => {
   const { table, clock, apply, follow } = setUp();
   await apply(0);
   const follower = follow();
@@ -163,7 +162,7 @@
   await clock.advanceAsync(0);
   table.resetCounts();
   for (let version = 2; version <= 11; version += 1) {
-    follower.offerVersion(version, PEER);
+    follower.recordPeerVersion(version, PEER);
     await clock.advanceAsync(500);
   }
   t.true(table.countReads() >= 10 + 4, `${table.countReads()} reads`);
--- a/src/application/configuration/listConfigurationRows/index.ts
+++ b/src/application/configuration/listConfigurationRows/index.ts
@@ -6,7 +6,7 @@
 import { CONFIGURATION_PARTITION } from '../partition';
 import type { ConfigurationStoreError } from '../types';
 
-/** Lists the newest accepted versions, newest first. */
+/** Lists up to `limit` accepted versions, newest first. */
 export async function listConfigurationRows(
   table: TableStore,
   limit: number,
--- a/src/application/configuration/types/ApplyRequest.ts
+++ b/src/application/configuration/types/ApplyRequest.ts
@@ -1,9 +1,9 @@
 import type { Configuration } from '../../../domain/types';
 
-/** A whole configuration to put into force. */
+/** Request to apply a whole configuration. */
 export interface ApplyRequest {
   readonly configuration: Configuration;
-  /** Version that the operator has seen and means to replace; 0: none yet. */
+  /** Version that the operator saw and intends to replace; 0 if there is none yet. */
   readonly expectedVersion: number;
   readonly appliedBy: string;
   readonly comment: string;
--- a/src/application/configuration/types/ConfigurationStoreError.ts
+++ b/src/application/configuration/types/ConfigurationStoreError.ts
@@ -1,4 +1,4 @@
-/** Failure of reading configurations from the table. */
+/** Failure to read configurations from the table. */
 export type ConfigurationStoreError =
   /** The table did not answer. */
   | { readonly kind: 'unavailable'; readonly reason: string }
--- a/src/application/configuration/waitForVersion/index.ts
+++ b/src/application/configuration/waitForVersion/index.ts
@@ -2,11 +2,11 @@
 import type { Clock } from '../../ports';
 import { waitDelay } from '../../time';
 
-/** Time between two questions to the VMs that lag, in milliseconds. */
-const ASK_INTERVAL_MS = 250;
+/** Interval between two reads of the VMs' versions, in milliseconds. */
+const PROGRESS_INTERVAL_MS = 250;
 
-/** A VM that is to have the version in force. */
-export interface AwaitedVm {
+/** A VM that should have the version in force. */
+export interface TargetVm {
   readonly vm: string;
   readonly peerAddress: string;
 }
@@ -18,7 +18,7 @@
   readonly version: number | null;
 }
 
-/** How far a version has come. */
+/** Progress of a version across the VMs. */
 export interface VersionProgress {
   readonly version: number;
   readonly vmsTotal: number;
@@ -26,12 +26,12 @@
   readonly elapsedMs: number;
 }
 
-/** What the wait needs. */
+/** Dependencies of the wait. */
 export interface WaitForVersionDependencies {
   readonly clock: Clock;
-  /** VMs that should have it, as known right now; a VM that leaves the list is not waited for. */
-  listVms(): Promise<readonly AwaitedVm[]>;
-  /** Version in force at a VM; null if it does not answer. */
+  /** Lists the VMs that should have the version; a VM that leaves the list is not waited for. */
+  listVms(): Promise<readonly TargetVm[]>;
+  /** Reads the version in force at a VM; null if the VM does not answer. */
   readVersionAt(peerAddress: string): Promise<number | null>;
 }
 
@@ -58,9 +58,9 @@
 /**
  * Waits until every VM has a version, or a higher one, in force.
  *
- * @param options.timeoutMs - bound on the wait
- * @param options.onProgress - called after each round of questions
- * @returns the last progress; as an error if VMs lag, or none is known, when the time is over
+ * @param options.timeoutMs - time limit of the wait
+ * @param options.onProgress - called after each read of the versions
+ * @returns the last progress; as an error if VMs still lag, or none is known, at the timeout
  */
 export async function waitForVersion(
   deps: WaitForVersionDependencies,
@@ -74,13 +74,13 @@
   for (;;) {
     const progress = await readProgress(deps, version, startedAtMs);
     options.onProgress(progress);
-    // An empty list may be a list that did not answer: it proves nothing.
+    // An empty list may mean that the list could not be read, so it proves nothing.
     if (progress.vmsTotal > 0 && progress.lagging.length === 0) {
       return ok(progress);
     }
     if (progress.elapsedMs >= options.timeoutMs) {
       return err(progress);
     }
-    await waitDelay(deps.clock, ASK_INTERVAL_MS);
+    await waitDelay(deps.clock, PROGRESS_INTERVAL_MS);
   }
 }
--- a/src/application/membership/_lib/createVmListPoller/index.ts
+++ b/src/application/membership/_lib/createVmListPoller/index.ts
@@ -1,28 +1,29 @@
 import type { VmRecord } from '../../../../domain/types';
 import type { Clock, EventLog, HealthRegistry, Randomness, VmList } from '../../../ports';
-import type { MemberSources } from '../../../peers';
+import type { MemberDiscovery } from '../../../peers';
 
-/** Mean time between two chances to poll the list. */
-export const LIST_ROUND_MS = 2_000;
-const LIST_JITTER = 0.2;
+/** Mean interval after which a VM polls the list with some probability. */
+export const POLL_INTERVAL_MS = 2_000;
+const POLL_JITTER = 0.2;
 /**
- * Polls a round over all VMs of a region. With hundreds of VMs and servers in the list, its bytes
- * would go far past the budget if each VM polled; what one learns, the others hear as news.
+ * Mean number of polls in an interval over all VMs of a region. With hundreds of VMs and servers in
+ * the list, its bytes would exceed the budget by far if each VM polled. The others learn the result
+ * from news.
  */
-const POLLS_PER_ROUND = 3;
+const POLLS_PER_INTERVAL = 3;
 
-/** What the poller needs. */
+/** Dependencies of the poller. */
 export interface VmListPollerDependencies {
   readonly self: string;
   readonly vmList: VmList;
-  readonly members: MemberSources;
+  readonly members: MemberDiscovery;
   readonly health: HealthRegistry | null;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
-  /** Live VMs of the region, with this one. */
+  /** Counts the live VMs of the region, including this one. */
   readonly countLiveVms: () => number;
-  /** The list says that this VM is leaving. */
+  /** Called when the list marks this VM as leaving. */
   readonly handleOwnLeaving: () => void;
 }
 
@@ -32,7 +33,7 @@
   stop(): void;
 }
 
-/** Creates the poller of the platform's list. */
+/** Creates the poller of the platform's list of VMs. */
 export function createVmListPoller(deps: VmListPollerDependencies): VmListPoller {
   const { vmList, members, health, clock, randomness, log } = deps;
   const leavingServers = new Set<string>();
@@ -46,7 +47,7 @@
       health?.recordLeaving(vm, true);
       return;
     }
-    // Only a change in the list counts: the server itself may have said earlier that it leaves.
+    // Only a change in the list counts: the server may have announced earlier that it leaves.
     if (leavingServers.delete(vm)) health?.recordLeaving(vm, false);
   };
   const recordList = (records: readonly VmRecord[]): void => {
@@ -59,18 +60,18 @@
     if (stopped) return;
     listed.match(recordList, (error) => log.warn('VM list not read', { kind: error.kind }));
   };
-  const runRound = async (): Promise<void> => {
-    const isChosen = randomness.readFraction() < POLLS_PER_ROUND / deps.countLiveVms();
-    if (isFirst || isChosen) await pollList();
+  const runInterval = async (): Promise<void> => {
+    const isPollDue = randomness.readFraction() < POLLS_PER_INTERVAL / deps.countLiveVms();
+    if (isFirst || isPollDue) await pollList();
     isFirst = false;
     if (stopped) return;
-    const jitter = 1 + LIST_JITTER * (2 * randomness.readFraction() - 1);
-    cancelTimer = clock.startTimer(LIST_ROUND_MS * jitter, runRound);
+    const jitter = 1 + POLL_JITTER * (2 * randomness.readFraction() - 1);
+    cancelTimer = clock.startTimer(POLL_INTERVAL_MS * jitter, runInterval);
   };
 
   return {
     start: () => {
-      runRound();
+      runInterval();
     },
     stop: () => {
       stopped = true;
--- a/src/application/membership/createMembershipFollower/index.ts
+++ b/src/application/membership/createMembershipFollower/index.ts
@@ -4,22 +4,22 @@
 import { createRegistration } from '../_lib/createRegistration';
 import { createVmListPoller } from '../_lib/createVmListPoller';
 
-/** What the follower needs. */
+/** Dependencies of the membership follower. */
 export interface MembershipFollowerDependencies {
   readonly readSelf: () => PeerRecord;
   readonly exchange: Pick<PeerExchange, 'recordMembers' | 'listLiveVms'>;
   readonly vmList: VmList;
   readonly table: TableStore;
-  /** Null at a process that routes nothing. */
+  /** Null in a process that routes no requests. */
   readonly health: HealthRegistry | null;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
-  /** The platform's list says that this VM is leaving; may be called more than once. */
+  /** Called, possibly repeatedly, when the platform's list marks this VM as leaving. */
   readonly handleOwnLeaving: () => void;
 }
 
-/** Follows who is there according to the platform. */
+/** Follows the members that the platform reports. */
 export interface MembershipFollower {
   start(): void;
   /** Stops and removes this VM's registration. */
@@ -29,8 +29,9 @@
 /**
  * Creates the follower of the platform's list of VMs and of the registrations in the table.
  *
- * Both only name VMs; whether one lives is decided by the exchange of news. A booting VM finds its
- * peers by whichever answers first: list, registrations, or the seeds of the settings.
+ * Both sources only name VMs; the exchange of news decides whether a VM is alive. A booting VM
+ * discovers its peers from whichever answers first: the list, the registrations or the seeds in the
+ * settings.
  */
 export function createMembershipFollower(deps: MembershipFollowerDependencies): MembershipFollower {
   const members = deps.exchange;
--- a/src/application/peers/_lib/createNewsTaker/index.ts
+++ b/src/application/peers/_lib/createFactMerger/index.ts
@@ -6,32 +6,32 @@
 import type { Fact, LoadFact, ServerStateFact } from '../../../../domain/membership';
 import { isNewerReport } from '../../../../domain/load';
 import type { HealthRegistry, LoadView } from '../../../ports';
-import type { FactBoard } from '../createFactBoard';
+import type { FactStore } from '../createFactStore';
 import type { MemberTable } from '../createMemberTable';
 
-/** What the taker needs. */
-export interface NewsTakerDependencies {
+/** Dependencies of the fact merger. */
+export interface FactMergerDependencies {
   readonly self: string;
-  readonly board: FactBoard;
+  readonly factStore: FactStore;
   readonly members: MemberTable;
   readonly health: HealthRegistry | null;
   readonly load: LoadView | null;
   readonly readNowMs: () => number;
 }
 
-/** Where facts came from, and since when they surely hold. */
+/** The VM that sent facts, and a lower bound on the time at which they were written. */
 export interface FactOrigin {
   readonly vm: string;
-  /** Monotonic time after which the news was surely written, or null if that is not known. */
+  /** Monotonic time after which the news was certainly written, or null if unknown. */
   readonly writtenAfterMs: number | null;
 }
 
-/** Takes facts that a peer told. */
-export interface NewsTaker {
-  recordFacts(facts: readonly Fact[], origin: FactOrigin): void;
-  /** The held state of a server's report by its name id. */
+/** Merges facts received from peers. */
+export interface FactMerger {
+  mergeFacts(facts: readonly Fact[], origin: FactOrigin): void;
+  /** Finds the server with this name id; null if unknown or if two names share the id. */
   findServerName(id: number): string | null;
-  /** Remembers a server's name, so that facts with its id are understood. */
+  /** Adds a server's name, so that facts carrying its id can be resolved. */
   addServerName(backendServer: string): void;
 }
 
@@ -43,11 +43,11 @@
 };
 
 /**
- * Creates the taker of peers' facts: what is new goes to the ports and on the board, from which it
- * is passed on; what is old changes nothing.
+ * Creates the merger of peers' facts. New facts are forwarded to the ports and written to the fact
+ * store, from which they are relayed; old facts change nothing.
  */
-export function createNewsTaker(deps: NewsTakerDependencies): NewsTaker {
-  const { board, members, health, load, readNowMs } = deps;
+export function createFactMerger(deps: FactMergerDependencies): FactMerger {
+  const { factStore, members, health, load, readNowMs } = deps;
   const serverNames = new Map<number, string | null>();
 
   const addServerName = (backendServer: string): void => {
@@ -59,77 +59,78 @@
 
   const recordLoad = (fact: LoadFact, origin: FactOrigin): void => {
     const name = findServerName(fact.id);
-    const state = name === null ? null : board.find(`state:${name}`);
-    const held = board.find(`load:${name}`);
+    const state = name === null ? null : factStore.find(`state:${name}`);
+    const held = factStore.find(`load:${name}`);
     if (state?.kind !== 'server-state') return;
     const report = convertFactsToReport(state, fact, readNowMs());
     const known = held?.kind === 'load' ? convertFactsToReport(state, held, readNowMs()) : null;
     if (!isNewerReport(report, known)) return;
-    board.write(`load:${name}`, fact, origin.vm);
+    factStore.write(`load:${name}`, fact, origin.vm);
     load?.recordReport(report);
   };
 
   const recordServerState = (fact: ServerStateFact, origin: FactOrigin): void => {
     addServerName(fact.backendServer);
     const key = `state:${fact.backendServer}`;
-    const held = board.find(key);
+    const held = factStore.find(key);
     if (JSON.stringify(held) === JSON.stringify(fact)) return;
-    board.write(key, fact, origin.vm);
-    // Both ways: a server replaced under its name must get work again.
+    factStore.write(key, fact, origin.vm);
+    // Both directions: a server replaced under the same name must receive work again.
     const wasLeaving = held?.kind === 'server-state' && held.leaving;
     if (fact.leaving !== wasLeaving) health?.recordLeaving(fact.backendServer, fact.leaving);
   };
 
-  const sends = new Map<string, Map<number, number>>();
+  const sendsByVm = new Map<string, Map<number, number>>();
 
   const handlers: Handlers = {
     peer: ({ record }, origin) => {
       if (record.vm === deps.self || !members.mergeRecord(record)) return;
-      board.write(`peer:${record.vm}`, { kind: 'peer', record }, origin.vm);
+      factStore.write(`peer:${record.vm}`, { kind: 'peer', record }, origin.vm);
     },
     pulse: (fact, origin) => {
       const member = members.findById(fact.id);
       if (member === null) return;
-      // A pulse of another incarnation than the one held is late or early: it proves nothing.
+      // A pulse of an incarnation other than the held one is late or early and proves nothing.
       if (fact.incarnationTag !== computeIncarnationTag(member.record.incarnation)) return;
       const isFirst = member.incarnationTag !== fact.incarnationTag;
       if (!isFirst && fact.beats <= member.beats) return;
       member.incarnationTag = fact.incarnationTag;
       member.beats = fact.beats;
-      // The first pulse seen may be a dead VM's last: only a rise proves that it lives.
+      // The first pulse seen may be the last of a dead VM: only an increase proves that it is
+      // alive.
       if (!isFirst && origin.writtenAfterMs !== null) member.heardAtMs = origin.writtenAfterMs;
-      board.write(`pulse:${member.record.vm}`, fact, origin.vm);
+      factStore.write(`pulse:${member.record.vm}`, fact, origin.vm);
     },
     region: (fact, origin) => {
       const key = `region:${fact.region}`;
-      const held = board.find(key);
+      const held = factStore.find(key);
       if (origin.writtenAfterMs === null) return;
       if (held?.kind === 'region' && held.ageMs <= fact.ageMs) return;
-      board.write(key, fact, origin.vm);
+      factStore.write(key, fact, origin.vm);
     },
     suspicion: ({ suspicion }, origin) => {
       const key = `suspicion:${suspicion.backendServer}`;
-      const held = board.find(key);
+      const held = factStore.find(key);
       const isKnown =
         held?.kind === 'suspicion' && JSON.stringify(held.suspicion) === JSON.stringify(suspicion);
       if (isKnown) return;
-      board.write(key, { kind: 'suspicion', suspicion }, origin.vm);
+      factStore.write(key, { kind: 'suspicion', suspicion }, origin.vm);
       health?.recordSuspicion(suspicion);
     },
     leaving: (fact, origin) => {
       const key = `leaving:${fact.backendServer}`;
-      if (board.find(key) !== null) return;
-      board.write(key, fact, origin.vm);
+      if (factStore.find(key) !== null) return;
+      factStore.write(key, fact, origin.vm);
       health?.recordLeaving(fact.backendServer, true);
     },
     recovery: ({ backendServer }) => {
-      board.remove(`suspicion:${backendServer}`);
+      factStore.remove(`suspicion:${backendServer}`);
       health?.recordRecovery(backendServer);
     },
     send: ({ id, running }, origin) => {
-      const held = sends.get(origin.vm) ?? new Map<number, number>();
+      const held = sendsByVm.get(origin.vm) ?? new Map<number, number>();
       held.set(id, running);
-      sends.set(origin.vm, held);
+      sendsByVm.set(origin.vm, held);
     },
     'server-state': recordServerState,
     load: recordLoad,
@@ -144,7 +145,7 @@
   };
 
   const recordSends = (vm: string): void => {
-    const held = [...(sends.get(vm) ?? [])].flatMap(([id, running]) => {
+    const held = [...(sendsByVm.get(vm) ?? [])].flatMap(([id, running]) => {
       const backendServer = findServerName(id);
       return backendServer === null || running === 0 ? [] : [{ backendServer, running }];
     });
@@ -152,10 +153,10 @@
   };
 
   return {
-    recordFacts: (facts, origin) => {
+    mergeFacts: (facts, origin) => {
       facts.forEach((fact) => recordFact(fact, origin));
-      // Also without change: the view drops the sends of a peer that says nothing.
-      if (sends.has(origin.vm)) recordSends(origin.vm);
+      // Also without a change: the load view drops the sends of a silent peer.
+      if (sendsByVm.has(origin.vm)) recordSends(origin.vm);
     },
     findServerName,
     addServerName,
--- a/src/application/peers/_lib/createPusher/index.ts
+++ b/src/application/peers/_lib/createFactPusher/index.ts
@@ -2,31 +2,31 @@
 import type { Clock } from '../../../ports';
 import { runLimited } from '../runLimited';
 
-/** Time in which facts that come together are gathered into one push. */
+/** Facts added within this time are sent in one push. */
 export const PUSH_DELAY_MS = 3;
-/** Calls of one push that run at once. */
+/** Concurrent calls of one push. */
 const PUSH_CONCURRENCY = 16;
 
-/** What the pusher needs. */
-export interface PusherDependencies {
+/** Dependencies of the fact pusher. */
+export interface FactPusherDependencies {
   readonly clock: Clock;
   readonly listReceivers: () => readonly string[];
   readonly sendFacts: (vm: string, facts: readonly Fact[]) => Promise<void>;
 }
 
-/** Sends urgent facts to all VMs of the region at once. */
-export interface Pusher {
-  sendSoon(fact: Fact): void;
+/** Pushes urgent facts to all VMs of the region. */
+export interface FactPusher {
+  pushFact(fact: Fact): void;
   stop(): void;
 }
 
 /**
  * Creates the pusher of urgent facts.
  *
- * Without it a VM would hear of a dead engine only with its next rounds, and the generations there
- * would hang on until each of them saw the silence for itself.
+ * Without pushes a VM would learn of a dead engine only in its next rounds, and its generations on
+ * that engine would hang until each of them detected the silence itself.
  */
-export function createPusher(deps: PusherDependencies): Pusher {
+export function createFactPusher(deps: FactPusherDependencies): FactPusher {
   let pending: Fact[] = [];
   let cancelTimer = (): void => {};
 
@@ -37,7 +37,7 @@
   };
 
   return {
-    sendSoon: (fact) => {
+    pushFact: (fact) => {
       pending.push(fact);
       if (pending.length === 1) cancelTimer = deps.clock.startTimer(PUSH_DELAY_MS, sendPending);
     },
--- a/src/application/peers/_lib/createFactBoard/index.ts
+++ b/src/application/peers/_lib/createFactStore/index.ts
@@ -1,20 +1,20 @@
 import type { Fact } from '../../../../domain/membership';
 
-/** Facts for peers; each carries the change counter at which it came, so that only news is sent. */
-export interface FactBoard {
-  /** Writes a fact in the place of the one with the same key. `from` is the VM it came from. */
+/** Facts for peers, each with the change counter of its write, so that only changes are sent. */
+export interface FactStore {
+  /** Writes a fact, replacing the one with the same key. `from` is the VM that sent the fact. */
   write(key: string, fact: Fact, from: string): void;
   remove(key: string): void;
   find(key: string): Fact | null;
-  /** Monotonic time at which the fact was written here, in milliseconds, or null. */
+  /** Monotonic time at which the fact was written, in milliseconds, or null. */
   readWrittenAtMs(key: string): number | null;
-  /** Facts that came after counter `since`, but for those that `receiver` itself sent. */
-  listSince(since: number, receiver: string): readonly HeldFact[];
+  /** Lists the facts written after counter `since`, except those that `receiver` sent itself. */
+  listSince(since: number, receiver: string): readonly StoredFact[];
   readSequence(): number;
 }
 
-/** A fact with the VM that it came from. */
-export interface HeldFact {
+/** A fact with the VM that sent it. */
+export interface StoredFact {
   readonly fact: Fact;
   readonly from: string;
 }
@@ -26,25 +26,25 @@
   readonly atMs: number;
 }
 
-/** Facts that state an age grow older while they wait here. */
-function addAge(fact: Fact, elapsedMs: number): Fact {
+/** Adds the time since the write to a fact that carries an age. */
+function addElapsed(fact: Fact, elapsedMs: number): Fact {
   return 'ageMs' in fact ? { ...fact, ageMs: Math.round(fact.ageMs + elapsedMs) } : fact;
 }
 
 /**
- * Creates an empty board.
+ * Creates an empty fact store.
  *
  * @param startSequence - first value of the change counter. Random, so that an acknowledgement
- * meant for an earlier process of this VM is told apart: it lies outside what this one has counted.
+ * meant for an earlier process of this VM is recognised: it lies outside this process's range.
  */
-export function createFactBoard(startSequence: number, readNowMs: () => number): FactBoard {
+export function createFactStore(startSequence: number, readNowMs: () => number): FactStore {
   const entries = new Map<string, Entry>();
   let sequence = startSequence;
 
   return {
     write: (key, fact, from) => {
       sequence += 1;
-      // Re-inserting keeps the map in the order of change.
+      // Deleted first, so that the map stays in the order of changes.
       entries.delete(key);
       entries.set(key, { fact, changedAt: sequence, from, atMs: readNowMs() });
     },
@@ -53,7 +53,7 @@
     },
     find: (key) => {
       const entry = entries.get(key);
-      return entry === undefined ? null : addAge(entry.fact, readNowMs() - entry.atMs);
+      return entry === undefined ? null : addElapsed(entry.fact, readNowMs() - entry.atMs);
     },
     readWrittenAtMs: (key) => entries.get(key)?.atMs ?? null,
     listSince: (since, receiver) => {
@@ -61,7 +61,7 @@
       const nowMs = readNowMs();
       return [...entries.values()]
         .filter(({ changedAt, from }) => changedAt > known && from !== receiver)
-        .map(({ fact, from, atMs }) => ({ fact: addAge(fact, nowMs - atMs), from }));
+        .map(({ fact, from, atMs }) => ({ fact: addElapsed(fact, nowMs - atMs), from }));
     },
     readSequence: () => sequence,
   };
--- a/src/application/peers/_lib/createRounds/index.ts
+++ b/src/application/peers/_lib/createGossipRounds/index.ts
@@ -6,27 +6,28 @@
 import type { MembershipView } from '../createMembershipView';
 import type { NewsReceiver, NewsWriter } from '../createNewsWriter';
 
-/** Mean time between two rounds. */
-export const ROUND_MS = 500;
+/** Mean interval between two rounds. */
+export const ROUND_INTERVAL_MS = 500;
 const ROUND_JITTER = 0.2;
-/** A partner that has not answered by then counts as failed. */
+/** A partner that has not answered within this time counts as failed. */
 export const EXCHANGE_TIMEOUT_MS = 400;
-/** A partner that failed is left alone for this long. */
+/** A partner that failed is skipped for this long. */
 const PARTNER_BACKOFF_MS = 2_000;
-/** In each round, one VM out of reach is tried with this probability, so that a split heals. */
+/** Probability that a round tries an unreachable VM, so that a network partition heals. */
 const RETRY_PROBABILITY = 0.25;
-/** Exchanges a round from one region to others, over all its VMs. */
+/** Mean number of exchanges with other regions in a round, over all VMs of a region. */
 const CROSS_REGION_EXCHANGES = 2;
 /**
- * VMs that are told of a new version at once. Each of them tells as many, so that two or three steps
- * reach 9 VMs and six reach 340; whom none reaches hears it in a round or finds it in the table.
+ * VMs to which a new version is sent at once. Each of them forwards it to as many, so that two or
+ * three steps reach 9 VMs and six reach 340. A VM that is missed learns the version in a round or
+ * from the table.
  */
 const VERSION_RECEIVERS = 3;
-/** Receiver of news to an address of which nothing else is known. */
+/** Receiver name for an address whose VM is unknown. */
 const UNKNOWN_VM = '';
 
-/** What the rounds need. */
-export interface RoundsDependencies {
+/** Dependencies of the gossip rounds. */
+export interface GossipRoundsDependencies {
   readonly seeds: readonly string[];
   readonly clock: Clock;
   readonly randomness: Randomness;
@@ -38,20 +39,20 @@
   readonly readNews: (news: News) => void;
 }
 
-/** Exchanges news in rounds. */
-export interface Rounds {
+/** Periodic exchanges of news with other VMs. */
+export interface GossipRounds {
   start(): void;
   stop(): void;
-  /** VMs of the region to which a push goes. */
+  /** Lists the VMs of the region to which facts are pushed. */
   listReachable(): readonly string[];
-  /** Tells a few VMs of the version in force here. */
+  /** Sends the version in force at this VM to a few VMs. */
   sendVersion(): void;
-  /** Sends single facts to one VM. */
+  /** Sends the given facts to one VM. */
   sendFacts(vm: string, facts: readonly Fact[]): Promise<void>;
 }
 
-/** Creates the rounds. */
-export function createRounds(deps: RoundsDependencies): Rounds {
+/** Creates the gossip rounds. */
+export function createGossipRounds(deps: GossipRoundsDependencies): GossipRounds {
   const { clock, randomness, calls, members, view, writer, readSelf } = deps;
   let stopped = false;
   let cancelTimer = (): void => {};
@@ -65,32 +66,32 @@
   const sendToMember = async (vm: string, write: (receiver: NewsReceiver) => News) => {
     const member = members.find(vm);
     if (member === null) return;
-    const isAnswered = await sendNews(member.record.peerAddress, write(member.record));
-    member.failedAtMs = isAnswered ? null : clock.readMonotonicMs();
+    const hasAnswered = await sendNews(member.record.peerAddress, write(member.record));
+    member.failedAtMs = hasAnswered ? null : clock.readMonotonicMs();
   };
   const exchangeWith = (vm: string): Promise<void> => sendToMember(vm, writer.writeNews);
 
-  const isHere = ({ record }: Member): boolean => record.region === readSelf().region;
-  const chooseRandom = (candidates: readonly Member[]): readonly string[] => {
+  const isInOwnRegion = ({ record }: Member): boolean => record.region === readSelf().region;
+  const chooseRandomMember = (candidates: readonly Member[]): readonly string[] => {
     const chosen = candidates[Math.floor(randomness.readFraction() * candidates.length)];
     return chosen === undefined ? [] : [chosen.record.vm];
   };
-  const chooseStable = (candidates: readonly Member[]): readonly string[] =>
+  const chooseStablePartners = (candidates: readonly Member[]): readonly string[] =>
     choosePartners(
       readSelf().vm,
       candidates.map(({ record, failedAtMs }) => ({ vm: record.vm, failedAtMs })),
       { nowMs: clock.readMonotonicMs(), backoffMs: PARTNER_BACKOFF_MS },
     );
-  const isWorthTrying = (member: Member): boolean =>
+  const isCandidate = (member: Member): boolean =>
     view.isHeard(member) || member.heardAtMs === null;
-  const chooseUnheard = (): readonly string[] => {
+  const chooseUnreachable = (): readonly string[] => {
     if (randomness.readFraction() >= RETRY_PROBABILITY) return [];
-    return chooseRandom(members.list().filter((member) => !view.isHeard(member)));
+    return chooseRandomMember(members.list().filter((member) => !view.isHeard(member)));
   };
-  const chooseElsewhere = (): readonly string[] => {
-    const probability = CROSS_REGION_EXCHANGES / view.countHeardHere();
+  const chooseOtherRegion = (): readonly string[] => {
+    const probability = CROSS_REGION_EXCHANGES / view.countHeardInRegion();
     if (randomness.readFraction() >= probability) return [];
-    return chooseRandom(members.list().filter((member) => !isHere(member)));
+    return chooseRandomMember(members.list().filter((member) => !isInOwnRegion(member)));
   };
   const sendToSeeds = (): void => {
     if (members.list().some(view.isHeard)) return;
@@ -103,20 +104,26 @@
   };
 
   const runRound = (): void => {
-    const candidates = members.list().filter((member) => isHere(member) && isWorthTrying(member));
-    const chosen = [...chooseStable(candidates), ...chooseUnheard(), ...chooseElsewhere()];
+    const candidates = members
+      .list()
+      .filter((member) => isInOwnRegion(member) && isCandidate(member));
+    const chosen = [
+      ...chooseStablePartners(candidates),
+      ...chooseUnreachable(),
+      ...chooseOtherRegion(),
+    ];
     new Set(chosen).forEach((vm) => {
       exchangeWith(vm);
     });
     sendToSeeds();
     const jitter = 1 + ROUND_JITTER * (2 * randomness.readFraction() - 1);
-    cancelTimer = clock.startTimer(ROUND_MS * jitter, runRound);
+    cancelTimer = clock.startTimer(ROUND_INTERVAL_MS * jitter, runRound);
   };
 
   const listReachable = (): readonly string[] =>
     members
       .list()
-      .filter((member) => isHere(member) && isWorthTrying(member))
+      .filter((member) => isInOwnRegion(member) && isCandidate(member))
       .map(({ record }) => record.vm);
   const sendFacts = (vm: string, facts: readonly Fact[]): Promise<void> =>
     sendToMember(vm, (receiver) => writer.writeBrief(receiver, facts));
--- a/src/application/peers/_lib/createOwnFacts/index.ts
+++ b/src/application/peers/_lib/createLocalFacts/index.ts
@@ -7,54 +7,54 @@
 import type { PeerRecord } from '../../../../domain/membership';
 import type { LoadReport } from '../../../../domain/types';
 import type { LoadView } from '../../../ports';
-import type { FactBoard } from '../createFactBoard';
+import type { FactStore } from '../createFactStore';
 
-/** A load report is passed on at least this often, however little it changes. */
+/** Longest time between two sent load reports of a server, however little the load changes. */
 export const LOAD_REFRESH_MS = 2_000;
 
 /**
- * Shortest time between two reports of one server, for each server of the region: with 200 servers a
- * report is passed on each 3 s at most, which keeps the bytes within a node's budget.
+ * Shortest time between two sent load reports of a server, for each server of the region. With 200
+ * servers a report is sent at most every 3 s, which keeps the bytes within a node's budget.
  */
-export const LOAD_LEAST_MS_PER_SERVER = 15;
+export const LOAD_MIN_INTERVAL_MS_PER_SERVER = 15;
 
-/** What the own facts need. */
-export interface OwnFactsDependencies {
-  readonly board: FactBoard;
+/** Dependencies of the local facts. */
+export interface LocalFactsDependencies {
+  readonly factStore: FactStore;
   readonly load: LoadView | null;
   readonly readSelf: () => PeerRecord;
   readonly readNowMs: () => number;
 }
 
-/** Keeps this VM's own facts on the board. */
-export interface OwnFacts {
-  /** Puts what changed since the last call on the board. */
+/** Keeps this VM's own facts in the fact store up to date. */
+export interface LocalFacts {
+  /** Writes the facts that changed since the last call to the fact store. */
   refresh(beats: number): void;
 }
 
-/** Creates the keeper of own facts. */
-export function createOwnFacts(deps: OwnFactsDependencies): OwnFacts {
-  const { board, load, readSelf, readNowMs } = deps;
+/** Creates the updater of this VM's own facts. */
+export function createLocalFacts(deps: LocalFactsDependencies): LocalFacts {
+  const { factStore, load, readSelf, readNowMs } = deps;
   const sends = new Map<string, number>();
-  let pulsed = -1;
+  let lastBeats = -1;
 
   const refreshReport = (report: LoadReport, serverCount: number): void => {
     const nowMs = readNowMs();
     const name = report.backendServer;
     const { state, load: fact } = convertReportToFacts(report, nowMs);
-    const onBoard = board.find(`load:${name}`);
+    const stored = factStore.find(`load:${name}`);
     const sent =
-      onBoard?.kind === 'load'
-        ? { fact: onBoard, sentAtMs: board.readWrittenAtMs(`load:${name}`) ?? nowMs }
+      stored?.kind === 'load'
+        ? { fact: stored, sentAtMs: factStore.readWrittenAtMs(`load:${name}`) ?? nowMs }
         : null;
-    const leastMs = serverCount * LOAD_LEAST_MS_PER_SERVER;
+    const leastMs = serverCount * LOAD_MIN_INTERVAL_MS_PER_SERVER;
     const refreshMs = Math.max(LOAD_REFRESH_MS, leastMs);
     const options = { slots: report.slots, nowMs, leastMs, refreshMs };
     if (!isLoadChanged(sent, fact, options)) return;
-    if (JSON.stringify(board.find(`state:${name}`)) !== JSON.stringify(state)) {
-      board.write(`state:${name}`, state, readSelf().vm);
+    if (JSON.stringify(factStore.find(`state:${name}`)) !== JSON.stringify(state)) {
+      factStore.write(`state:${name}`, state, readSelf().vm);
     }
-    board.write(`load:${name}`, fact, readSelf().vm);
+    factStore.write(`load:${name}`, fact, readSelf().vm);
   };
 
   const refreshSends = (): void => {
@@ -65,23 +65,23 @@
       const running = current.get(name) ?? 0;
       if (running === (sends.get(name) ?? 0)) return;
       sends.set(name, running);
-      board.write(`send:${name}`, { kind: 'send', id: computeNameId(name), running }, '');
+      factStore.write(`send:${name}`, { kind: 'send', id: computeNameId(name), running }, '');
     });
   };
 
   return {
     refresh: (beats) => {
       const record = readSelf();
-      const held = board.find(`peer:${record.vm}`);
+      const held = factStore.find(`peer:${record.vm}`);
       if (held?.kind !== 'peer' || JSON.stringify(held.record) !== JSON.stringify(record)) {
-        board.write(`peer:${record.vm}`, { kind: 'peer', record }, record.vm);
+        factStore.write(`peer:${record.vm}`, { kind: 'peer', record }, record.vm);
       }
-      if (beats !== pulsed) {
-        pulsed = beats;
+      if (beats !== lastBeats) {
+        lastBeats = beats;
         const incarnationTag = computeIncarnationTag(record.incarnation);
         const id = computeNameId(record.vm);
         const pulse = { kind: 'pulse', id, incarnationTag, beats } as const;
-        board.write(`pulse:${record.vm}`, pulse, record.vm);
+        factStore.write(`pulse:${record.vm}`, pulse, record.vm);
       }
       const reports = load?.listReports() ?? [];
       reports.forEach((report) => refreshReport(report, reports.length));
--- a/src/application/peers/_lib/createMemberTable/index.ts
+++ b/src/application/peers/_lib/createMemberTable/index.ts
@@ -1,27 +1,27 @@
 import { computeNameId, mergePeerRecord } from '../../../../domain/membership';
 import type { PeerRecord } from '../../../../domain/membership';
 
-/** What is held of one VM; mutable inside the exchange only. */
+/** State of one VM; mutable inside the exchange only. */
 export interface Member {
   record: PeerRecord;
   beats: number;
   /** Incarnation tag under which `beats` was counted. */
   incarnationTag: number;
-  /** Monotonic time at which it surely lived, or null. */
+  /** Latest monotonic time at which the VM is proven to have been alive, or null. */
   heardAtMs: number | null;
-  /** Monotonic time of the last failed call, or null after a good one. */
+  /** Monotonic time of the last failed call, or null after a successful one. */
   failedAtMs: number | null;
   registered: boolean;
   configurationVersion: number;
 }
 
-/** The VMs known here, without this one. */
+/** The other VMs known to this VM. */
 export interface MemberTable {
   find(vm: string): Member | null;
-  /** The VM with this name id; null if unknown or if two names share it. */
+  /** Finds the VM with this name id; null if unknown or if two names share the id. */
   findById(id: number): Member | null;
   list(): readonly Member[];
-  /** Takes a record; gives true if it changed what is held. */
+  /** Merges a record; true if the held record changed. */
   mergeRecord(record: PeerRecord): boolean;
   remove(vm: string): void;
 }
@@ -38,7 +38,7 @@
   };
 }
 
-/** Creates an empty table of members. */
+/** Creates an empty member table. */
 export function createMemberTable(): MemberTable {
   const members = new Map<string, Member>();
   const vmsById = new Map<number, string | null>();
@@ -62,7 +62,7 @@
       }
       const merged = mergePeerRecord(member.record, record);
       if (merged === member.record) return false;
-      // A new process: failures of the old one say nothing of it, nor do its heartbeats.
+      // A new process: neither the failures nor the heartbeats of the old one apply to it.
       if (merged.incarnation > member.record.incarnation) member.failedAtMs = null;
       member.record = merged;
       return true;
--- a/src/application/peers/_lib/createMembershipView/index.ts
+++ b/src/application/peers/_lib/createMembershipView/index.ts
@@ -1,52 +1,52 @@
 import type { PeerRecord } from '../../../../domain/membership';
 import type { PeerFreshness, PeerView } from '../../types';
-import type { FactBoard } from '../createFactBoard';
+import type { FactStore } from '../createFactStore';
 import type { Member, MemberTable } from '../createMemberTable';
 
-/** A VM whose last sign of life is older is not counted as heard. */
-export const HEARD_LIMIT_MS = 5_000;
-/** A VM unheard for this long is forgotten, unless it is registered. */
-export const FORGET_LIMIT_MS = 600_000;
+/** A VM whose last proof of life is older than this no longer counts as heard. */
+export const HEARD_TIMEOUT_MS = 5_000;
+/** A VM not heard for this long is removed, unless it is registered. */
+export const FORGET_TIMEOUT_MS = 600_000;
 
-/** What the view needs. */
+/** Dependencies of the membership view. */
 export interface MembershipViewDependencies {
   readonly readSelf: () => PeerRecord;
   readonly members: MemberTable;
-  readonly board: FactBoard;
+  readonly factStore: FactStore;
   readonly readNowMs: () => number;
   readonly readVersion: () => number;
   readonly readNewestReadAgeMs: () => number | null;
 }
 
-/** Answers about the other VMs. */
+/** Queries on the other VMs. */
 export interface MembershipView {
   isHeard(member: Member): boolean;
-  /** VMs heard in this region, with this one. */
-  countHeardHere(): number;
-  /** VMs known in this region, without this one. */
-  countMembersHere(): number;
+  /** Counts the VMs heard in this region, including this one. */
+  countHeardInRegion(): number;
+  /** Counts the VMs known in this region, excluding this one. */
+  countMembersInRegion(): number;
   listPeers(): readonly PeerView[];
-  /** Names of VMs of this region that live and are not leaving, with this one. */
+  /** Lists the names of this region's VMs that are heard and not leaving, including this one. */
   listLiveVms(): readonly string[];
   findPeerAddress(vm: string): string | null;
   readFreshness(): PeerFreshness;
 }
 
-/** Creates the view of the other VMs. */
+/** Creates the membership view. */
 export function createMembershipView(deps: MembershipViewDependencies): MembershipView {
-  const { readSelf, members, board, readNowMs } = deps;
+  const { readSelf, members, factStore, readNowMs } = deps;
   const isHeard = ({ heardAtMs }: Member): boolean =>
-    heardAtMs !== null && readNowMs() - heardAtMs < HEARD_LIMIT_MS;
-  const isHere = ({ record }: Member): boolean => record.region === readSelf().region;
-  const countHeardHere = (): number =>
-    members.list().filter((member) => isHere(member) && isHeard(member)).length + 1;
-  const countHeardElsewhere = (): number => {
-    const elsewhere = members.list().filter((member) => !isHere(member));
+    heardAtMs !== null && readNowMs() - heardAtMs < HEARD_TIMEOUT_MS;
+  const isInOwnRegion = ({ record }: Member): boolean => record.region === readSelf().region;
+  const countHeardInRegion = (): number =>
+    members.list().filter((member) => isInOwnRegion(member) && isHeard(member)).length + 1;
+  const countHeardInOtherRegions = (): number => {
+    const elsewhere = members.list().filter((member) => !isInOwnRegion(member));
     const regions = [...new Set(elsewhere.map(({ record }) => record.region))];
     return regions
       .map((region) => {
-        const digest = board.find(`region:${region}`);
-        const isFresh = digest?.kind === 'region' && digest.ageMs < HEARD_LIMIT_MS;
+        const digest = factStore.find(`region:${region}`);
+        const isFresh = digest?.kind === 'region' && digest.ageMs < HEARD_TIMEOUT_MS;
         const direct = elsewhere.filter(
           (member) => member.record.region === region && isHeard(member),
         ).length;
@@ -69,14 +69,14 @@
 
   return {
     isHeard,
-    countHeardHere,
-    countMembersHere: () => members.list().filter(isHere).length,
+    countHeardInRegion,
+    countMembersInRegion: () => members.list().filter(isInOwnRegion).length,
     listPeers: () => [convertSelf(), ...members.list().map(convertMember)],
     listLiveVms: () => [
       readSelf().vm,
       ...members
         .list()
-        .filter((member) => isHere(member) && isHeard(member) && !member.record.leaving)
+        .filter((member) => isInOwnRegion(member) && isHeard(member) && !member.record.leaving)
         .map(({ record }) => record.vm),
     ],
     findPeerAddress: (vm) => {
@@ -84,8 +84,8 @@
       return member !== null && isHeard(member) ? member.record.peerAddress : null;
     },
     readFreshness: () => {
-      const vmsHeard = countHeardHere() + countHeardElsewhere();
-      // A VM that is heard and leaving still counts as heard, hence also as registered.
+      const vmsHeard = countHeardInRegion() + countHeardInOtherRegions();
+      // A VM that is heard and leaving still counts as heard, and so also as registered.
       const counted = members.list().filter((member) => !member.record.leaving || isHeard(member));
       return {
         newestReadAgeMs: deps.readNewestReadAgeMs(),
--- a/src/application/peers/_lib/createNewsReader/index.ts
+++ b/src/application/peers/_lib/createNewsReader/index.ts
@@ -2,28 +2,28 @@
 import type { Fact, News } from '../../../../domain/membership';
 import type { VersionSource } from '../../types';
 import type { MemberTable } from '../createMemberTable';
-import type { NewsTaker } from '../createNewsTaker';
-import type { OwnClock } from '../createOwnClock';
+import type { FactMerger } from '../createFactMerger';
+import type { EchoClock } from '../createEchoClock';
 import type { PartnerTable } from '../createPartnerTable';
 
-/** What the reader needs. */
+/** Dependencies of the news reader. */
 export interface NewsReaderDependencies {
   readonly region: string;
   readonly members: MemberTable;
   readonly partners: PartnerTable;
-  readonly ownClock: OwnClock;
-  readonly taker: NewsTaker;
+  readonly echoClock: EchoClock;
+  readonly merger: FactMerger;
   readonly versions: VersionSource;
 }
 
-/** Takes in news. */
+/** Processes received news. */
 export interface NewsReader {
   readNews(news: News): void;
-  /** Monotonic time of the newest table read that peers told of, or null. */
+  /** Monotonic time of the newest table read reported by peers, or null. */
   readHeardReadAtMs(): number | null;
 }
 
-/** The sender's own record and heartbeat, which the header carries. */
+/** Lists the facts in the header: the sender's record and heartbeat. */
 function listHeaderFacts(news: News, region: string): readonly Fact[] {
   const { sender, beats } = news;
   const id = computeNameId(sender.vm);
@@ -33,26 +33,26 @@
   return sender.region === region ? [peer, pulse] : [peer];
 }
 
-/** Creates the reader of news. */
+/** Creates a news reader. */
 export function createNewsReader(deps: NewsReaderDependencies): NewsReader {
-  const { members, partners, ownClock, taker, versions } = deps;
-  let heardReadAtMs: number | null = null;
+  const { members, partners, echoClock, merger, versions } = deps;
+  let newestReadAtMs: number | null = null;
 
   const recordReadAge = (ageMs: number | null, writtenAfterMs: number | null): void => {
     if (ageMs === null || writtenAfterMs === null) return;
     const readAtMs = writtenAfterMs - ageMs;
-    if (heardReadAtMs === null || readAtMs > heardReadAtMs) heardReadAtMs = readAtMs;
+    if (newestReadAtMs === null || readAtMs > newestReadAtMs) newestReadAtMs = readAtMs;
   };
 
   return {
     readNews: (news) => {
       const { vm, incarnation, peerAddress } = news.sender;
       const known = members.find(vm);
-      // News of an earlier process that comes late would undo what its successor told.
+      // Late news of an earlier process would overwrite facts of its successor.
       if (known !== null && incarnation < known.record.incarnation) return;
-      const writtenAfterMs = ownClock.convertEcho(news.echoClockMs);
+      const writtenAfterMs = echoClock.convertEcho(news.echoClockMs);
       partners.recordNews(news);
-      taker.recordFacts([...listHeaderFacts(news, deps.region), ...news.facts], {
+      merger.mergeFacts([...listHeaderFacts(news, deps.region), ...news.facts], {
         vm,
         writtenAfterMs,
       });
@@ -64,9 +64,9 @@
       }
       recordReadAge(news.newestReadAgeMs, writtenAfterMs);
       if (news.configurationVersion > versions.readVersion()) {
-        versions.offerVersion(news.configurationVersion, { vm, peerAddress });
+        versions.recordPeerVersion(news.configurationVersion, { vm, peerAddress });
       }
     },
-    readHeardReadAtMs: () => heardReadAtMs,
+    readHeardReadAtMs: () => newestReadAtMs,
   };
 }
--- a/src/application/peers/_lib/createNewsWriter/index.ts
+++ b/src/application/peers/_lib/createNewsWriter/index.ts
@@ -1,86 +1,86 @@
 import type { Fact, News, PeerRecord } from '../../../../domain/membership';
 import type { VersionSource } from '../../types';
-import type { FactBoard, HeldFact } from '../createFactBoard';
-import type { OwnClock } from '../createOwnClock';
-import type { OwnFacts } from '../createOwnFacts';
+import type { FactStore, StoredFact } from '../createFactStore';
+import type { EchoClock } from '../createEchoClock';
+import type { LocalFacts } from '../createLocalFacts';
 import type { PartnerTable } from '../createPartnerTable';
 import { isFactForRegion } from '../isFactForRegion';
 
-/** Who gets the news. */
+/** Receiver of news. */
 export interface NewsReceiver {
   readonly vm: string;
   readonly region: string;
 }
 
-/** What the writer needs. */
+/** Dependencies of the news writer. */
 export interface NewsWriterDependencies {
   readonly readSelf: () => PeerRecord;
-  readonly board: FactBoard;
+  readonly factStore: FactStore;
   readonly partners: PartnerTable;
-  readonly ownFacts: OwnFacts;
-  readonly ownClock: OwnClock;
+  readonly localFacts: LocalFacts;
+  readonly echoClock: EchoClock;
   readonly versions: VersionSource;
   readonly readNewestReadAgeMs: () => number | null;
-  readonly countHeardHere: () => number;
-  /** True: each VM of the region has a link with each other one. */
+  readonly countHeardInRegion: () => number;
+  /** Whether each VM of the region exchanges news with every other one. */
   readonly isFullMesh: () => boolean;
 }
 
-/** Writes news. */
+/** Builds news for receivers. */
 export interface NewsWriter {
-  /** News with all that the receiver does not have yet. */
+  /** Builds news with all facts that the receiver does not have yet. */
   writeNews(receiver: NewsReceiver): News;
-  /** News with these facts only; the answer needs none. */
+  /** Builds news with the given facts only; the response needs no facts. */
   writeBrief(receiver: NewsReceiver, facts: readonly Fact[]): News;
 }
 
-/** Creates the writer of news. */
+/** Creates a news writer. */
 export function createNewsWriter(deps: NewsWriterDependencies): NewsWriter {
-  const { board, partners, ownClock, versions } = deps;
+  const { factStore, partners, echoClock, versions } = deps;
 
-  const writeHeader = (receiver: NewsReceiver) => {
+  const buildHeader = (receiver: NewsReceiver) => {
     const partner = partners.find(receiver.vm);
     return {
       sender: deps.readSelf(),
-      beats: ownClock.countBeats(),
-      sequence: board.readSequence(),
+      beats: echoClock.countHeartbeats(),
+      sequence: factStore.readSequence(),
       acknowledged: partner.received,
       configurationVersion: versions.readVersion(),
       newestReadAgeMs: deps.readNewestReadAgeMs(),
-      clockMs: ownClock.readShownMs(),
+      clockMs: echoClock.readWireMs(),
       echoClockMs: partner.clockMs,
     };
   };
-  const listOwnRegion = (isSameRegion: boolean): readonly Fact[] => {
+  const listRegionFacts = (isSameRegion: boolean): readonly Fact[] => {
     if (isSameRegion) return [];
     const { region } = deps.readSelf();
-    return [{ kind: 'region', region, heard: deps.countHeardHere(), ageMs: 0 }];
+    return [{ kind: 'region', region, heard: deps.countHeardInRegion(), ageMs: 0 }];
   };
 
-  // Where all are linked, everyone hears of a load from those who polled it: passing it on as well
-  // was most of the bytes of a region of nine.
-  const isWorthRelaying = ({ fact, from }: HeldFact): boolean =>
+  // In a full mesh every VM receives a load from the VM that polled it. Relaying loads as well was
+  // most of the bytes in a region of nine VMs.
+  const mustSend = ({ fact, from }: StoredFact): boolean =>
     fact.kind !== 'load' || from === deps.readSelf().vm || !deps.isFullMesh();
 
   return {
     writeNews: (receiver) => {
-      deps.ownFacts.refresh(ownClock.countBeats());
+      deps.localFacts.refresh(echoClock.countHeartbeats());
       const since = partners.find(receiver.vm).acknowledged;
       const isSameRegion = receiver.region === deps.readSelf().region;
-      const facts = board
+      const facts = factStore
         .listSince(since, receiver.vm)
-        .filter(isWorthRelaying)
+        .filter(mustSend)
         .map(({ fact }) => fact)
         .filter((fact) => isFactForRegion(fact, { isSameRegion, region: receiver.region }));
       return {
-        ...writeHeader(receiver),
+        ...buildHeader(receiver),
         since,
         brief: false,
-        facts: [...facts, ...listOwnRegion(isSameRegion)],
+        facts: [...facts, ...listRegionFacts(isSameRegion)],
       };
     },
     writeBrief: (receiver, facts) => {
-      const header = writeHeader(receiver);
+      const header = buildHeader(receiver);
       return { ...header, since: header.sequence, brief: true, facts };
     },
   };
--- a/src/application/peers/_lib/createPartnerTable/index.ts
+++ b/src/application/peers/_lib/createPartnerTable/index.ts
@@ -1,20 +1,20 @@
 import type { News } from '../../../../domain/membership';
 
-/** How far this VM and a partner have told each other their facts; mutable inside the exchange. */
+/** Progress of the exchange with a partner; mutable inside the exchange only. */
 export interface Partner {
   incarnation: number;
-  /** Own change counter up to which the partner has taken everything. */
+  /** This VM's change counter up to which the partner acknowledged all facts. */
   acknowledged: number;
-  /** The partner's change counter up to which everything was taken here. */
+  /** The partner's change counter up to which this VM received all facts. */
   received: number;
-  /** The partner's newest clock value seen. */
+  /** The newest clock value received from the partner. */
   clockMs: number;
 }
 
 /** Partners by VM. */
 export interface PartnerTable {
   find(vm: string): Partner;
-  /** Takes note of what the news says of counters and clock. */
+  /** Records the counters and the clock value of the news. */
   recordNews(news: News): Partner;
   remove(vm: string): void;
 }
@@ -37,7 +37,7 @@
     find,
     recordNews: (news) => {
       const { vm, incarnation } = news.sender;
-      // A new process has none of what the old one took, and counts from elsewhere.
+      // A new process holds none of the old one's facts and starts its counter elsewhere.
       if (find(vm).incarnation !== incarnation) partners.set(vm, createPartner(incarnation));
       const partner = find(vm);
       partner.acknowledged = Math.max(partner.acknowledged, news.acknowledged);
--- a/src/application/peers/_lib/isFactForRegion/index.ts
+++ b/src/application/peers/_lib/isFactForRegion/index.ts
@@ -1,6 +1,6 @@
 import type { Fact } from '../../../../domain/membership';
 
-/** Kinds that stay inside a region: they change all the time, and others don't route by them. */
+/** Kinds sent only within a region: they change often, and other regions do not route by them. */
 const REGIONAL_KINDS: ReadonlySet<Fact['kind']> = new Set([
   'pulse',
   'load',
@@ -9,10 +9,9 @@
 ]);
 
 /**
- * Tells whether a fact goes to a receiver.
+ * Checks whether a fact is sent to a receiver.
  *
- * @param fact - the fact
- * @param receiver - `isSameRegion` as the sender; its `region`
+ * @param receiver - the receiver's `region`, and whether the sender is in the same one
  */
 export function isFactForRegion(
   fact: Fact,
--- a/src/application/peers/_lib/runLimited/index.ts
+++ b/src/application/peers/_lib/runLimited/index.ts
@@ -1,6 +1,6 @@
 /**
  * Runs an action for each item, at most `limit` at a time, so that a push to a large region does
- * not open hundreds of calls in one go.
+ * not start hundreds of calls at once.
  */
 export async function runLimited<T>(
   items: readonly T[],
--- a/src/application/peers/createPeerExchange/index.ts
+++ b/src/application/peers/createPeerExchange/index.ts
@@ -1,51 +1,53 @@
 import { FULL_MESH_VMS } from '../../../domain/membership';
 import type { PeerRecord, News } from '../../../domain/membership';
 import type { Clock, HealthRegistry, LoadView, Randomness } from '../../ports';
-import { createFactBoard } from '../_lib/createFactBoard';
-import { createHealthSource } from '../_lib/createHealthSource';
-import { createMemberSources } from '../_lib/createMemberSources';
-import type { MemberSources } from '../_lib/createMemberSources';
+import { createFactStore } from '../_lib/createFactStore';
+import { createHealthPublisher } from '../_lib/createHealthPublisher';
+import { createMemberDiscovery } from '../_lib/createMemberDiscovery';
+import type { MemberDiscovery } from '../_lib/createMemberDiscovery';
 import { createMembershipView } from '../_lib/createMembershipView';
 import type { MembershipView } from '../_lib/createMembershipView';
 import { createMemberTable } from '../_lib/createMemberTable';
 import { createNewsReader } from '../_lib/createNewsReader';
-import { createNewsTaker } from '../_lib/createNewsTaker';
+import { createFactMerger } from '../_lib/createFactMerger';
 import { createNewsWriter } from '../_lib/createNewsWriter';
-import { createOwnClock } from '../_lib/createOwnClock';
-import { createOwnFacts } from '../_lib/createOwnFacts';
+import { createEchoClock } from '../_lib/createEchoClock';
+import { createLocalFacts } from '../_lib/createLocalFacts';
 import { createPartnerTable } from '../_lib/createPartnerTable';
-import { createPusher } from '../_lib/createPusher';
-import { createRounds } from '../_lib/createRounds';
+import { createFactPusher } from '../_lib/createFactPusher';
+import { createGossipRounds } from '../_lib/createGossipRounds';
 import type { PeerCalls, VersionSource } from '../types';
 
-/** Change counters start at random below this, see `createFactBoard`. */
-const SEQUENCE_RANGE = 2 ** 20;
+/** Exclusive upper bound of the random start of the change counter, see `createFactStore`. */
+const START_SEQUENCE_RANGE = 2 ** 20;
 
-/** What the exchange needs. */
+/** Dependencies of the exchange. */
 export interface PeerExchangeDependencies {
   /** This VM; `incarnation` must grow with each start, for example wall time in seconds. */
   readonly self: Omit<PeerRecord, 'leaving'>;
-  /** `ip:port` of peers from the settings, for a start while list and table are out of reach. */
+  /** `ip:port` of peers from the settings, for a start while list and table are unavailable. */
   readonly seeds: readonly string[];
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly calls: PeerCalls;
   readonly versions: VersionSource;
-  /** Null at a process that routes nothing. */
+  /** Null in a process that routes no requests. */
   readonly health: HealthRegistry | null;
   readonly load: LoadView | null;
-  /** Names of all configured backend servers. */
+  /** Lists the names of all configured backend servers. */
   readonly listServerNames: () => readonly string[];
 }
 
 /** Exchange of news with the other VMs. */
 export interface PeerExchange
-  extends Omit<MembershipView, 'isHeard' | 'countHeardHere' | 'countMembersHere'>, MemberSources {
-  /** Takes a peer's news and gives this VM's. */
+  extends
+    Omit<MembershipView, 'isHeard' | 'countHeardInRegion' | 'countMembersInRegion'>,
+    MemberDiscovery {
+  /** Processes a peer's news and returns this VM's news. */
   handleNews(news: News): News;
-  /** Tells peers whether this VM is leaving. */
+  /** Records and announces whether this VM is leaving. */
   recordOwnLeaving(leaving: boolean): void;
-  /** Tells a few VMs at once of the version in force here; without it they hear in a round. */
+  /** Sends the version in force at this VM to a few VMs at once, ahead of the next round. */
   sendVersion(): void;
   start(): void;
   stop(): void;
@@ -54,35 +56,35 @@
 /**
  * Creates the exchange of news with the other VMs.
  *
- * In each round this VM gives news to a few stable partners of its region and takes theirs, both
- * only what changed since the last time. Suspicions, recoveries and leaving are pushed to the whole
- * region at once. A few exchanges cross regions, with counts in place of single VMs.
+ * In each round this VM exchanges news with a few stable partners of its region; both sides send
+ * only changes since the last exchange. Suspicions, recoveries and leaving servers are pushed to
+ * the whole region at once. A few exchanges cross regions, with counts in place of single VMs.
  *
- * Evidence that depends on time (a VM lives; the table was read) counts from the newest own clock
- * value that the news proves it was written after. So news that lay in the buffers of a paused
- * process, or was delayed on its way, can't pass for fresh.
+ * Evidence that depends on time (a VM is alive, the table was read) is dated by the newest echoed
+ * value of this VM's clock, which proves that the news was written after it. So news that lay in
+ * the buffers of a paused process, or was delayed on its way, cannot count as fresh.
  */
 export function createPeerExchange(deps: PeerExchangeDependencies): PeerExchange {
   const { clock, randomness, versions, health, load, self } = deps;
-  const ownClock = createOwnClock({ clock, randomness });
-  const { readNowMs } = ownClock;
-  const startSequence = 1 + Math.floor(randomness.readFraction() * SEQUENCE_RANGE);
-  const board = createFactBoard(startSequence, readNowMs);
+  const echoClock = createEchoClock({ clock, randomness });
+  const { readNowMs } = echoClock;
+  const startSequence = 1 + Math.floor(randomness.readFraction() * START_SEQUENCE_RANGE);
+  const factStore = createFactStore(startSequence, readNowMs);
   const members = createMemberTable();
   const partners = createPartnerTable();
   let leaving = false;
-  let isTaking = false;
-  let stopHealthSource = (): void => {};
+  let isMerging = false;
+  let stopHealthPublisher = (): void => {};
   const readSelf = (): PeerRecord => ({ ...self, leaving });
 
-  const taker = createNewsTaker({ self: self.vm, board, members, health, load, readNowMs });
+  const merger = createFactMerger({ self: self.vm, factStore, members, health, load, readNowMs });
   const reader = createNewsReader({
     ...deps,
     region: self.region,
     members,
     partners,
-    ownClock,
-    taker,
+    echoClock,
+    merger,
   });
   const readNewestReadAgeMs = (): number | null => {
     const times = [reader.readHeardReadAtMs(), versions.readTableReadAtMs()];
@@ -92,31 +94,31 @@
   const view = createMembershipView({
     readSelf,
     members,
-    board,
+    factStore,
     readNowMs,
     readVersion: versions.readVersion,
     readNewestReadAgeMs,
   });
   const writer = createNewsWriter({
     readSelf,
-    board,
+    factStore,
     partners,
-    ownFacts: createOwnFacts({ board, load, readSelf, readNowMs }),
-    ownClock,
+    localFacts: createLocalFacts({ factStore, load, readSelf, readNowMs }),
+    echoClock,
     versions,
     readNewestReadAgeMs,
-    countHeardHere: view.countHeardHere,
-    isFullMesh: () => view.countMembersHere() < FULL_MESH_VMS,
+    countHeardInRegion: view.countHeardInRegion,
+    isFullMesh: () => view.countMembersInRegion() < FULL_MESH_VMS,
   });
   const readNews = (news: News): void => {
-    // Changes that a peer's news makes must not be pushed again as if this VM had found them out.
-    isTaking = true;
-    deps.listServerNames().forEach(taker.addServerName);
+    // Health changes caused by a peer's news must not be pushed as if this VM had detected them.
+    isMerging = true;
+    deps.listServerNames().forEach(merger.addServerName);
     reader.readNews(news);
-    isTaking = false;
+    isMerging = false;
   };
-  const rounds = createRounds({ ...deps, members, view, writer, readSelf, readNews });
-  const pusher = createPusher({
+  const rounds = createGossipRounds({ ...deps, members, view, writer, readSelf, readNews });
+  const pusher = createFactPusher({
     clock,
     listReceivers: rounds.listReachable,
     sendFacts: rounds.sendFacts,
@@ -124,7 +126,7 @@
 
   return {
     ...view,
-    ...createMemberSources({ self: self.vm, clock, board, members, partners }),
+    ...createMemberDiscovery({ self: self.vm, clock, factStore, members, partners }),
     handleNews: (news) => {
       readNews(news);
       const receiver = news.sender;
@@ -132,18 +134,18 @@
     },
     recordOwnLeaving: (isLeaving) => {
       leaving = isLeaving;
-      pusher.sendSoon({ kind: 'peer', record: readSelf() });
+      pusher.pushFact({ kind: 'peer', record: readSelf() });
     },
     sendVersion: rounds.sendVersion,
     start: () => {
       if (health !== null) {
-        const { sendSoon } = pusher;
-        stopHealthSource = createHealthSource({
+        const { pushFact } = pusher;
+        stopHealthPublisher = createHealthPublisher({
           self: self.vm,
-          board,
+          factStore,
           health,
-          isTaking: () => isTaking,
-          sendSoon,
+          isMerging: () => isMerging,
+          pushFact,
         });
       }
       rounds.start();
@@ -151,7 +153,7 @@
     stop: () => {
       rounds.stop();
       pusher.stop();
-      stopHealthSource();
+      stopHealthPublisher();
     },
   };
 }
--- a/src/application/peers/types/PeerCalls.ts
+++ b/src/application/peers/types/PeerCalls.ts
@@ -2,9 +2,9 @@
 import type { News } from '../../../domain/membership';
 import type { PeerError } from './PeerError';
 
-/** Calls that one process makes to another. Addresses are `ip:port`; times in milliseconds. */
+/** Calls between processes. Addresses are `ip:port`, times are in milliseconds. */
 export interface PeerCalls {
-  /** Gives news and takes the peer's. */
+  /** Sends news and returns the peer's news. */
   sendNews(
     peerAddress: string,
     news: News,
--- a/src/application/peers/types/PeerFreshness.ts
+++ b/src/application/peers/types/PeerFreshness.ts
@@ -1,9 +1,9 @@
-/** What the freshness rule of the configuration needs to know. */
+/** Input of the rule that decides whether this VM's configuration is fresh. */
 export interface PeerFreshness {
-  /** Age of the newest table read by any VM in reach, in milliseconds, or null if none is known. */
+  /** Age of the newest known table read by any VM, in milliseconds, or null if none is known. */
   readonly newestReadAgeMs: number | null;
-  /** VMs heard lately, with this one. */
+  /** Number of VMs heard of recently, including this one. */
   readonly vmsHeard: number;
-  /** VMs that the list, the registrations or peers name, with this one. */
+  /** Number of VMs named by the list, the registrations or peers, including this one. */
   readonly vmsRegistered: number;
 }
--- a/src/application/peers/types/PeerServices.ts
+++ b/src/application/peers/types/PeerServices.ts
@@ -1,16 +1,16 @@
 import type { News } from '../../../domain/membership';
 import type { DecisionLog, Generations } from '../../ports';
 
-/** What a process offers to its peers and to operators. */
+/** Services that a process offers to peers and operators. */
 export interface PeerServices {
   handleNews(news: News): News;
-  /** Generations that this VM holds; null at a process that runs none (the keeper). */
+  /** Generations held by this VM; null in a process that runs none (the keeper). */
   readonly generations: Pick<Generations, 'findGeneration' | 'cancelGeneration'> | null;
   readonly decisions: Pick<DecisionLog, 'listDecisions'>;
-  /** The configuration in force here as the table's row has it; null if not above `newerThan`. */
+  /** Returns the configuration in force as encoded in its row; null if not above `newerThan`. */
   readEncoded(newerThan: number): { readonly version: number; readonly body: string } | null;
-  /** Status as documented in docs/operators/status.md; must convert to JSON. */
+  /** Returns the status documented in docs/operators/status.md; must be convertible to JSON. */
   readStatus(): unknown;
-  /** Begins a graceful shutdown; gives the number of requests still running. */
+  /** Starts a graceful shutdown; returns the number of requests still running. */
   drain(): number;
 }
--- a/src/application/peers/types/PeerView.ts
+++ b/src/application/peers/types/PeerView.ts
@@ -1,11 +1,11 @@
 import type { PeerRecord } from '../../../domain/membership';
 
-/** What this VM holds of another, or of itself. */
+/** This VM's view of another VM, or of itself. */
 export interface PeerView extends PeerRecord {
-  /** Milliseconds since it surely lived, or null if it was not heard since this process started. */
+  /** Milliseconds since proof that the VM was alive, or null if there was none in this process. */
   readonly heardAgeMs: number | null;
-  /** True: the platform's list or the table's registrations name it. */
+  /** Whether the platform's list or the table's registrations name the VM. */
   readonly registered: boolean;
-  /** Version in force there as last heard, 0 if unknown. */
+  /** Version last reported by the VM, 0 if unknown. */
   readonly configurationVersion: number;
 }
