--- a/src/application/forwarding/_lib/chooseStreamServers/test.ts
+++ b/src/application/forwarding/_lib/chooseStreamServers/test.ts
@@ -29,7 +29,7 @@
           asked.push(id);
           return buildServerReport({});
         },
-        readHeldParts: async ({ id }: { readonly id: string }) =>
+        readCachedPromptParts: async ({ id }: { readonly id: string }) =>
           new Map(id === holder ? [['p', 7900]] : []),
       },
     },
--- a/src/application/forwarding/_lib/findPromptHolder/index.ts
+++ b/src/application/forwarding/_lib/findPromptHolder/index.ts
@@ -20,7 +20,7 @@
   const held = await Promise.all(
     candidates.map(async (status) => ({
       status,
-      tokens: (await client.readHeldParts(status.entry)).get(last.id) ?? 0,
+      tokens: (await client.readCachedPromptParts(status.entry)).get(last.id) ?? 0,
     })),
   );
   const best = held.reduce((most, one) => (one.tokens > most.tokens ? one : most), {
--- a/src/application/forwarding/_lib/openStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/openStreamAttempt/index.ts
@@ -122,7 +122,7 @@
       lastEventId: offset > 0 ? offset : context.request.lastEventId,
       backupAddress: backup?.address ?? null,
       copy,
-      ownConnection: true,
+      newConnection: true,
     },
     attempt.abort.signal,
   );
--- a/src/application/forwarding/_lib/sendCallAttempt/index.ts
+++ b/src/application/forwarding/_lib/sendCallAttempt/index.ts
@@ -69,7 +69,7 @@
         lastEventId: null,
         backupAddress: null,
         copy: null,
-        ownConnection: false,
+        newConnection: false,
       },
       AbortSignal.any([reply.left, timeout.signal]),
     );
--- a/src/application/ports/ConfigurationView.ts
+++ b/src/application/ports/ConfigurationView.ts
@@ -2,8 +2,8 @@
 
 /** The configuration in force at this VM. Its version never goes down. */
 export interface ConfigurationView {
-  /** The newest known, or null before the first was read. */
+  /** Returns the newest known configuration, or null before the first was read. */
   readCurrent(): VersionedConfiguration | null;
-  /** Calls `listener` after each change; the returned function stops that. */
+  /** Calls `listener` after each change; the returned function removes the listener. */
   addListener(listener: (current: VersionedConfiguration) => void): () => void;
 }
--- a/src/application/ports/EngineClient.ts
+++ b/src/application/ports/EngineClient.ts
@@ -9,16 +9,16 @@
 } from '../../domain/types';
 import type { EngineError } from './EngineError';
 
-/** One attempt as sent to an engine. */
+/** An attempt as sent to an engine. */
 export interface AttemptStart {
   readonly request: GenerationRequest;
-  /** Model and adapter names as the engine knows them; no adapter is the empty string. */
+  /** Model and adapter names as the engine knows them; the adapter is empty if there is none. */
   readonly model: string;
   readonly adapter: string;
   readonly streamId: string;
-  /** Tokens already held: the engine goes on after exactly these. */
+  /** Tokens generated so far; the engine continues after exactly these. */
   readonly prefixTokenIds: readonly number[];
-  /** Higher is served first. */
+  /** Higher priorities are served first. */
   readonly priority: number;
 }
 
@@ -26,7 +26,7 @@
 export interface EngineStream {
   /** Yields batches in order; ends after a batch with a finish reason, or with one error. */
   readonly batches: AsyncIterable<Result<TokenBatch, EngineError>>;
-  /** Stops reading; the engine keeps the stream for a while, so that it can be resumed. */
+  /** Stops reading; the engine keeps the stream for a while, so that it can be resumed later. */
   detach(): void;
 }
 
@@ -49,6 +49,6 @@
     afterSequence: number,
   ): Promise<Result<readonly CacheEvent[], EngineError>>;
   sendOrder(server: BackendServer, order: EngineOrder): Promise<Result<void, EngineError>>;
-  /** Asks whether it answers at all. */
+  /** Checks whether the server answers at all. */
   probe(server: BackendServer): Promise<Result<void, EngineError>>;
 }
--- a/src/application/ports/EventLog.ts
+++ b/src/application/ports/EventLog.ts
@@ -1,7 +1,7 @@
-/** Fields of an event; never dossier text or keys. */
+/** Fields of an event; must not contain text of customers' documents or keys. */
 export type EventFields = Readonly<Record<string, string | number | boolean>>;
 
-/** Takes structured log events other than routing decisions. */
+/** Log of structured events other than routing decisions. */
 export interface EventLog {
   info(message: string, fields: EventFields): void;
   warn(message: string, fields: EventFields): void;
--- a/src/application/ports/ForwardClient.ts
+++ b/src/application/ports/ForwardClient.ts
@@ -7,72 +7,75 @@
   ServerSignals,
 } from '../../domain/forwarding';
 
-/** Where a copy of a run's KV memory lies. */
+/** Location of a copy of a run's KV cache. */
 export interface KvCopy {
-  /** IP:PORT of the server that knows the handle: the copy's holder, or the one it was made at. */
+  /** IP:PORT of the server that knows the handle: the one that holds the copy, or made it. */
   readonly address: string;
   readonly handle: string;
 }
 
-/** One attempt of a request at one server. */
+/** An attempt to run a request on one server. */
 export interface AttemptRequest {
   readonly server: ServerEntry;
   readonly request: ForwardedRequest;
-  /** Null: the route needs no key. */
+  /** Null if the route requires no API key. */
   readonly workspace: string | null;
-  /** Rank among the requests that wait at the server, 0 to 9; 0 is the most urgent. */
+  /** Priority in the server's queue, from 0, the most urgent, to 9. */
   readonly priority: number;
-  /** What is left of the caller's time. */
+  /** Time left until the caller's deadline. */
   readonly remainingMs: number;
-  /** The stream goes on after this event; null for a new one. */
+  /** The stream continues after this event; null for a new stream. */
   readonly lastEventId: number | null;
-  /** Server to which the run's KV memory is copied as it grows; null for none. */
+  /** Server to which the run's KV cache is copied as it grows; null for none. */
   readonly backupAddress: string | null;
-  /** Copy from which the run goes on; null to read the prompt. */
+  /** Copy of the KV cache from which the run continues; null to prefill the prompt. */
   readonly copy: KvCopy | null;
-  /** True: on a connection made for it. One that was idle may be dead: what is sent on it is lost. */
-  readonly ownConnection: boolean;
+  /** Whether to open a new connection: an idle one may be dead, and a request sent on it lost. */
+  readonly newConnection: boolean;
 }
 
-/** An answer whose body is still arriving. */
+/** A response whose body is still arriving. */
 export interface AttemptAnswer {
   readonly head: AnswerHead;
-  /** Throws if the answer breaks off. */
+  /** Throws if the response breaks off. */
   readonly body: AsyncIterable<Buffer>;
 }
 
-/** Failure of an attempt before its answer's head. */
+/** Failure of an attempt before the head of the response. */
 export type AttemptError =
-  /** Surely no byte of it was sent. */
+  /** No byte of the request was sent. */
   | { readonly kind: 'not-started'; readonly reason: string }
-  /** It was sent, or may have been. */
+  /** The request was sent, or may have been. */
   | { readonly kind: 'broken'; readonly reason: string }
   | { readonly kind: 'cancelled'; readonly sent: boolean };
 
-/** Why a run could not be copied. */
+/** Failure to copy a run. */
 export interface CopyError {
   readonly reason: string;
-  /** The memory that the server itself kept of a run which it had stopped already, if any. */
+  /** The KV cache that the server kept of a run that had already stopped, or null. */
   readonly kept: KvCopy | null;
 }
 
-/** Who serves at an address. */
+/** Identity of the server at an address. */
 export interface ServerIdentity extends ServerSignals {
   readonly id: string;
 }
 
-/** Calls to backend servers. Sends each attempt once: repeating is the caller's decision. */
+/** Client of backend servers. Sends each attempt once; retries are up to the caller. */
 export interface ForwardClient {
-  /** An abort of `signal` closes the connection at once, at any time until the body has ended. */
+  /**
+   * Sends an attempt. Aborting `signal` closes the connection at once, at any time until the body
+   * has ended.
+   */
   sendAttempt(
     attempt: AttemptRequest,
     signal: AbortSignal,
   ): Promise<Result<AttemptAnswer, AttemptError>>;
   /**
-   * Copies the KV memory of a run to another server; called again, only what is new is copied.
+   * Copies the KV cache of a run to another server; later calls copy only what was added since.
    *
-   * @param options.stops - the run ends first, so that the copy is whole
-   * @returns where to go on from
+   * @param options.stops - whether to stop the run first, so that the copy is complete
+   * @returns the copy from which the run can continue
    */
   copyRun(
     from: ServerEntry,
@@ -80,14 +83,14 @@
     to: ServerEntry,
     options: { readonly stops: boolean },
   ): Promise<Result<KvCopy, CopyError>>;
-  /** Frees a copy that nothing goes on from, at both servers. */
+  /** Frees an unused copy at both servers. */
   dropCopy(from: ServerEntry, handle: string): void;
-  /** Asks a server what it does, without a slot of it; null if it does not answer. */
+  /** Reads a server's load report, which uses none of its slots; null if it does not answer. */
   readReport(server: ServerEntry): Promise<ServerReport | null>;
-  /** Asks who serves at a server's address; null if nobody says so at once. */
+  /** Reads which server runs at an address; null if none answers at once. */
   readIdentity(server: ServerEntry, healthPath: string): Promise<ServerIdentity | null>;
-  /** Tokens that a server keeps of parts of prompts, by id; empty if it does not answer. */
-  readHeldParts(server: ServerEntry): Promise<ReadonlyMap<string, number>>;
-  /** Closes idle connections of a server that is gone. */
+  /** Reads the cached tokens of prompt parts, by part id; empty if the server does not answer. */
+  readCachedPromptParts(server: ServerEntry): Promise<ReadonlyMap<string, number>>;
+  /** Closes the idle connections to a server that was removed. */
   removeServer(id: string): void;
 }
--- a/src/application/ports/Generations.ts
+++ b/src/application/ports/Generations.ts
@@ -1,19 +1,19 @@
 import type { Result } from 'neverthrow';
 import type { Cursor, GenerationRequest, RunState, TokenBatch } from '../../domain/types';
 
-/** Final error of a generation as the caller gets it. */
+/** Final error of a generation as sent to the caller. */
 export interface GenerationError {
   /** Stable code, for example `queue_full` or `prefix_mismatch`. */
   readonly code: string;
   readonly message: string;
-  /** HTTP status if nothing was sent yet. */
+  /** HTTP status, used if nothing was sent to the caller yet. */
   readonly status: number;
   readonly runState: RunState;
-  /** When to come back, in milliseconds; 0 if that cannot help. */
+  /** Delay before a retry, in milliseconds; 0 if a retry cannot succeed. */
   readonly retryAfterMs: number;
 }
 
-/** One event of a generation as a caller gets it. */
+/** An event of a generation as sent to a caller. */
 export type GenerationEvent =
   | { readonly kind: 'tokens'; readonly batch: TokenBatch; readonly cursor: Cursor }
   | { readonly kind: 'failed'; readonly error: GenerationError };
@@ -21,26 +21,26 @@
 /** One caller's view of a generation; several may follow the same one. */
 export interface GenerationFeed {
   readonly generationId: string;
-  /** Batches in order from the asked offset; ends after a finish reason or a failure. */
+  /** Events in order from the requested offset; ends after a finish reason or a failure. */
   readonly events: AsyncIterable<GenerationEvent>;
-  /** The caller is gone; the generation goes on for the configured time. */
+  /** Detaches the caller; the generation continues for the configured time. */
   detach(): void;
 }
 
-/** A caller that comes back with a cursor it was given. */
+/** Request of a caller that resumes a generation from a cursor. */
 export interface ResumeRequest {
   readonly requestId: string;
-  /** Verified, and of the caller's own workspace. */
+  /** Verified to be authentic and of the caller's own workspace. */
   readonly cursor: Cursor;
-  /** Tokens that the caller holds, if it sends them. */
+  /** Tokens that the caller already received, if the caller sends them. */
   readonly prefixTokenIds: readonly number[] | null;
   /** The original request, if the caller sends it again. */
   readonly request: GenerationRequest | null;
 }
 
-/** Generations that this entry runs or relays. */
+/** Generations that this VM runs or relays. */
 export interface Generations {
-  /** Starts a generation, or attaches to the one that the same key already has. */
+  /** Starts a generation, or attaches to the one that the same idempotency key already started. */
   startGeneration(
     request: GenerationRequest,
     signal: AbortSignal,
@@ -49,7 +49,7 @@
     resume: ResumeRequest,
     signal: AbortSignal,
   ): Promise<Result<GenerationFeed, GenerationError>>;
-  /** Follows a generation held in this VM's memory, for a peer; null if it is not held. */
+  /** Attaches a peer to a generation held in this VM's memory; null if it is not held. */
   findGeneration(workspace: string, generationId: string, offset: number): GenerationFeed | null;
   cancelGeneration(workspace: string, generationId: string): Promise<boolean>;
   countRunning(): number;
--- a/src/application/ports/LoadView.ts
+++ b/src/application/ports/LoadView.ts
@@ -1,18 +1,18 @@
 import type { CacheEvent, LoadReport } from '../../domain/types';
 
 /** Attempts that a peer has running on a server. */
-export interface PeerSends {
+export interface PeerAttempts {
   readonly backendServer: string;
   readonly running: number;
 }
 
-/** What this VM knows of the load of back ends: late reports, corrected by own and peers' sends. */
+/** Load of backend servers: delayed reports, corrected by the attempts of this VM and its peers. */
 export interface LoadView {
-  /** Takes a report if it is newer than the one held. */
+  /** Records a report if it is newer than the held one. */
   recordReport(report: LoadReport): void;
   recordCacheEvents(backendServer: string, events: readonly CacheEvent[]): void;
-  recordPeerSends(vm: string, sends: readonly PeerSends[]): void;
+  recordPeerSends(vm: string, sends: readonly PeerAttempts[]): void;
   listReports(): readonly LoadReport[];
-  /** Own running attempts by server, for sharing with peers. */
-  listOwnSends(): readonly PeerSends[];
+  /** Lists this VM's running attempts by server, to be sent to peers. */
+  listOwnSends(): readonly PeerAttempts[];
 }
--- a/src/application/ports/PeerConfigurations.ts
+++ b/src/application/ports/PeerConfigurations.ts
@@ -1,6 +1,6 @@
 import type { Result } from 'neverthrow';
 
-/** A version as `encodeConfigurationRow` writes it. */
+/** A configuration version, encoded by `encodeConfigurationRow`. */
 export interface EncodedConfiguration {
   readonly version: number;
   readonly body: string;
@@ -8,7 +8,7 @@
 
 /** Configurations held by other VMs, for a VM that cannot read the table. */
 export interface PeerConfigurations {
-  /** Reads the peer's configuration; null if it holds none above `newerThan`. */
+  /** Reads the peer's configuration; null if its version is not above `newerThan`. */
   readConfiguration(
     peerAddress: string,
     newerThan: number,
--- a/src/application/ports/PeerGenerations.ts
+++ b/src/application/ports/PeerGenerations.ts
@@ -1,9 +1,9 @@
 import type { Result } from 'neverthrow';
 import type { GenerationFeed } from './Generations';
 
-/** Generations held by other VMs, reached over connect. */
+/** Generations held by other VMs, reached over the Connect protocol. */
 export interface PeerGenerations {
-  /** Attaches to a generation at the VM, or fails soon if the VM is dead or does not hold it. */
+  /** Attaches to a generation at a VM; fails fast if the VM is dead or does not hold it. */
   attachGeneration(
     target: { readonly vm: string; readonly peerAddress: string },
     generation: {
@@ -16,6 +16,6 @@
     target: { readonly vm: string; readonly peerAddress: string },
     generation: { readonly generationId: string; readonly workspace: string },
   ): Promise<boolean>;
-  /** Peer address of a VM that was heard lately, or null. */
+  /** Finds the peer address of a VM heard of recently, or null. */
   findPeerAddress(vm: string): string | null;
 }
--- a/src/application/ports/PlainClient.ts
+++ b/src/application/ports/PlainClient.ts
@@ -1,7 +1,7 @@
 import type { Result } from 'neverthrow';
 import type { BackendServer } from '../../domain/types';
 
-/** A call to a plain service, held whole so that it can go to a second server. */
+/** A call to a plain service, held in full so that it can be retried on another server. */
 export interface PlainCall {
   readonly requestId: string;
   readonly method: string;
@@ -9,27 +9,30 @@
   readonly path: string;
   readonly headers: Readonly<Record<string, string>>;
   readonly body: Uint8Array;
-  /** False: it must not be sent on a kept connection, whose end would not tell whether it ran. */
+  /**
+   * Whether the call is idempotent. If not, it must not use a kept-alive connection, whose loss
+   * would leave unknown whether the call ran.
+   */
   readonly repeatable: boolean;
 }
 
-/** Answer of a plain service; the body is still arriving. */
+/** Response of a plain service; the body is still arriving. */
 export interface PlainResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | readonly string[]>>;
-  /** Throws if the answer breaks off. */
+  /** Throws if the response breaks off. */
   readonly body: AsyncIterable<Uint8Array>;
 }
 
-/** Failure of a call before the answer's first byte. */
+/** Failure of a call before the first byte of the response. */
 export type PlainError =
-  /** Surely no byte of it was sent. */
+  /** No byte of the call was sent. */
   | { readonly kind: 'not-started'; readonly reason: string }
-  /** It was sent, or may have been. */
+  /** The call was sent, or may have been. */
   | { readonly kind: 'broken'; readonly reason: string }
   | { readonly kind: 'cancelled'; readonly sent: boolean };
 
-/** Calls to plain services. Sends each call once: repeating is the caller's decision. */
+/** Client of plain services. Sends each call once; retries are up to the caller. */
 export interface PlainClient {
   sendCall(
     server: BackendServer,
--- a/src/application/ports/RowSource.ts
+++ b/src/application/ports/RowSource.ts
@@ -1,33 +1,39 @@
 import type { Result } from 'neverthrow';
 
-/** A row of a shared table as it was stored. */
+/** A stored row of a shared table. */
 export interface SharedRow {
   readonly key: string;
-  /** Null: the row was removed. */
+  /** Null if the row was removed. */
   readonly value: Buffer | null;
-  /** Grows with each change of any row, also when the store comes back from a copy (`computeRowVersion`). */
+  /**
+   * Grows with each change of any row, also after the store is restored from a backup
+   * (`computeRowVersion`).
+   */
   readonly version: number;
 }
 
-/** Rows that changed, and up to which version nothing is missing. */
+/** Changed rows, and the version up to which they are complete. */
 export interface RowChanges {
   readonly rows: readonly SharedRow[];
   readonly version: number;
-  /** The store's own steady clock at its answer, in milliseconds, if it told it. */
+  /** The store's monotonic clock at its response in milliseconds, if the response carries it. */
   readonly storeMs?: number;
 }
 
 /** Failure of a read of shared rows. */
 export type RowError =
-  /** It may work again later, also at another source. */
+  /** A retry, or another source, may succeed. */
   | { readonly kind: 'unavailable'; readonly reason: string }
-  /** Changes since that version are not known, or the store came back from a copy: read all rows anew. */
+  /**
+   * The source no longer knows the changes since that version, or the store was restored from a
+   * backup; the caller must read all rows again.
+   */
   | { readonly kind: 'history-lost' };
 
-/** Gives the rows of shared tables: the platform's store, or another VM that follows it. */
+/** Source of the rows of shared tables: the platform's store, or a VM that follows the store. */
 export interface RowSource {
   readRows(table: string): Promise<Result<RowChanges, RowError>>;
-  /** Waits up to `waitMs` for a change after `version`. */
+  /** Long-polls for changes after `version`, for up to `waitMs`. */
   followRows(
     table: string,
     options: { readonly version: number; readonly waitMs: number },
--- a/src/application/ports/TableItem.ts
+++ b/src/application/ports/TableItem.ts
@@ -6,7 +6,7 @@
   readonly revision: number;
   /** JSON text. */
   readonly body: string;
-  /** When the platform may remove the row, seconds since the epoch; 0 means never. */
+  /** When the platform may remove the row, in seconds since the epoch; 0 means never. */
   readonly expiresAtS: number;
 }
 
--- a/src/application/rows/createZoneReplication/index.ts
+++ b/src/application/rows/createZoneReplication/index.ts
@@ -12,20 +12,20 @@
 import type { RowFollower, StatementsResponse, StatementsRequest } from '../types';
 
 /** A VM that may read the store for its availability zone. */
-export interface RowReader extends RowReaderCandidate {
+export interface StoreReaderVm extends RowReaderCandidate {
   readonly address: string;
 }
 
 /** Dependencies of the zone replication. */
 export interface ZoneReplicationDependencies {
-  readonly self: RowReader;
+  readonly self: StoreReaderVm;
   /** Age limits of copied rows; null: every VM follows the store itself. */
   readonly sharing: Sharing | null;
   readonly pair: FollowerPair;
   /** The followers of the pair, by table. */
   readonly followers: ReadonlyMap<string, RowFollower>;
   /** Lists the other VMs heard of recently. */
-  readonly listMembers: () => readonly RowReader[];
+  readonly listMembers: () => readonly StoreReaderVm[];
   /** Sends a request to a VM; null if it does not answer in time. */
   readonly requestStatements: (
     address: string,
@@ -104,12 +104,12 @@
   let nextReadMs = -Infinity;
   let stopLoop = (): void => undefined;
 
-  const listZoneVms = (): readonly RowReader[] =>
+  const listZoneVms = (): readonly StoreReaderVm[] =>
     listMembers().filter(({ availabilityZone }) => availabilityZone === self.availabilityZone);
 
   const isReader = (): boolean => source === null || source === self.vm;
 
-  const setSource = (next: RowReader): void => {
+  const setSource = (next: StoreReaderVm): void => {
     pair.setFollowing(next.vm === self.vm);
     if (source === next.vm) return;
     log.info('rows source chosen', {
@@ -132,7 +132,7 @@
 
   /** Merges a VM's statements; returns the pause before the next request. */
   const mergeStatements = (
-    reader: RowReader,
+    reader: StoreReaderVm,
     { heldMs, isCutOff, tables }: StatementsResponse,
     sentAtMs: number,
   ): number => {
@@ -151,7 +151,7 @@
     return sources.isStoreUnavailable() ? OUTAGE_PAUSE_MS : BATCH_PAUSE_MS;
   };
 
-  const followReader = async (reader: RowReader, leftMs: number): Promise<number> => {
+  const followReader = async (reader: StoreReaderVm, leftMs: number): Promise<number> => {
     const timeoutMs = Math.min(freshMs + 2 * RESPONSE_MS, Math.max(MIN_REQUEST_MS, leftMs));
     const request = buildRequest(Math.max(0, timeoutMs - RESPONSE_MS));
     const sentAtMs = clock.readMonotonicMs();
--- a/src/application/rows/index.ts
+++ b/src/application/rows/index.ts
@@ -7,7 +7,7 @@
 export { createRowFollower } from './createRowFollower';
 export {
   createZoneReplication,
-  type RowReader,
+  type StoreReaderVm,
   type ZoneReplication,
   type ZoneReplicationDependencies,
 } from './createZoneReplication';
--- a/standins/model/createModelClient/index.ts
+++ b/standins/model/createModelClient/index.ts
@@ -98,7 +98,7 @@
       return { ...report, eventsByRun };
     },
     readIdentity: async ({ id }) => ({ id, isLeaving: false, limitPerS: null }),
-    readHeldParts: async () => new Map(),
+    readCachedPromptParts: async () => new Map(),
     removeServer: () => undefined,
   };
 };
