--- a/src/application/forwarding/_lib/askServers/index.ts
+++ b/src/application/forwarding/_lib/askServers/index.ts
@@ -2,7 +2,7 @@
 import type { StreamRun } from '../../types';
 
 /** A server that was asked, and what it said of itself; what is on its way is added at the choice. */
-export type AnsweringServer = Omit<ReportedServer, 'unreadTokens'>;
+export type AnsweringServer = Omit<ReportedServer, 'pendingPrefillTokens'>;
 
 /**
  * Time that the others get once a server has answered: sound ones take some milliseconds, and those
--- a/src/application/forwarding/_lib/checkStreamStart/index.ts
+++ b/src/application/forwarding/_lib/checkStreamStart/index.ts
@@ -1,8 +1,8 @@
 import {
-  computeReturnMs,
-  decideStream,
-  hasTimeToRead,
-  type StreamDecision,
+  computeRetryAfterMs,
+  decideStreamAdmission,
+  hasTimeForPrefill,
+  type StreamAdmission,
 } from '../../../../domain/forwarding';
 import type { Refusal, StreamRun, StreamServers } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
@@ -16,18 +16,18 @@
   const leftMs = context.deadlineAtMs - dependencies.clock.readMonotonicMs();
   const draw = dependencies.randomness.readFraction();
   const overloadMs = overload.readOverloadMs(context.service);
-  const decide = (): StreamDecision => {
+  const decide = (): StreamAdmission => {
     // Who has part of an answer waits for the rest of it: late is better than refused.
     const hasBegun = context.request.lastEventId !== null;
     if (predictedMs === null || hasPrompt || hasBegun) {
       const prefillMs = estimateRunPrefill(run).ownMs;
-      const hasTime = hasPrompt || hasTimeToRead({ leftMs, latencyGoalMs, prefillMs });
+      const hasTime = hasPrompt || hasTimeForPrefill({ leftMs, latencyGoalMs, prefillMs });
       if (hasTime) return { kind: 'send' };
       const reason = 'less time is left than the prompt takes to read';
-      const returnMs = computeReturnMs({ waitMs: 0, outageMs: overloadMs, leftMs, draw });
+      const returnMs = computeRetryAfterMs({ waitMs: 0, outageMs: overloadMs, leftMs, draw });
       return { kind: 'refuse', reason, returnMs };
     }
-    return decideStream({
+    return decideStreamAdmission({
       predictedMs,
       isFree,
       latencyGoalMs,
--- a/src/application/forwarding/_lib/chooseStreamServers/index.ts
+++ b/src/application/forwarding/_lib/chooseStreamServers/index.ts
@@ -1,7 +1,7 @@
 import {
   countPromptTokens,
-  chooseForwardServer,
-  rankServers,
+  chooseLeastLoadedServer,
+  rankServersByPrompt,
   type ServerEntry,
   type ServerStatus,
 } from '../../../../domain/forwarding';
@@ -49,7 +49,7 @@
 ): StreamServers => {
   const { randomness } = run.dependencies;
   const backup = keepsBackups(run, server)
-    ? chooseForwardServer(run.context.servers.listHolders(server), {
+    ? chooseLeastLoadedServer(run.context.servers.listHolders(server), {
         excludedIds: new Set([...excludedIds, server.id]),
         avoidedZone: server.availabilityZone,
         preferredZone: null,
@@ -75,7 +75,7 @@
  */
 const chooseUnasked = (run: StreamRun, excludedIds: ReadonlySet<string>): StreamServers | null => {
   const { availabilityZone, randomness } = run.dependencies;
-  const status = chooseForwardServer(run.context.servers.list(), {
+  const status = chooseLeastLoadedServer(run.context.servers.list(), {
     excludedIds,
     avoidedZone: null,
     preferredZone: availabilityZone,
@@ -112,7 +112,7 @@
 ): readonly ServerStatus[] => {
   const { request, servers } = run.context;
   const allowed = servers.list().filter(({ entry }) => !excludedIds.has(entry.id));
-  return rankServers(allowed, request.promptParts.at(-1)?.id ?? request.requestId, count);
+  return rankServersByPrompt(allowed, request.promptParts.at(-1)?.id ?? request.requestId, count);
 };
 
 /**
--- a/src/application/forwarding/_lib/chooseStreamServers/test.ts
+++ b/src/application/forwarding/_lib/chooseStreamServers/test.ts
@@ -43,7 +43,7 @@
       },
       route: { latencyGoalMs: 4500 },
     },
-    paces: { readEnginePaces: () => ({ readingMsPerToken: 0.125, runMs: 6000 }) },
+    paces: { readEnginePaces: () => ({ prefillMsPerToken: 0.125, runMs: 6000 }) },
     copy: null,
     readState: () => ({ offset }),
   } as unknown as StreamRun;
--- a/src/application/forwarding/_lib/forwardCall/index.ts
+++ b/src/application/forwarding/_lib/forwardCall/index.ts
@@ -1,4 +1,4 @@
-import { chooseForwardServer, RouteKind } from '../../../../domain/forwarding';
+import { chooseLeastLoadedServer, RouteKind } from '../../../../domain/forwarding';
 import type { ForwardContext, ForwardingDependencies, Refusal } from '../../types';
 import { buildQuarantineRefusal } from '../buildQuarantineRefusal';
 import { createCallCrashes } from '../createCallCrashes';
@@ -64,7 +64,7 @@
       return refuse(dependencies, context, { kind, reason: lastReason, retryAfterMs: 0 });
     }
     if (crashes.hasCrashedOften() || crashes.readQuarantineMs() > 0) break;
-    const status = chooseForwardServer(servers.list(), {
+    const status = chooseLeastLoadedServer(servers.list(), {
       excludedIds,
       avoidedZone: null,
       preferredZone: dependencies.availabilityZone,
--- a/src/application/forwarding/_lib/moveRun/index.ts
+++ b/src/application/forwarding/_lib/moveRun/index.ts
@@ -1,8 +1,8 @@
 import { ok, type Result } from 'neverthrow';
 import {
-  chooseForwardServer,
-  countNeededTokens,
-  hasCopyRoom,
+  chooseLeastLoadedServer,
+  countNeededKvTokens,
+  hasMemoryForCopy,
   type ServerEntry,
 } from '../../../../domain/forwarding';
 import type { CopyError, KvCopy } from '../../../ports';
@@ -24,7 +24,7 @@
   const holders = run.context.servers
     .listHolders(source)
     .filter(({ entry }) => limits.readLimitPerS(entry.id) === null);
-  const status = chooseForwardServer(holders, {
+  const status = chooseLeastLoadedServer(holders, {
     excludedIds: new Set([source.id]),
     avoidedZone: null,
     preferredZone: source.availabilityZone,
@@ -71,7 +71,7 @@
   const holder = chooseHolder(run, attempt.server);
   const report = holder && (await client.readReport(holder));
   // Where memory is scarce a copy takes the place of a run, which is read again for it.
-  if (!holder || !report || !hasCopyRoom(report, countNeededTokens(request))) return false;
+  if (!holder || !report || !hasMemoryForCopy(report, countNeededKvTokens(request))) return false;
   // Before the run is stopped: one that may not be sent again would stand still.
   if (!retries.acquireRetry(run.context.service, { part: MOVES_PART })) return false;
   const lostHolder = run.copy?.holders[0] ?? '';
--- a/src/application/forwarding/_lib/openStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/openStreamAttempt/index.ts
@@ -1,5 +1,5 @@
 import { countPromptTokens, type AnswerHead } from '../../../../domain/forwarding';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import type { AttemptAnswer } from '../../../ports';
 import type { HeldCopy, StreamAttempt, StreamRun, StreamServers } from '../../types';
 import { closeStreamAttempt } from '../closeStreamAttempt';
@@ -21,7 +21,7 @@
 const countTokensToRead = (run: StreamRun, { copy, hasPrompt }: StreamServers): number =>
   copy || hasPrompt ? 0 : countPromptTokens(run.context.request);
 
-const buildAttempt = (run: StreamRun, servers: StreamServers, reader: Reader): StreamAttempt => {
+const buildAttempt = (run: StreamRun, servers: StreamServers, reader: ReaderId): StreamAttempt => {
   const { clock, directory } = run.dependencies;
   const { expectedMs, isFree, server } = servers;
   const nowMs = clock.readMonotonicMs();
@@ -48,12 +48,12 @@
 
 const handleFailure = async (
   run: StreamRun,
-  reader: Reader,
+  reader: ReaderId,
   attempt: StreamAttempt,
   { body, head }: AttemptAnswer,
   copy: HeldCopy | null,
 ): Promise<void> => {
-  if (head.isNotRun) {
+  if (head.isNotExecuted) {
     // The rest of the answer is read, so that its connection ends by itself.
     releaseCopy(run, copy, attempt.server.id);
     await readWholeBody(body);
@@ -61,7 +61,7 @@
     return;
   }
   run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
-  const read = head.isGenuine ? await readWholeBody(body) : null;
+  const read = head.isVerified ? await readWholeBody(body) : null;
   if (read?.isOk()) Object.assign(run, { failure: { head, body: read.value } });
   if (read?.isOk() && head.status < SERVER_ERROR_STATUS) {
     run.dispatch({ kind: 'rejected', reader, status: head.status, message: 'by the server' });
@@ -154,12 +154,12 @@
   }
   const { head } = sent.value;
   recordAnswerHead(run.dependencies, server, head, attempt);
-  if (head.status !== OK_STATUS || !head.isGenuine) {
+  if (head.status !== OK_STATUS || !head.isVerified) {
     recordDecision(
       run.dependencies,
       context,
       'stream attempt failed',
-      { attempt: reader.attempt, status: head.status, notRun: head.isNotRun },
+      { attempt: reader.attempt, status: head.status, notRun: head.isNotExecuted },
       server,
     );
     return handleFailure(run, reader, attempt, sent.value, copy);
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -1,11 +1,11 @@
 import {
   countPromptTokens,
-  chooseReportedServer,
-  countNeededTokens,
-  countReadingRuns,
-  hasCopyRoom,
-  predictFirstEvent,
-  type ReportedChoiceOptions,
+  chooseServerByReport,
+  countNeededKvTokens,
+  countPrefillingRuns,
+  hasMemoryForCopy,
+  predictFirstEventMs,
+  type ServerByReportOptions,
   type ReportedServer,
 } from '../../../../domain/forwarding';
 import type { StreamRun, StreamServers } from '../../types';
@@ -13,7 +13,7 @@
 import { keepsBackups } from '../keepsBackups';
 
 /** What a request needs of a server. */
-type ReportedNeeds = Pick<ReportedChoiceOptions, 'neededTokens' | 'promptTokens'>;
+type ReportedNeeds = Pick<ServerByReportOptions, 'neededKvTokens' | 'promptTokens'>;
 
 /** What is known of a choice. */
 interface BuildOptions {
@@ -25,16 +25,16 @@
 
 const addUnread = (run: StreamRun, one: AnsweringServer): ReportedServer => ({
   ...one,
-  unreadTokens: run.dependencies.directory.countUnreadTokens(one.entry.id),
+  pendingPrefillTokens: run.dependencies.directory.countUnreadTokens(one.entry.id),
 });
 
 /** True: it has no prompt to read before a new one. */
-const isIdle = ({ report, unreadTokens }: ReportedServer): boolean =>
-  unreadTokens === 0 && report.waiting + countReadingRuns(report) === 0;
+const isIdle = ({ report, pendingPrefillTokens }: ReportedServer): boolean =>
+  pendingPrefillTokens === 0 && report.waiting + countPrefillingRuns(report) === 0;
 
 /** True: the run can begin without others having to end. */
-const hasRoom = ({ report }: ReportedServer, { neededTokens }: ReportedNeeds): boolean =>
-  report.kvTotalTokens === 0 || report.kvUsedTokens + neededTokens <= report.kvTotalTokens;
+const hasRoom = ({ report }: ReportedServer, { neededKvTokens }: ReportedNeeds): boolean =>
+  report.kvTotalTokens === 0 || report.kvUsedTokens + neededKvTokens <= report.kvTotalTokens;
 
 /** The next attempt reads the prompt at the chosen server; another zone's gets the copy. */
 const buildFromPrompt = (
@@ -43,14 +43,14 @@
   options: BuildOptions,
 ): StreamServers => {
   const { hasPrompt, needs, predictedMs, reported } = options;
-  const isPaceKnown = run.paces.readEnginePaces(run.context.service).readingMsPerToken > 0;
+  const isPaceKnown = run.paces.readEnginePaces(run.context.service).prefillMsPerToken > 0;
   const readingMs = isPaceKnown ? predictedMs : run.context.route.latencyGoalMs;
   const others = reported.filter(
     ({ entry, report }) =>
       entry.availabilityZone !== chosen.entry.availabilityZone &&
-      hasCopyRoom(report, needs.neededTokens),
+      hasMemoryForCopy(report, needs.neededKvTokens),
   );
-  const backup = chooseReportedServer(others, { ...needs, preferredZone: null });
+  const backup = chooseServerByReport(others, { ...needs, preferredZone: null });
   return {
     server: chosen.entry,
     copy: null,
@@ -59,8 +59,8 @@
     estimate: {
       promptTokens: needs.promptTokens,
       waiting: chosen.report.waiting,
-      reading: countReadingRuns(chosen.report),
-      unreadTokens: chosen.unreadTokens,
+      reading: countPrefillingRuns(chosen.report),
+      unreadTokens: chosen.pendingPrefillTokens,
     },
     predictedMs,
     // A prompt that is held needs no reading: its silence is no work.
@@ -82,13 +82,13 @@
   holding: AnsweringServer | null,
 ): StreamServers | null => {
   const needs: ReportedNeeds = {
-    neededTokens: countNeededTokens(run.context.request),
+    neededKvTokens: countNeededKvTokens(run.context.request),
     promptTokens: countPromptTokens(run.context.request),
   };
-  const predict = ({ report, unreadTokens }: ReportedServer): number =>
-    predictFirstEvent(report, {
+  const predict = ({ report, pendingPrefillTokens }: ReportedServer): number =>
+    predictFirstEventMs(report, {
       ...needs,
-      unreadTokens,
+      pendingPrefillTokens: pendingPrefillTokens,
       paces: run.paces.readEnginePaces(run.context.service),
       latencyGoalMs: run.context.route.latencyGoalMs,
     });
@@ -97,7 +97,7 @@
   const { availabilityZone: preferredZone } = run.dependencies;
   const chosen = holding
     ? addUnread(run, holding)
-    : chooseReportedServer(reported, { ...needs, preferredZone });
+    : chooseServerByReport(reported, { ...needs, preferredZone });
   if (!chosen) return null;
   const known = { server: chosen, predictedMs: predict(chosen) };
   const { predictedMs, server } =
--- a/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
@@ -1,4 +1,4 @@
-import type { GenerationEffect, Reader } from '../../../../domain/generation';
+import type { GenerationEffect, ReaderId } from '../../../../domain/generation';
 import { RefusalCode } from '../../../../domain/types';
 import type { Permit } from '../../../limits';
 import type { StreamRun, StreamServers } from '../../types';
@@ -31,7 +31,7 @@
     ? RETRY_AFTER_MS
     : Math.max(RETRY_AFTER_MS, dependencies.directory.readPauseMs(context.service));
 
-const refuse = (run: StreamRun, reader: Reader, message: string): void =>
+const refuse = (run: StreamRun, reader: ReaderId, message: string): void =>
   run.dispatch({
     kind: 'slot-refused',
     reader,
--- a/src/application/forwarding/_lib/readStreamEvents/index.ts
+++ b/src/application/forwarding/_lib/readStreamEvents/index.ts
@@ -1,6 +1,6 @@
 import { updateGapStatistics } from '../../../../domain/detection';
 import { countPromptTokens, splitEvents, type StreamEvent } from '../../../../domain/forwarding';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { recordCrash } from '../recordCrash';
 import { startSilenceWatch } from '../startSilenceWatch';
@@ -14,7 +14,7 @@
   servers.recordOutcome(attempt.server, { isFailure: false, took });
 };
 
-const recordActivity = (run: StreamRun, attempt: StreamAttempt, reader: Reader): void => {
+const recordActivity = (run: StreamRun, attempt: StreamAttempt, reader: ReaderId): void => {
   const { clock } = run.dependencies;
   const { request, service } = run.context;
   const nowMs = clock.readMonotonicMs();
@@ -47,7 +47,7 @@
   }
 };
 
-const dispatchEvent = (run: StreamRun, reader: Reader, { bytes, id }: StreamEvent): void => {
+const dispatchEvent = (run: StreamRun, reader: ReaderId, { bytes, id }: StreamEvent): void => {
   const { offset } = run.readState();
   // Events of a run that went on may begin with some that the caller has already.
   if (id !== null && id <= offset) return;
@@ -62,7 +62,7 @@
 export const readStreamEvents = async (
   run: StreamRun,
   attempt: StreamAttempt,
-  reader: Reader,
+  reader: ReaderId,
   body: AsyncIterable<Buffer>,
 ): Promise<void> => {
   const { reply } = run.context;
--- a/src/application/forwarding/_lib/refuseQuarantined/index.ts
+++ b/src/application/forwarding/_lib/refuseQuarantined/index.ts
@@ -8,7 +8,7 @@
   const quarantineMs = dependencies.crashes.readQuarantineMs(fingerprint);
   if (quarantineMs === 0) return false;
   // One that is on its way may still run.
-  const hasArrived = run.arrivals > 0 || run.readState().sent;
+  const hasArrived = run.arrivals > 0 || run.readState().mayHaveStarted;
   recordDecision(dependencies, context, 'request in quarantine', {
     fingerprint,
     quarantineMs: Math.round(quarantineMs),
--- a/src/application/forwarding/_lib/sendCallAttempt/index.ts
+++ b/src/application/forwarding/_lib/sendCallAttempt/index.ts
@@ -79,14 +79,14 @@
     }
     const { body, head } = sent.value;
     recordAnswerHead(dependencies, server, head, { sentAtMs });
-    if (!head.isGenuine && !head.isNotRun) {
+    if (!head.isVerified && !head.isNotExecuted) {
       // The answer that is due may still follow on this connection: it is not used again.
       timeout.abort();
       return { ...NO_ANSWER, reason: 'the answer is of another request', hasBroken: false };
     }
     const read = await readWholeBody(body);
     if (reply.left.aborted) return { kind: 'left' };
-    if (head.isNotRun) {
+    if (head.isNotExecuted) {
       return { kind: 'not-run', reason: `status ${head.status}`, hasArrived: true };
     }
     if (read.isErr())
--- a/src/application/forwarding/_lib/startCopyWatch/index.ts
+++ b/src/application/forwarding/_lib/startCopyWatch/index.ts
@@ -1,4 +1,4 @@
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { hasTrustedCopy } from '../hasTrustedCopy';
@@ -18,7 +18,7 @@
 export const startCopyWatch = (
   run: StreamRun,
   attempt: StreamAttempt,
-  reader: Reader,
+  reader: ReaderId,
 ): (() => void) => {
   const { clock, log, tables } = run.dependencies;
   const { service } = run.context;
@@ -28,7 +28,7 @@
     // What tries a new version goes on at the established one by its prompt: memory is not shared.
     if (run.context.servers.isTrial(attempt.server)) return LOOK_MS;
     const traits = tables.readCurrent()?.services.get(service)?.engine;
-    if (!traits?.copiesRuns || !attempt.hasDelivered || hasTrustedCopy(run)) return LOOK_MS;
+    if (!traits?.supportsKvCopy || !attempt.hasDelivered || hasTrustedCopy(run)) return LOOK_MS;
     const isStoppedThere = await moveRun(run, attempt);
     // The server closes the stream as well; its last events may arrive before that.
     if (isStoppedThere) run.dispatch({ kind: 'broken', reader });
--- a/src/application/forwarding/_lib/startSilenceWatch/index.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/index.ts
@@ -1,11 +1,11 @@
-import { computePrefillLimitMs, computeSilenceLimitMs } from '../../../../domain/detection';
+import { computePrefillLimits, computeSilenceLimits } from '../../../../domain/detection';
 import {
   countPromptTokens,
-  computeEventLimit,
+  computeEventTimeoutMs,
   isRunLost,
   type ServerReport,
 } from '../../../../domain/forwarding';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
@@ -41,21 +41,21 @@
 ): number => {
   const { request, route, service } = run.context;
   const samples = run.paces.listFirstTokens(service);
-  const slowest = computePrefillLimitMs(samples, countPromptTokens(request), { serverDead: true });
-  return computeEventLimit({
+  const slowest = computePrefillLimits(samples, countPromptTokens(request), { isServerDead: true });
+  return computeEventTimeoutMs({
     hasDelivered,
     hasCopy: hasTrustedCopy(run),
     isQueued: (report?.waiting ?? 0) > 0,
     gapGoalMs: route.gapGoalMs,
     latencyGoalMs: route.latencyGoalMs,
     slowestPrefillMs: slowest.confirmMs,
-    expectedMs,
+    expectedFirstEventMs: expectedMs,
   });
 };
 
 const computeAskMs = (run: StreamRun, attempt: StreamAttempt): number => {
   if (!attempt.hasDelivered) return ASK_IN_PREFILL_MS;
-  const { suspectMs } = computeSilenceLimitMs(attempt.gaps, { serverDead: false });
+  const { suspectMs } = computeSilenceLimits(attempt.gaps, { isServerDead: false });
   return Math.min(suspectMs, run.context.route.gapGoalMs * ASK_PART);
 };
 
@@ -68,7 +68,7 @@
 export const startSilenceWatch = (
   run: StreamRun,
   attempt: StreamAttempt,
-  reader: Reader,
+  reader: ReaderId,
 ): (() => void) => {
   const { client, clock, directory, log } = run.dependencies;
   let isStopped = false;
@@ -119,7 +119,7 @@
       report !== null &&
       isRunLost(report, run.context.request.requestId, {
         hasArrived: attempt.hasDelivered,
-        unqueuedMs: Math.max(0, clock.readMonotonicMs() - unqueuedAtMs),
+        queueEmptyMs: Math.max(0, clock.readMonotonicMs() - unqueuedAtMs),
         prefill: estimateRunPrefill(run),
       });
     // A report is late: the first one may be older than the run.
--- a/src/application/limits/createLimitOwner/index.ts
+++ b/src/application/limits/createLimitOwner/index.ts
@@ -68,7 +68,7 @@
         sentAtMs: window.sentAtMs,
         limitPerS: Math.min(limitPerS, limits.readLimitPerS(server) ?? Infinity),
         nowMs,
-        askers: askers.length,
+        askingVms: askers.length,
         draw: randomness.readFraction(),
         slack: isConfirmation ? CONFIRMATION_SLACK : 0,
       });
--- a/src/application/rollouts/createRolloutJudge/index.ts
+++ b/src/application/rollouts/createRolloutJudge/index.ts
@@ -1,5 +1,5 @@
 import {
-  addTallies,
+  sumTallies,
   decideRollout,
   judgeVersion,
   RolloutState,
@@ -74,7 +74,7 @@
     const { ageMs, hasEstablished, order, switchedMs, verdict } = known;
     if (ageMs === null) return;
     const reports = listReports(known);
-    const tallies = addTallies([known.tallies, ...reports.map((report) => report.tallies)]);
+    const tallies = sumTallies([known.tallies, ...reports.map((report) => report.tallies)]);
     const judgement = judgeVersion(tallies);
     const next = decideRollout({
       state: verdict.state,
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -25,9 +25,9 @@
 import { wireRollouts } from '../wireRollouts';
 import type { GatewayOverrides, GatewayParts } from '../../types';
 import {
-  computeBurstPause,
-  computeFollowWait,
-  computeSharing,
+  computeBatchDelayMs,
+  computeLongPollMs,
+  computeStalenessLimits,
   type GatewaySettings,
 } from '../../../../domain/forwarding';
 
@@ -108,17 +108,17 @@
     tellOutcome: (outcome) => sendOutcome(outcome),
   });
   // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
-  const shared = computeSharing(settings.bounds);
+  const shared = computeStalenessLimits(settings.bounds);
   let handleAdvance = (): void => undefined;
   const pair = createFollowerPair({
     store,
     clock,
     randomness,
     log,
-    shortWaitMs: computeFollowWait(settings.bounds),
+    shortWaitMs: computeLongPollMs(settings.bounds),
     freshMs: shared?.freshMs ?? Infinity,
     staleMs: shared?.staleMs ?? Infinity,
-    burstPauseMs: computeBurstPause(settings.bounds),
+    burstPauseMs: computeBatchDelayMs(settings.bounds),
     handleUpdate: () => handleAdvance(),
     primary: {
       table: TABLES.operator,
