--- a/src/application/gossip/_lib/createNewsBatcher/index.ts
+++ b/src/application/gossip/_lib/createNewsBatcher/index.ts
@@ -1,13 +1,13 @@
 import type { Clock } from '../../../ports';
 import type { Knowledge } from '../../types';
 
-/** What is told at once. */
+/** News sent in one message. */
 export type News = Pick<
   Knowledge,
   'inferred' | 'limits' | 'members' | 'outcomes' | 'suspicions' | 'verdicts'
 >;
 
-/** Nothing to tell. */
+/** Empty news. */
 export const NO_NEWS: News = {
   suspicions: [],
   inferred: [],
@@ -17,36 +17,36 @@
   limits: [],
 };
 
-/** What a gatherer needs. */
+/** Dependencies of a news batcher. */
 export interface NewsBatcherDependencies {
   readonly clock: Clock;
-  /** Tells others what was gathered. */
+  /** Sends a batch to other VMs. */
   readonly sendNews: (news: News) => void;
 }
 
-/** Gathers news for a moment, so that what comes together is told together. */
+/** Batches news for a short time, so that news arriving together is sent together. */
 export interface NewsBatcher {
-  /** Takes news that are to be told; those told within the last second are left out. */
+  /** Adds news to the next batch, except items relayed within the last second. */
   addNews(news: News): void;
-  /** Takes note that others know of these already. */
+  /** Records items as already known to the other VMs. */
   recordRelayed(news: News): void;
   stop(): void;
 }
 
-/** News that comes within this time goes out together. */
-const GATHER_MS = 50;
+/** News arriving within this time is sent in one batch. */
+const BATCH_MS = 50;
 
-/** VMs join by the dozen, within some hundred milliseconds. */
-const GATHER_MEMBERS_MS = 200;
+/** The same for new members: VMs join by the dozen within some hundred milliseconds. */
+const BATCH_MEMBERS_MS = 200;
 
 /**
- * The same news is passed on once in this time: an availability zone is lost as a whole, every VM
- * notices it, and each would tell all others of all its servers.
+ * The same item is relayed once within this time. When a whole availability zone fails, every VM
+ * notices, and without this limit each would report all servers of the zone to all others.
  */
-const PASS_AGAIN_MS = 1000;
+const DUPLICATE_WINDOW_MS = 1000;
 
-/** What tells two news of a kind apart. */
-const KEYS: { readonly [Kind in keyof News]: (one: News[Kind][number]) => string } = {
+/** Builds the key that identifies an item, by kind of news. */
+const KEY_BUILDERS: { readonly [Kind in keyof News]: (one: News[Kind][number]) => string } = {
   suspicions: ({ server }) => server,
   inferred: ({ id }) => id,
   members: ({ vm }) => vm,
@@ -56,7 +56,7 @@
   limits: ({ limitPerS, server }) => `${server} ${limitPerS}`,
 };
 
-const KINDS = Object.keys(KEYS) as (keyof News)[];
+const KINDS = Object.keys(KEY_BUILDERS) as (keyof News)[];
 
 /** Builds news kind by kind. */
 const buildNews = (
@@ -64,41 +64,41 @@
 ): News => Object.assign({}, NO_NEWS, ...KINDS.map((kind) => ({ [kind]: build(kind) }))) as News;
 
 const listKeysOf = <Kind extends keyof News>(news: News, kind: Kind): string[] =>
-  (news[kind] as readonly News[Kind][number][]).map(KEYS[kind]);
+  (news[kind] as readonly News[Kind][number][]).map(KEY_BUILDERS[kind]);
 
 const listKeys = (news: News): string[] => KINDS.flatMap((kind) => listKeysOf(news, kind));
 
 const countNews = (news: News): number => listKeys(news).length;
 
-/** Creates a gatherer; nothing waits to be told. */
+/** Creates a news batcher with an empty batch. */
 export const createNewsBatcher = ({ clock, sendNews }: NewsBatcherDependencies): NewsBatcher => {
-  /** By server or VM: when news of it was passed on last. */
-  const passedAtMs = new Map<string, number>();
-  let waiting: News = NO_NEWS;
+  /** When an item was last relayed, by its key. */
+  const relayedAtMs = new Map<string, number>();
+  let pending: News = NO_NEWS;
   let cancelTimer: (() => void) | null = null;
   let dueMs = Infinity;
   let isStopped = false;
 
-  const dropOldPassed = (): void => {
-    const untilMs = clock.readMonotonicMs() - PASS_AGAIN_MS;
-    passedAtMs.forEach((atMs, key) => {
-      if (atMs <= untilMs) passedAtMs.delete(key);
+  const dropExpired = (): void => {
+    const untilMs = clock.readMonotonicMs() - DUPLICATE_WINDOW_MS;
+    relayedAtMs.forEach((atMs, key) => {
+      if (atMs <= untilMs) relayedAtMs.delete(key);
     });
   };
 
-  /** Those told within the last second stay as they are. */
+  /** Records items as relayed now; items relayed within the last second keep their time. */
   const recordPassed = (news: News): void => {
-    dropOldPassed();
+    dropExpired();
     const nowMs = clock.readMonotonicMs();
     listKeys(news)
-      .filter((key) => !passedAtMs.has(key))
-      .forEach((key) => passedAtMs.set(key, nowMs));
+      .filter((key) => !relayedAtMs.has(key))
+      .forEach((key) => relayedAtMs.set(key, nowMs));
   };
 
   const filterNew = (news: News): News =>
     buildNews((kind) => {
       const keys = listKeysOf(news, kind);
-      return news[kind].filter((_, index) => !passedAtMs.has(keys[index] ?? ''));
+      return news[kind].filter((_, index) => !relayedAtMs.has(keys[index] ?? ''));
     });
 
   const schedule = (delayMs: number): void => {
@@ -107,23 +107,23 @@
     cancelTimer?.();
     dueMs = nextMs;
     cancelTimer = clock.startTimer(delayMs, () => {
-      const gathered = waiting;
-      waiting = NO_NEWS;
+      const batch = pending;
+      pending = NO_NEWS;
       dueMs = Infinity;
       cancelTimer = null;
-      if (!isStopped) sendNews(gathered);
+      if (!isStopped) sendNews(batch);
     });
   };
 
   return {
     addNews: (news) => {
-      dropOldPassed();
+      dropExpired();
       const fresh = filterNew(news);
       if (countNews(fresh) === 0) return;
       recordPassed(fresh);
-      const before = waiting;
-      waiting = buildNews((kind) => [...before[kind], ...fresh[kind]]);
-      schedule(countNews(fresh) > fresh.members.length ? GATHER_MS : GATHER_MEMBERS_MS);
+      const before = pending;
+      pending = buildNews((kind) => [...before[kind], ...fresh[kind]]);
+      schedule(countNews(fresh) > fresh.members.length ? BATCH_MS : BATCH_MEMBERS_MS);
     },
     recordRelayed: recordPassed,
     stop: () => {
--- a/src/application/gossip/_lib/drawSample/index.ts
+++ b/src/application/gossip/_lib/drawSample/index.ts
@@ -1,6 +1,6 @@
 import type { Randomness } from '../../../ports';
 
-/** Draws up to `count` different items at random, each as likely as any other. */
+/** Draws a uniform random sample of up to `count` items, without replacement. */
 export const drawSample = <T>(
   items: readonly T[],
   count: number,
--- a/src/application/peers/_lib/createEchoClock/index.ts
+++ b/src/application/peers/_lib/createEchoClock/index.ts
@@ -1,24 +1,24 @@
 import type { Clock, Randomness } from '../../../ports';
 
-/** Heartbeats are this far apart: each is passed on to every VM of the region. */
+/** Interval between heartbeats, each of which is relayed to every VM of the region. */
 export const HEARTBEAT_INTERVAL_MS = 2_000;
-/** Clock values start at random below this. */
+/** Exclusive upper bound of the random start value of the clock. */
 const CLOCK_BASE_RANGE_MS = 2 ** 30;
 
-/** The clock that this process shows to its peers. */
+/** The clock whose values this process sends to peers, which echo them. */
 export interface EchoClock {
   readNowMs(): number;
-  /** The value for `News.clockMs`. */
+  /** Current value for `News.clockMs`. */
   readWireMs(): number;
-  /** Monotonic time at which a value was shown, or null if this process never showed it. */
+  /** Monotonic time at which a value was sent, or null if this process never sent the value. */
   convertEcho(echoMs: number): number | null;
-  /** Heartbeats of this process so far. */
+  /** Counts the heartbeats of this process so far. */
   countHeartbeats(): number;
 }
 
 /**
- * Creates the clock shown to peers: monotonic, from a random base, so that an echo meant for an
- * earlier process of this VM is told apart.
+ * Creates the echo clock. Its values are monotonic and start at random, so that an echo meant for
+ * an earlier process of this VM is recognised.
  */
 export function createEchoClock(deps: {
   readonly clock: Clock;
--- a/src/application/peers/_lib/createFactPusher/index.ts
+++ b/src/application/peers/_lib/createFactPusher/index.ts
@@ -2,19 +2,19 @@
 import type { Clock } from '../../../ports';
 import { runLimited } from '../runLimited';
 
-/** Time in which facts that come together are gathered into one push. */
+/** Facts added within this time are sent in one push. */
 export const PUSH_DELAY_MS = 3;
-/** Calls of one push that run at once. */
+/** Concurrent calls of one push. */
 const PUSH_CONCURRENCY = 16;
 
-/** What the pusher needs. */
+/** Dependencies of the fact pusher. */
 export interface FactPusherDependencies {
   readonly clock: Clock;
   readonly listReceivers: () => readonly string[];
   readonly sendFacts: (vm: string, facts: readonly Fact[]) => Promise<void>;
 }
 
-/** Sends urgent facts to all VMs of the region at once. */
+/** Pushes urgent facts to all VMs of the region. */
 export interface FactPusher {
   pushFact(fact: Fact): void;
   stop(): void;
@@ -23,8 +23,8 @@
 /**
  * Creates the pusher of urgent facts.
  *
- * Without it a VM would hear of a dead engine only with its next rounds, and the generations there
- * would hang on until each of them saw the silence for itself.
+ * Without pushes a VM would learn of a dead engine only in its next rounds, and its generations on
+ * that engine would hang until each of them detected the silence itself.
  */
 export function createFactPusher(deps: FactPusherDependencies): FactPusher {
   let pending: Fact[] = [];
--- a/src/application/peers/_lib/createHealthPublisher/index.ts
+++ b/src/application/peers/_lib/createHealthPublisher/index.ts
@@ -3,12 +3,12 @@
 import type { HealthRegistry } from '../../../ports';
 import type { FactStore } from '../createFactStore';
 
-/** What the source needs. */
+/** Dependencies of the health publisher. */
 export interface HealthPublisherDependencies {
   readonly self: string;
   readonly factStore: FactStore;
   readonly health: HealthRegistry;
-  /** True while a peer's facts are taken: changes made by them are not news of this VM. */
+  /** Whether a peer's facts are being merged, whose changes must not be published again. */
   readonly isMerging: () => boolean;
   readonly pushFact: (fact: Fact) => void;
 }
@@ -16,37 +16,38 @@
 type ChangeHandlers = Readonly<Record<BackendHealth, (backendServer: string) => void>>;
 
 /**
- * Puts changes of health that this VM found out by itself on the board and pushes them.
+ * Publishes health changes that this VM detected itself: writes them to the fact store and pushes
+ * them to the region.
  *
- * @returns a function that stops it
+ * @returns a function that stops the publisher
  */
 export function createHealthPublisher(deps: HealthPublisherDependencies): () => void {
   const { self, factStore, health, pushFact } = deps;
-  const addFact = (key: string, fact: Fact): void => {
+  const publishFact = (key: string, fact: Fact): void => {
     factStore.write(key, fact, self);
     pushFact(fact);
   };
-  const addSuspicion = (backendServer: string): void => {
+  const publishSuspicion = (backendServer: string): void => {
     const suspicion = health
       .listSuspicions()
       .find((candidate) => candidate.backendServer === backendServer);
     if (suspicion === undefined) return;
-    addFact(`suspicion:${backendServer}`, { kind: 'suspicion', suspicion });
+    publishFact(`suspicion:${backendServer}`, { kind: 'suspicion', suspicion });
   };
-  const removeSuspicion = (backendServer: string): void => {
+  const publishRecovery = (backendServer: string): void => {
     if (factStore.find(`suspicion:${backendServer}`) === null) return;
     factStore.remove(`suspicion:${backendServer}`);
     pushFact({ kind: 'recovery', backendServer });
   };
   const handlers: ChangeHandlers = {
-    [BackendHealth.Suspected]: addSuspicion,
-    [BackendHealth.Dead]: addSuspicion,
+    [BackendHealth.Suspected]: publishSuspicion,
+    [BackendHealth.Dead]: publishSuspicion,
     [BackendHealth.Leaving]: (backendServer) => {
-      removeSuspicion(backendServer);
-      addFact(`leaving:${backendServer}`, { kind: 'leaving', backendServer });
+      publishRecovery(backendServer);
+      publishFact(`leaving:${backendServer}`, { kind: 'leaving', backendServer });
     },
     [BackendHealth.Serving]: (backendServer) => {
-      removeSuspicion(backendServer);
+      publishRecovery(backendServer);
       factStore.remove(`leaving:${backendServer}`);
     },
   };
--- a/src/application/peers/_lib/createLocalFacts/index.ts
+++ b/src/application/peers/_lib/createLocalFacts/index.ts
@@ -9,16 +9,16 @@
 import type { LoadView } from '../../../ports';
 import type { FactStore } from '../createFactStore';
 
-/** A load report is passed on at least this often, however little it changes. */
+/** Longest time between two sent load reports of a server, however little the load changes. */
 export const LOAD_REFRESH_MS = 2_000;
 
 /**
- * Shortest time between two reports of one server, for each server of the region: with 200 servers a
- * report is passed on each 3 s at most, which keeps the bytes within a node's budget.
+ * Shortest time between two sent load reports of a server, for each server of the region. With 200
+ * servers a report is sent at most every 3 s, which keeps the bytes within a node's budget.
  */
 export const LOAD_MIN_INTERVAL_MS_PER_SERVER = 15;
 
-/** What the own facts need. */
+/** Dependencies of the local facts. */
 export interface LocalFactsDependencies {
   readonly factStore: FactStore;
   readonly load: LoadView | null;
@@ -26,35 +26,30 @@
   readonly readNowMs: () => number;
 }
 
-/** Keeps this VM's own facts on the board. */
+/** Keeps this VM's own facts in the fact store up to date. */
 export interface LocalFacts {
-  /** Puts what changed since the last call on the board. */
+  /** Writes the facts that changed since the last call to the fact store. */
   refresh(beats: number): void;
 }
 
-/** Creates the keeper of own facts. */
+/** Creates the updater of this VM's own facts. */
 export function createLocalFacts(deps: LocalFactsDependencies): LocalFacts {
   const { factStore, load, readSelf, readNowMs } = deps;
   const sends = new Map<string, number>();
-  let pulsed = -1;
+  let lastBeats = -1;
 
   const refreshReport = (report: LoadReport, serverCount: number): void => {
     const nowMs = readNowMs();
     const name = report.backendServer;
     const { state, load: fact } = convertReportToFacts(report, nowMs);
-    const onBoard = factStore.find(`load:${name}`);
+    const stored = factStore.find(`load:${name}`);
     const sent =
-      onBoard?.kind === 'load'
-        ? { fact: onBoard, sentAtMs: factStore.readWrittenAtMs(`load:${name}`) ?? nowMs }
+      stored?.kind === 'load'
+        ? { fact: stored, sentAtMs: factStore.readWrittenAtMs(`load:${name}`) ?? nowMs }
         : null;
-    const minIntervalMs = serverCount * LOAD_MIN_INTERVAL_MS_PER_SERVER;
-    const refreshIntervalMs = Math.max(LOAD_REFRESH_MS, minIntervalMs);
-    const options = {
-      slots: report.slots,
-      nowMs,
-      minIntervalMs: minIntervalMs,
-      refreshIntervalMs: refreshIntervalMs,
-    };
+    const leastMs = serverCount * LOAD_MIN_INTERVAL_MS_PER_SERVER;
+    const refreshMs = Math.max(LOAD_REFRESH_MS, leastMs);
+    const options = { slots: report.slots, nowMs, leastMs, refreshMs };
     if (!isLoadUpdateDue(sent, fact, options)) return;
     if (JSON.stringify(factStore.find(`state:${name}`)) !== JSON.stringify(state)) {
       factStore.write(`state:${name}`, state, readSelf().vm);
@@ -81,8 +76,8 @@
       if (held?.kind !== 'peer' || JSON.stringify(held.record) !== JSON.stringify(record)) {
         factStore.write(`peer:${record.vm}`, { kind: 'peer', record }, record.vm);
       }
-      if (beats !== pulsed) {
-        pulsed = beats;
+      if (beats !== lastBeats) {
+        lastBeats = beats;
         const incarnationTag = computeIncarnationTag(record.incarnation);
         const id = computeNameId(record.vm);
         const pulse = { kind: 'pulse', id, incarnationTag, beats } as const;
--- a/src/application/peers/_lib/createMemberDiscovery/index.ts
+++ b/src/application/peers/_lib/createMemberDiscovery/index.ts
@@ -5,15 +5,15 @@
 import { FORGET_TIMEOUT_MS } from '../createMembershipView';
 import type { PartnerTable } from '../createPartnerTable';
 
-/** Who names VMs from outside: the platform's list, or the registrations in the table. */
+/** Source that names VMs: the platform's list or the registrations in the table. */
 export type DiscoverySource = 'list' | 'registrations';
 
-/** A VM as an outside source names it; a source without incarnations leaves it out. */
+/** A VM as named by a source; sources without incarnations omit the incarnation. */
 export interface DiscoveredVm extends VmRecord {
   readonly incarnation?: number;
 }
 
-/** What the sources need. */
+/** Dependencies of the member discovery. */
 export interface MemberDiscoveryDependencies {
   readonly self: string;
   readonly clock: Clock;
@@ -22,16 +22,16 @@
   readonly partners: PartnerTable;
 }
 
-/** Joins what outside sources say with the members. */
+/** Merges the VMs named by the discovery sources into the members. */
 export interface MemberDiscovery {
-  /** Names all VMs that the source holds right now. */
+  /** Records all VMs that the source currently names. */
   recordMembers(source: DiscoverySource, records: readonly DiscoveredVm[]): void;
 }
 
-/** Creates the join of the outside sources. */
+/** Creates the member discovery. */
 export function createMemberDiscovery(deps: MemberDiscoveryDependencies): MemberDiscovery {
   const { members, factStore, partners } = deps;
-  const named: Record<DiscoverySource, ReadonlySet<string>> = {
+  const namedVms: Record<DiscoverySource, ReadonlySet<string>> = {
     list: new Set(),
     registrations: new Set(),
   };
@@ -44,8 +44,9 @@
     factStore.remove(`pulse:${vm}`);
     unheardSince.delete(vm);
   };
-  const isRegistered = (vm: string): boolean => named.list.has(vm) || named.registrations.has(vm);
-  const removeForgotten = (): void => {
+  const isRegistered = (vm: string): boolean =>
+    namedVms.list.has(vm) || namedVms.registrations.has(vm);
+  const removeExpired = (): void => {
     const nowMs = deps.clock.readMonotonicMs();
     for (const member of members.list()) {
       const { vm } = member.record;
@@ -61,12 +62,12 @@
       const others = records.filter(
         ({ vm, peerAddress }) => vm !== deps.self && peerAddress !== '',
       );
-      named[source] = new Set(others.filter(({ leaving }) => !leaving).map(({ vm }) => vm));
+      namedVms[source] = new Set(others.filter(({ leaving }) => !leaving).map(({ vm }) => vm));
       others.forEach((record) => {
         const incarnation = record.incarnation ?? members.find(record.vm)?.record.incarnation ?? 0;
         members.mergeRecord({ ...record, incarnation });
       });
-      removeForgotten();
+      removeExpired();
     },
   };
 }
--- a/src/application/peers/_lib/createNewsReader/index.ts
+++ b/src/application/peers/_lib/createNewsReader/index.ts
@@ -6,7 +6,7 @@
 import type { EchoClock } from '../createEchoClock';
 import type { PartnerTable } from '../createPartnerTable';
 
-/** What the reader needs. */
+/** Dependencies of the news reader. */
 export interface NewsReaderDependencies {
   readonly region: string;
   readonly members: MemberTable;
@@ -16,14 +16,14 @@
   readonly versions: VersionSource;
 }
 
-/** Takes in news. */
+/** Processes received news. */
 export interface NewsReader {
   readNews(news: News): void;
-  /** Monotonic time of the newest table read that peers told of, or null. */
+  /** Monotonic time of the newest table read reported by peers, or null. */
   readHeardReadAtMs(): number | null;
 }
 
-/** The sender's own record and heartbeat, which the header carries. */
+/** Lists the facts in the header: the sender's record and heartbeat. */
 function listHeaderFacts(news: News, region: string): readonly Fact[] {
   const { sender, beats } = news;
   const id = computeNameId(sender.vm);
@@ -33,22 +33,22 @@
   return sender.region === region ? [peer, pulse] : [peer];
 }
 
-/** Creates the reader of news. */
+/** Creates a news reader. */
 export function createNewsReader(deps: NewsReaderDependencies): NewsReader {
   const { members, partners, echoClock, merger, versions } = deps;
-  let heardReadAtMs: number | null = null;
+  let newestReadAtMs: number | null = null;
 
   const recordReadAge = (ageMs: number | null, writtenAfterMs: number | null): void => {
     if (ageMs === null || writtenAfterMs === null) return;
     const readAtMs = writtenAfterMs - ageMs;
-    if (heardReadAtMs === null || readAtMs > heardReadAtMs) heardReadAtMs = readAtMs;
+    if (newestReadAtMs === null || readAtMs > newestReadAtMs) newestReadAtMs = readAtMs;
   };
 
   return {
     readNews: (news) => {
       const { vm, incarnation, peerAddress } = news.sender;
       const known = members.find(vm);
-      // News of an earlier process that comes late would undo what its successor told.
+      // Late news of an earlier process would overwrite facts of its successor.
       if (known !== null && incarnation < known.record.incarnation) return;
       const writtenAfterMs = echoClock.convertEcho(news.echoClockMs);
       partners.recordNews(news);
@@ -67,6 +67,6 @@
         versions.recordPeerVersion(news.configurationVersion, { vm, peerAddress });
       }
     },
-    readHeardReadAtMs: () => heardReadAtMs,
+    readHeardReadAtMs: () => newestReadAtMs,
   };
 }
--- a/src/application/peers/_lib/createNewsWriter/index.ts
+++ b/src/application/peers/_lib/createNewsWriter/index.ts
@@ -6,13 +6,13 @@
 import type { PartnerTable } from '../createPartnerTable';
 import { isFactForRegion } from '../isFactForRegion';
 
-/** Who gets the news. */
+/** Receiver of news. */
 export interface NewsReceiver {
   readonly vm: string;
   readonly region: string;
 }
 
-/** What the writer needs. */
+/** Dependencies of the news writer. */
 export interface NewsWriterDependencies {
   readonly readSelf: () => PeerRecord;
   readonly factStore: FactStore;
@@ -22,23 +22,23 @@
   readonly versions: VersionSource;
   readonly readNewestReadAgeMs: () => number | null;
   readonly countHeardInRegion: () => number;
-  /** True: each VM of the region has a link with each other one. */
+  /** Whether each VM of the region exchanges news with every other one. */
   readonly isFullMesh: () => boolean;
 }
 
-/** Writes news. */
+/** Builds news for receivers. */
 export interface NewsWriter {
-  /** News with all that the receiver does not have yet. */
+  /** Builds news with all facts that the receiver does not have yet. */
   writeNews(receiver: NewsReceiver): News;
-  /** News with these facts only; the answer needs none. */
+  /** Builds news with the given facts only; the response needs no facts. */
   writeBrief(receiver: NewsReceiver, facts: readonly Fact[]): News;
 }
 
-/** Creates the writer of news. */
+/** Creates a news writer. */
 export function createNewsWriter(deps: NewsWriterDependencies): NewsWriter {
   const { factStore, partners, echoClock, versions } = deps;
 
-  const writeHeader = (receiver: NewsReceiver) => {
+  const buildHeader = (receiver: NewsReceiver) => {
     const partner = partners.find(receiver.vm);
     return {
       sender: deps.readSelf(),
@@ -51,15 +51,15 @@
       echoClockMs: partner.clockMs,
     };
   };
-  const listOwnRegion = (isSameRegion: boolean): readonly Fact[] => {
+  const listRegionFacts = (isSameRegion: boolean): readonly Fact[] => {
     if (isSameRegion) return [];
     const { region } = deps.readSelf();
     return [{ kind: 'region', region, heard: deps.countHeardInRegion(), ageMs: 0 }];
   };
 
-  // Where all are linked, everyone hears of a load from those who polled it: passing it on as well
-  // was most of the bytes of a region of nine.
-  const isWorthRelaying = ({ fact, from }: StoredFact): boolean =>
+  // In a full mesh every VM receives a load from the VM that polled it. Relaying loads as well was
+  // most of the bytes in a region of nine VMs.
+  const mustSend = ({ fact, from }: StoredFact): boolean =>
     fact.kind !== 'load' || from === deps.readSelf().vm || !deps.isFullMesh();
 
   return {
@@ -69,18 +69,18 @@
       const isSameRegion = receiver.region === deps.readSelf().region;
       const facts = factStore
         .listSince(since, receiver.vm)
-        .filter(isWorthRelaying)
+        .filter(mustSend)
         .map(({ fact }) => fact)
         .filter((fact) => isFactForRegion(fact, { isSameRegion, region: receiver.region }));
       return {
-        ...writeHeader(receiver),
+        ...buildHeader(receiver),
         since,
         brief: false,
-        facts: [...facts, ...listOwnRegion(isSameRegion)],
+        facts: [...facts, ...listRegionFacts(isSameRegion)],
       };
     },
     writeBrief: (receiver, facts) => {
-      const header = writeHeader(receiver);
+      const header = buildHeader(receiver);
       return { ...header, since: header.sequence, brief: true, facts };
     },
   };
--- a/src/application/peers/types/VersionSource.ts
+++ b/src/application/peers/types/VersionSource.ts
@@ -1,8 +1,8 @@
-/** The configuration as the exchange sees it. */
+/** The configuration versions that the exchange reads and reports. */
 export interface VersionSource {
   /** Version in force at this VM, 0 if none. */
   readVersion(): number;
-  /** Tells of a higher version that a peer has; the follower then reads it from the table. */
+  /** Records a peer's higher version, which the follower then reads from the table. */
   recordPeerVersion(
     version: number,
     peer: { readonly vm: string; readonly peerAddress: string },
--- a/src/application/ports/LoadView.ts
+++ b/src/application/ports/LoadView.ts
@@ -6,13 +6,13 @@
   readonly running: number;
 }
 
-/** What this VM knows of the load of back ends: late reports, corrected by own and peers' sends. */
+/** Load of backend servers: delayed reports, corrected by the attempts of this VM and its peers. */
 export interface LoadView {
-  /** Takes a report if it is newer than the one held. */
+  /** Records a report if it is newer than the held one. */
   recordReport(report: LoadReport): void;
   recordCacheEvents(backendServer: string, events: readonly CacheEvent[]): void;
   recordPeerSends(vm: string, sends: readonly PeerAttempts[]): void;
   listReports(): readonly LoadReport[];
-  /** Own running attempts by server, for sharing with peers. */
+  /** Lists this VM's running attempts by server, to be sent to peers. */
   listOwnSends(): readonly PeerAttempts[];
 }
--- a/src/application/rows/_lib/createCallTracker/index.ts
+++ b/src/application/rows/_lib/createCallTracker/index.ts
@@ -2,15 +2,15 @@
 
 /** A call to the store. */
 export interface StoreCall {
-  /** `read` gives all rows, `feed` waits for changes. */
+  /** `read` returns all rows; `feed` is a long poll for changes. */
   readonly call: 'read' | 'feed';
   readonly sentAtMs: number;
   readonly waitMs: number;
-  /** Gives the call up. */
+  /** Aborts the call. */
   readonly abort: AbortController;
 }
 
-/** What a record of calls needs. */
+/** Dependencies of a call tracker. */
 export interface CallTrackerDependencies {
   readonly table: string;
   readonly clock: Clock;
@@ -19,19 +19,19 @@
   readonly handleOutageStart: () => void;
 }
 
-/** Knows how the calls for a table went, and whether the store answers. */
+/** Tracks successes and failures of the calls for a table, and outages of the store. */
 export interface CallTracker {
   startCall(call: StoreCall['call'], waitMs: number): StoreCall;
   recordSuccess(call: StoreCall): void;
   recordFailure(call: StoreCall, error: RowError, version: number): void;
-  /** Failures since the last success. */
+  /** Counts the failures since the last success. */
   countConsecutiveFailures(): number;
   isInOutage(): boolean;
   /** Monotonic time at which the newest outage ended, or null. */
   readOutageEndedAtMs(): number | null;
 }
 
-/** Creates the record of the calls for one table. */
+/** Creates a call tracker for one table. */
 export const createCallTracker = ({
   clock,
   handleOutageStart,
@@ -42,7 +42,7 @@
   let outageStartedAtMs: number | null = null;
   let outageEndedAtMs: number | null = null;
 
-  const readTookMs = ({ sentAtMs }: StoreCall): number =>
+  const computeTookMs = ({ sentAtMs }: StoreCall): number =>
     Math.round(clock.readMonotonicMs() - sentAtMs);
 
   return {
@@ -58,7 +58,7 @@
       const lastedMs = Math.round(clock.readMonotonicMs() - outageStartedAtMs);
       outageStartedAtMs = null;
       outageEndedAtMs = clock.readMonotonicMs();
-      log.info('store regained', { table, lastedMs, call: call.call, tookMs: readTookMs(call) });
+      log.info('store regained', { table, lastedMs, call: call.call, tookMs: computeTookMs(call) });
     },
     recordFailure: (call, error, version) => {
       if (error.kind === 'history-lost') {
@@ -70,7 +70,7 @@
         table,
         call: call.call,
         waitMs: call.waitMs,
-        tookMs: readTookMs(call),
+        tookMs: computeTookMs(call),
         reason: error.reason,
         failures,
         version,
--- a/src/application/rows/_lib/createSourceTracker/index.ts
+++ b/src/application/rows/_lib/createSourceTracker/index.ts
@@ -1,77 +1,79 @@
 import type { Clock } from '../../../ports';
 
-/** Remembers which VMs could not tell what the store holds. */
+/** Tracks which VMs are currently unusable as a source of the store's rows. */
 export interface SourceTracker {
-  /** The VM did not answer: it is left out for a while. */
+  /** Records that the VM did not answer, which excludes it for a while. */
   recordFailure(vm: string): void;
-  /** The VM knows nothing young itself; `isCutOff`: as the store does not answer it. */
+  /** Records that the VM's rows are too old; `isCutOff`: because its calls to the store fail. */
   recordStale(vm: string, isCutOff: boolean): void;
-  /** The VM told something that is young enough. */
+  /** Records that the VM's rows are fresh enough. */
   recordFresh(vm: string): void;
-  /** Those of the VMs that may be asked. */
+  /** Returns the VMs that may be used as a source. */
   filterUsable<T extends { readonly vm: string }>(vms: readonly T[]): readonly T[];
-  /** Whether the VM was cut off from the store a moment ago. */
+  /** Whether the VM was recently cut off from the store. */
   isCutOff(vm: string): boolean;
-  /** So many VMs are cut off from the store at once that the store itself must be away. */
+  /** Whether enough VMs are cut off at once to conclude that the store itself is unavailable. */
   isStoreUnavailable(): boolean;
 }
 
-/** A VM that ended stays in the list of members for some seconds more. */
-const FAILED_MS = 8000;
+/** A VM that ended stays in the list of members for some more seconds. */
+const FAILED_EXCLUSION_MS = 8000;
 
-/** A VM cut off from the store is asked again after this time. */
-const CUT_OFF_MS = 5000;
+/** A VM cut off from the store is tried again after this time. */
+const CUT_OFF_EXCLUSION_MS = 5000;
 
-/** One that has only just begun to follow the store will soon know more. */
-const STALE_MS = 300;
+/** Short, since a VM that has just begun to follow the store will soon have fresh rows. */
+const STALE_EXCLUSION_MS = 300;
 
 /**
- * With this many VMs cut off at once no further one is tried: VMs that ask the store in an outage
- * stay as few in a zone of thirty as in one of three.
+ * With this many VMs cut off at once, cut-off VMs are no longer excluded and no further VM tries
+ * the store. This keeps the calls in an outage as few in a zone of thirty VMs as in one of three.
  */
-const AWAY_VMS = 3;
+const STORE_OUTAGE_VMS = 3;
 
-/** Creates the record; all VMs may be asked. */
+/** Creates a source tracker; at first every VM is usable. */
 export const createSourceTracker = (clock: Pick<Clock, 'readMonotonicMs'>): SourceTracker => {
   const failedUntilMs = new Map<string, number>();
   const staleUntilMs = new Map<string, number>();
   const cutOffUntilMs = new Map<string, number>();
 
-  const dropOver = (times: Map<string, number>): void => {
+  const dropExpired = (times: Map<string, number>): void => {
     const nowMs = clock.readMonotonicMs();
     times.forEach((untilMs, vm) => {
       if (untilMs <= nowMs) times.delete(vm);
     });
   };
 
-  const isStoreAway = (): boolean => {
-    dropOver(cutOffUntilMs);
-    return cutOffUntilMs.size >= AWAY_VMS;
+  const isStoreUnavailable = (): boolean => {
+    dropExpired(cutOffUntilMs);
+    return cutOffUntilMs.size >= STORE_OUTAGE_VMS;
   };
 
   return {
     recordFailure: (vm) => {
-      failedUntilMs.set(vm, clock.readMonotonicMs() + FAILED_MS);
+      failedUntilMs.set(vm, clock.readMonotonicMs() + FAILED_EXCLUSION_MS);
     },
     recordStale: (vm, isCutOff) => {
-      const [times, lastsMs] = isCutOff ? [cutOffUntilMs, CUT_OFF_MS] : [staleUntilMs, STALE_MS];
-      times.set(vm, clock.readMonotonicMs() + lastsMs);
+      const [times, durationMs] = isCutOff
+        ? [cutOffUntilMs, CUT_OFF_EXCLUSION_MS]
+        : [staleUntilMs, STALE_EXCLUSION_MS];
+      times.set(vm, clock.readMonotonicMs() + durationMs);
     },
     recordFresh: (vm) => {
       staleUntilMs.delete(vm);
       cutOffUntilMs.delete(vm);
     },
     isCutOff: (vm) => {
-      dropOver(cutOffUntilMs);
+      dropExpired(cutOffUntilMs);
       return cutOffUntilMs.has(vm);
     },
     filterUsable: (vms) => {
-      dropOver(failedUntilMs);
-      dropOver(staleUntilMs);
-      const isAway = isStoreAway();
-      const isLeftOut = (vm: string): boolean => staleUntilMs.has(vm) || cutOffUntilMs.has(vm);
-      return vms.filter(({ vm }) => !failedUntilMs.has(vm) && (isAway || !isLeftOut(vm)));
+      dropExpired(failedUntilMs);
+      dropExpired(staleUntilMs);
+      const isUnavailable = isStoreUnavailable();
+      const isExcluded = (vm: string): boolean => staleUntilMs.has(vm) || cutOffUntilMs.has(vm);
+      return vms.filter(({ vm }) => !failedUntilMs.has(vm) && (isUnavailable || !isExcluded(vm)));
     },
-    isStoreUnavailable: isStoreAway,
+    isStoreUnavailable,
   };
 };
--- a/src/application/rows/_lib/createStatementResponder/index.ts
+++ b/src/application/rows/_lib/createStatementResponder/index.ts
@@ -1,46 +1,48 @@
 import type { Clock } from '../../../ports';
 import type { RowFollower, StatementsResponse, StatementsRequest } from '../../types';
 
-/** What a desk needs. */
+/** Dependencies of a statement responder. */
 export interface StatementResponderDependencies {
   readonly followers: ReadonlyMap<
     string,
     Pick<RowFollower, 'buildStatement' | 'readAgeMs' | 'readVersion'>
   >;
-  /** Whether this VM's own calls to the store failed a moment ago, whatever others told it since. */
+  /**
+   * Whether this VM's own calls to the store recently failed, even if other VMs sent rows since.
+   */
   readonly isCutOff: () => boolean;
-  /** Knowledge that is younger by this much is worth an answer. */
+  /** Rows that are fresher by at least this much justify a response. */
   readonly minGainMs: number;
   readonly clock: Clock;
 }
 
-/** Answers other VMs that ask what is known here. */
+/** Answers other VMs' requests for this VM's rows. */
 export interface StatementResponder {
-  /** Answers as soon as there is more to tell, or the request's time is over. */
+  /** Responds as soon as newer rows are available, or at the request's timeout. */
   handleRequest(request: StatementsRequest): Promise<StatementsResponse>;
-  /** More is known: answers who waits for it. */
+  /** Answers the pending requests for which newer rows are available. */
   handleUpdate(): void;
-  /** Answers all that wait, as nothing more will come from here. */
+  /** Answers all pending requests, since no newer rows will come from this VM. */
   answerAll(): void;
 }
 
-/** Longest time for which an answer is held back, whatever is asked for. */
+/** Upper bound on the time for which a response waits, whatever the request says. */
 const MAX_HOLD_MS = 5000;
 
-/** Requests held at once: beyond them the oldest is answered. Largest zone, with some to spare. */
-const MAX_HELD = 256;
+/** Requests that wait at once; beyond this the oldest is answered. Exceeds the largest zone. */
+const MAX_PENDING = 256;
 
-/** Creates the desk at which other VMs ask. */
+/** Creates a statement responder. */
 export const createStatementResponder = ({
   clock,
   followers,
   minGainMs,
   isCutOff,
 }: StatementResponderDependencies): StatementResponder => {
-  /** Requests that are held back, oldest first: each looks whether there is more to tell. */
-  const held = new Set<(mustAnswer: boolean) => void>();
+  /** Pending requests, oldest first; each function answers if newer rows exist or it must. */
+  const pending = new Set<(mustAnswer: boolean) => void>();
 
-  const buildAnswer = (request: StatementsRequest, heldMs: number): StatementsResponse => ({
+  const buildResponse = (request: StatementsRequest, heldMs: number): StatementsResponse => ({
     heldMs,
     isCutOff: isCutOff(),
     tables: request.held.flatMap(({ table, version }) => {
@@ -53,28 +55,28 @@
     handleRequest: (request) =>
       new Promise((resolve) => {
         const startedAtMs = clock.readMonotonicMs();
-        const hasMore = (heldMs: number): boolean =>
+        const hasNewer = (heldMs: number): boolean =>
           request.held.some(({ ageMs, table, version }) => {
             const follower = followers.get(table);
             if (!follower) return false;
-            const isYounger = follower.readAgeMs() + minGainMs <= ageMs + heldMs;
-            return isYounger || follower.readVersion() > version;
+            const isFresher = follower.readAgeMs() + minGainMs <= ageMs + heldMs;
+            return isFresher || follower.readVersion() > version;
           });
         let cancelTimer = (): void => undefined;
-        const look = (mustAnswer: boolean): void => {
+        const answerIfReady = (mustAnswer: boolean): void => {
           const heldMs = clock.readMonotonicMs() - startedAtMs;
-          if (!mustAnswer && !hasMore(heldMs)) return;
+          if (!mustAnswer && !hasNewer(heldMs)) return;
           cancelTimer();
-          held.delete(look);
-          resolve(buildAnswer(request, heldMs));
+          pending.delete(answerIfReady);
+          resolve(buildResponse(request, heldMs));
         };
-        held.add(look);
+        pending.add(answerIfReady);
         const waitMs = Math.min(MAX_HOLD_MS, Math.max(0, request.waitMs));
-        cancelTimer = clock.startTimer(waitMs, () => look(true));
-        look(waitMs === 0);
-        if (held.size > MAX_HELD) [...held][0]?.(true);
+        cancelTimer = clock.startTimer(waitMs, () => answerIfReady(true));
+        answerIfReady(waitMs === 0);
+        if (pending.size > MAX_PENDING) [...pending][0]?.(true);
       }),
-    handleUpdate: () => [...held].forEach((look) => look(false)),
-    answerAll: () => [...held].forEach((look) => look(true)),
+    handleUpdate: () => [...pending].forEach((answerIfReady) => answerIfReady(false)),
+    answerAll: () => [...pending].forEach((answerIfReady) => answerIfReady(true)),
   };
 };
--- a/src/application/rows/_lib/validateStatements/index.ts
+++ b/src/application/rows/_lib/validateStatements/index.ts
@@ -7,26 +7,28 @@
   { after, ageMs, outageEndedAgoMs, rows, table, version }: TableStatement,
   request: StatementsRequest,
 ): string | null => {
-  const asked = request.held.find((held) => held.table === table);
-  if (!asked) return 'a table that was not asked for';
-  if (!isCount(after) || !isCount(version)) return 'a version that is none';
-  // A VM that knows less than this one says so; nothing of that is taken.
-  const isOlder = version < asked.version;
-  if (!isOlder && after !== 0 && after !== asked.version) return 'changes after another version';
-  if (!(ageMs >= 0)) return 'an age that is none';
+  const requested = request.held.find((held) => held.table === table);
+  if (!requested) return 'the table was not requested';
+  if (!isCount(after) || !isCount(version)) return 'the version is not a non-negative integer';
+  // A VM that is behind this one may answer with an older version; its rows are ignored.
+  const isOlder = version < requested.version;
+  if (!isOlder && after !== 0 && after !== requested.version)
+    return 'the changes do not follow the held version';
+  if (!(ageMs >= 0)) return 'the age is negative or not a number';
   if (outageEndedAgoMs !== null && !Number.isFinite(outageEndedAgoMs))
-    return 'no time of an outage';
-  // Rows that came from elsewhere may be newer than what is complete.
-  if (rows.some((row) => !isCount(row.version) || row.version <= after)) return 'an older row';
+    return 'the end of the outage is not a finite number';
+  // Rows learned from other VMs may be newer than the version up to which the table is complete.
+  if (rows.some((row) => !isCount(row.version) || row.version <= after))
+    return 'a row is not newer than the version that the changes follow';
   return null;
 };
 
-/** Checks what another VM answered; an error says what is wrong, and nothing of it is taken. */
+/** Validates the response of another VM; the error names the first problem found. */
 export const validateStatements = (
   statements: StatementsResponse,
   request: StatementsRequest,
 ): Result<StatementsResponse, string> => {
-  if (!(statements.heldMs >= 0)) return err('a time held that is none');
+  if (!(statements.heldMs >= 0)) return err('the held time is negative or not a number');
   const problem = statements.tables.map((one) => findProblem(one, request)).find(Boolean);
   return problem ? err(problem) : ok(statements);
 };
--- a/src/application/rows/createZoneReplication/index.ts
+++ b/src/application/rows/createZoneReplication/index.ts
@@ -11,22 +11,22 @@
 import type { FollowerPair } from '../createFollowerPair';
 import type { RowFollower, StatementsResponse, StatementsRequest } from '../types';
 
-/** A VM that may tell what the store holds. */
+/** A VM that may read the store for its availability zone. */
 export interface StoreReaderVm extends RowReaderCandidate {
   readonly address: string;
 }
 
-/** What sharing needs. */
+/** Dependencies of the zone replication. */
 export interface ZoneReplicationDependencies {
   readonly self: StoreReaderVm;
-  /** Null: every VM follows the store itself. */
+  /** Age limits of copied rows; null: every VM follows the store itself. */
   readonly sharing: StalenessLimits | null;
   readonly pair: FollowerPair;
   /** The followers of the pair, by table. */
   readonly followers: ReadonlyMap<string, RowFollower>;
-  /** Other VMs heard of lately. */
+  /** Lists the other VMs heard of recently. */
   readonly listMembers: () => readonly StoreReaderVm[];
-  /** Asks a VM; null if it does not answer in time. */
+  /** Sends a request to a VM; null if it does not answer in time. */
   readonly requestStatements: (
     address: string,
     request: StatementsRequest,
@@ -37,10 +37,10 @@
   readonly log: EventLog;
 }
 
-/** Lets one VM of a zone read the store for all. */
+/** Lets one VM of an availability zone read the store for all VMs of the zone. */
 export interface ZoneReplication extends Pick<
   StatementResponder,
-  'handleAdvance' | 'handleRequest'
+  'handleUpdate' | 'handleRequest'
 > {
   start(): void;
   stop(): void;
@@ -48,35 +48,36 @@
   isReader(): boolean;
 }
 
-/** Where a VM stands is looked at this often while it follows the store itself. */
-const LOOK_MS = 250;
+/** Interval at which a VM that follows the store itself checks whether it is still the reader. */
+const ROLE_CHECK_MS = 250;
 
-/** News that comes within this time comes in one answer. */
-const GATHER_MS = 50;
+/** Pause between requests, so that changes within this time arrive in one response. */
+const BATCH_PAUSE_MS = 50;
 
-/** While the store is away, a VM that is cut off like this one is asked so often. */
-const AWAY_PAUSE_MS = 300;
+/** Pause between requests to a VM that is cut off as well while the store is unavailable. */
+const OUTAGE_PAUSE_MS = 300;
 
-/** A sound VM answers within this time once it has something to tell. */
-const ANSWER_MS = 250;
+/** Time within which a healthy VM responds once it has newer rows. */
+const RESPONSE_MS = 250;
 
-/** A request whose time is up anyway still has this long. */
-const MIN_ASK_MS = 150;
+/** Shortest timeout of a request, also when the rows are about to become stale. */
+const MIN_REQUEST_MS = 150;
 
-/** VMs whose knowledge grows stale together ask the store spread over this part of the time. */
-const SPREAD_PART = 0.15;
+/** Part of the staleness limit over which VMs spread their own reads of the store. */
+const STALE_JITTER = 0.15;
 
-/** Pause between calls of a VM that the store did not answer, for each VM of its zone. */
-const CHECK_PAUSE_MS_PER_VM = 150;
-const MIN_CHECK_PAUSE_MS = 500;
+/** Pause between a VM's own reads after a failed one, for each VM of its zone. */
+const READ_PAUSE_MS_PER_VM = 150;
+const MIN_READ_PAUSE_MS = 500;
 
 /**
- * Creates what lets one VM of an availability zone follow the store, and the others follow that VM.
+ * Creates the zone replication: one VM of an availability zone follows the store, and the other VMs
+ * copy its rows.
  *
- * No VM is set aside: each one works out by itself whom it asks, from those that it has heard of.
- * What a VM is told has an age, which counts all delays on the way. One whose knowledge grows stale,
- * whatever the cause, asks the store itself; so a reader that dies, stands still, is cut off or tells
- * old things costs calls, never a change.
+ * No VM is appointed: each VM chooses its reader from the members that it knows. Copied rows carry
+ * an age that includes all delays on the way. A VM whose rows become stale, whatever the cause,
+ * reads the store itself. So a reader that dies, stalls, is cut off or sends old rows costs calls,
+ * but no change is lost.
  */
 export const createZoneReplication = ({
   requestStatements,
@@ -93,17 +94,17 @@
   const freshMs = sharing?.freshMs ?? Infinity;
   const staleMs = sharing?.staleMs ?? Infinity;
   const isStoreLost = (): boolean => [...followers.values()].some((one) => !one.isStoreReachable());
-  const desk = createStatementResponder({
+  const responder = createStatementResponder({
     followers,
     minGainMs: freshMs / 4,
     clock,
     isCutOff: () => sources.isCutOff(self.vm) || isStoreLost(),
   });
   let source: string | null = null;
-  let nextCheckMs = -Infinity;
+  let nextReadMs = -Infinity;
   let stopLoop = (): void => undefined;
 
-  const listZone = (): readonly StoreReaderVm[] =>
+  const listZoneVms = (): readonly StoreReaderVm[] =>
     listMembers().filter(({ availabilityZone }) => availabilityZone === self.availabilityZone);
 
   const isReader = (): boolean => source === null || source === self.vm;
@@ -129,88 +130,90 @@
     waitMs,
   });
 
-  /** Takes what a VM told; returns how long to wait before the next request. */
-  const takeStatements = (
+  /** Merges a VM's statements; returns the pause before the next request. */
+  const mergeStatements = (
     reader: StoreReaderVm,
     { heldMs, isCutOff, tables }: StatementsResponse,
     sentAtMs: number,
   ): number => {
-    // Of the time that the call took, only that for which it was held is known not to be delay.
+    // Only the held time is known to lie before the response; the rest may be network delay.
     const answeredAtMs = sentAtMs + Math.min(heldMs, clock.readMonotonicMs() - sentAtMs);
     tables.forEach((statement) =>
       followers.get(statement.table)?.mergeStatement(statement, answeredAtMs - statement.ageMs),
     );
     const ageMs = Math.max(0, ...tables.map((statement) => statement.ageMs));
-    if (!isCutOff && ageMs <= freshMs + 2 * ANSWER_MS) {
+    if (!isCutOff && ageMs <= freshMs + 2 * RESPONSE_MS) {
       sources.recordFresh(reader.vm);
-      return GATHER_MS;
+      return BATCH_PAUSE_MS;
     }
     log.warn('rows source stale', { source: reader.vm, isCutOff, ageMs: Math.round(ageMs) });
     sources.recordStale(reader.vm, isCutOff);
-    return sources.isStoreUnavailable() ? AWAY_PAUSE_MS : GATHER_MS;
+    return sources.isStoreUnavailable() ? OUTAGE_PAUSE_MS : BATCH_PAUSE_MS;
   };
 
-  const askReader = async (reader: StoreReaderVm, leftMs: number): Promise<number> => {
-    const timeoutMs = Math.min(freshMs + 2 * ANSWER_MS, Math.max(MIN_ASK_MS, leftMs));
-    const request = buildRequest(Math.max(0, timeoutMs - ANSWER_MS));
+  const followReader = async (reader: StoreReaderVm, leftMs: number): Promise<number> => {
+    const timeoutMs = Math.min(freshMs + 2 * RESPONSE_MS, Math.max(MIN_REQUEST_MS, leftMs));
+    const request = buildRequest(Math.max(0, timeoutMs - RESPONSE_MS));
     const sentAtMs = clock.readMonotonicMs();
     const answered = await requestStatements(reader.address, request, timeoutMs);
     const checked = answered && validateStatements(answered, request);
-    if (checked?.isOk()) return takeStatements(reader, checked.value, sentAtMs);
-    const reason = checked?.isErr() ? checked.error : 'no usable answer in time';
+    if (checked?.isOk()) return mergeStatements(reader, checked.value, sentAtMs);
+    const reason = checked?.isErr() ? checked.error : 'no response in time';
     const tookMs = Math.round(clock.readMonotonicMs() - sentAtMs);
     log.warn('rows source failed', { source: reader.vm, reason, tookMs });
     sources.recordFailure(reader.vm);
-    return GATHER_MS;
+    return BATCH_PAUSE_MS;
   };
 
-  /** Asks the store itself, as what is known has grown stale. */
-  const checkStore = async (): Promise<void> => {
+  /** Reads the store itself, since the copied rows have become stale. */
+  const readStore = async (): Promise<void> => {
     const isAnswered = await pair.readOnce();
-    const vms = listZone().length;
-    const pauseMs = Math.max(MIN_CHECK_PAUSE_MS, vms * CHECK_PAUSE_MS_PER_VM);
-    nextCheckMs = isAnswered
+    const vms = listZoneVms().length;
+    const pauseMs = Math.max(MIN_READ_PAUSE_MS, vms * READ_PAUSE_MS_PER_VM);
+    nextReadMs = isAnswered
       ? -Infinity
       : clock.readMonotonicMs() + pauseMs * (0.75 + randomness.readFraction() / 2);
     log.info('store asked, as knowledge grew stale', { isAnswered, vms });
   };
 
-  /** Whether to wait for the first tables, which each VM reads itself, and for news of the zone. */
-  const isTooSoon = (): boolean => {
+  /**
+   * Whether to wait for the first read, which each VM makes itself, and for members of the zone.
+   */
+  const mustWait = (): boolean => {
     const versions = [...followers.values()].map((follower) => follower.readVersion());
     if (versions.includes(0)) return true;
-    return source === null && listZone().length === 0 && pair.readAgeMs() < freshMs;
+    return source === null && listZoneVms().length === 0 && pair.readAgeMs() < freshMs;
   };
 
-  /** Those that wait for news from here are told to look elsewhere. */
+  /** Records that this VM is cut off, and tells waiting VMs so that they choose another reader. */
   const recordCutOff = (): void => {
-    const isNews = !sources.isCutOff(self.vm);
+    const isFirst = !sources.isCutOff(self.vm);
     sources.recordStale(self.vm, true);
-    if (isNews) desk.answerAll();
+    if (isFirst) responder.answerAll();
   };
 
   const runStep = async (): Promise<number> => {
-    if (isTooSoon()) return LOOK_MS;
-    // One that the store turns away follows another VM, unless it does so to all.
-    const isLast = sources.isCutOff(self.vm) && !sources.isStoreUnavailable();
-    const candidate = isLast ? { ...self, cores: -1 } : self;
-    const reader = chooseRowReader(candidate, sources.filterUsable(listZone()));
+    if (mustWait()) return ROLE_CHECK_MS;
+    // A VM that the store refuses follows another VM, unless the store refuses all.
+    const isLastChoice = sources.isCutOff(self.vm) && !sources.isStoreUnavailable();
+    const candidate = isLastChoice ? { ...self, cores: -1 } : self;
+    const reader = chooseRowReader(candidate, sources.filterUsable(listZoneVms()));
     const wasReader = isReader();
     setSource(reader);
     if (reader.vm === self.vm) {
       if (!isStoreLost()) sources.recordFresh(self.vm);
-      // At first what is known of the store is from before.
+      // A VM that has just become the reader still has the store's state from before.
       else if (wasReader) recordCutOff();
-      return LOOK_MS;
+      return ROLE_CHECK_MS;
     }
-    const limitMs = staleMs * (1 - SPREAD_PART * randomness.readFraction());
-    if (pair.readAgeMs() >= limitMs && clock.readMonotonicMs() >= nextCheckMs) await checkStore();
+    const limitMs = staleMs * (1 - STALE_JITTER * randomness.readFraction());
+    if (pair.readAgeMs() >= limitMs && clock.readMonotonicMs() >= nextReadMs) await readStore();
     const leftMs = limitMs - pair.readAgeMs();
-    return askReader(reader, leftMs > 0 ? leftMs : Infinity);
+    return followReader(reader, leftMs > 0 ? leftMs : Infinity);
   };
 
   return {
-    ...desk,
+    ...responder,
     start: () => {
       if (!sharing) return;
       pair.setFollowing(false);
@@ -219,9 +222,9 @@
         firstDelayMs: 0,
         runStep,
         handleFailure: (reason) => {
-          log.error('sharing stopped unexpectedly', { reason });
+          log.error('zone replication failed, this VM follows the store itself', { reason });
           pair.setFollowing(true);
-          return LOOK_MS;
+          return ROLE_CHECK_MS;
         },
       });
     },
--- a/src/application/rows/types/RowsOrigin.ts
+++ b/src/application/rows/types/RowsOrigin.ts
@@ -1,8 +1,11 @@
-/** Where changes came from. */
+/** Origin of changed rows. */
 export interface RowsOrigin {
   readonly source: 'store' | 'peer';
-  /** True: all rows of a store that came back from a copy; some may be older than those known before. */
+  /**
+   * Whether these are all rows of a store that was restored from a backup; some may be older than
+   * the rows known before.
+   */
   readonly isRestored: boolean;
-  /** Monotonic time until which the store did not answer, or null if it always did. */
+  /** Monotonic time at which the store's newest outage ended, or null if there was none. */
   readonly outageEndedAtMs: number | null;
 }
--- a/src/application/store/createResilientObjectStore/index.ts
+++ b/src/application/store/createResilientObjectStore/index.ts
@@ -2,18 +2,21 @@
 import { createOperationRunner, type OperationRunnerDependencies } from '../createOperationRunner';
 import type { StorePolicy } from '../policies';
 
-/** Creates an object store that fails soon; only unconditional writes are sent again when lost. */
+/**
+ * Adds deadlines, retries and a circuit breaker to an object store. Of the writes whose response is
+ * lost, only unconditional ones are retried.
+ */
 export function createResilientObjectStore(
   inner: ObjectStore,
   policy: StorePolicy,
   dependencies: OperationRunnerDependencies,
 ): ObjectStore {
-  const guard = createOperationRunner('objects', policy, dependencies);
+  const runner = createOperationRunner('objects', policy, dependencies);
   return {
     readObject: (key) =>
-      guard.runOperation(() => inner.readObject(key), { write: false, repeatable: true }),
+      runner.runOperation(() => inner.readObject(key), { write: false, repeatable: true }),
     writeObject: (key, content, options) =>
-      guard.runOperation(() => inner.writeObject(key, content, options), {
+      runner.runOperation(() => inner.writeObject(key, content, options), {
         write: true,
         repeatable: !options.onlyIfAbsent,
       }),
