--- a/src/application/forwarding/_lib/forwardCall/index.ts
+++ b/src/application/forwarding/_lib/forwardCall/index.ts
@@ -116,7 +116,7 @@
     const tookMs = clock.readMonotonicMs() - sentAtMs;
     if (end.kind !== 'not-run') {
       const isFailure = end.kind === 'failed';
-      servers.recordOutcome(status.entry, { isFailure, took: isFailure ? null : tookMs });
+      servers.recordOutcome(status.entry, { isFailure, duration: isFailure ? null : tookMs });
     }
     if (end.kind !== 'not-run' || end.hasArrived) arrivals += 1;
     else {
--- a/src/application/forwarding/_lib/openStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/openStreamAttempt/index.ts
@@ -60,7 +60,7 @@
     run.dispatch({ kind: 'not-started', reader, refused: false });
     return;
   }
-  run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
+  run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
   const read = head.isGenuine ? await readWholeBody(body) : null;
   if (read?.isOk()) Object.assign(run, { failure: { head, body: read.value } });
   if (read?.isOk() && head.status < SERVER_ERROR_STATUS) {
@@ -141,7 +141,7 @@
     );
     const isRefused = sent.error.kind === 'not-started';
     if (sent.error.kind === 'broken') {
-      context.servers.recordOutcome(server, { isFailure: true, took: null });
+      context.servers.recordOutcome(server, { isFailure: true, duration: null });
     }
     if (isRefused) {
       releaseCopy(run, copy, server.id);
--- a/src/application/forwarding/_lib/readStreamEvents/index.ts
+++ b/src/application/forwarding/_lib/readStreamEvents/index.ts
@@ -11,7 +11,7 @@
   const tokens = countPromptTokens(request);
   const saysPace = attempt.wasFree && request.lastEventId === null && tokens > 0;
   const took = saysPace ? (nowMs - attempt.sentAtMs) / tokens : null;
-  servers.recordOutcome(attempt.server, { isFailure: false, took });
+  servers.recordOutcome(attempt.server, { isFailure: false, duration: took });
 };
 
 const recordActivity = (run: StreamRun, attempt: StreamAttempt, reader: Reader): void => {
@@ -87,7 +87,7 @@
     if (attempt.isMoving) return;
     if (isCurrent()) {
       run.dependencies.directory.recordSuspicion(attempt.server.id, 'broken');
-      run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
+      run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
       recordCrash(run, attempt);
     }
     run.dependencies.log.info('stream broke off', {
--- a/src/application/forwarding/_lib/startSilenceWatch/index.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/index.ts
@@ -95,7 +95,7 @@
       },
       attempt.server,
     );
-    run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
+    run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
     run.dispatch({ kind: 'silent', reader, confirmed: true });
   };
 
--- a/src/application/forwarding/types/ForwardingDependencies.ts
+++ b/src/application/forwarding/types/ForwardingDependencies.ts
@@ -1,6 +1,6 @@
 import type { Clock, EventLog, ForwardClient, Randomness } from '../../ports';
 import type { Permits, ServerLimits } from '../../limits';
-import type { Rollouts } from '../../rollouts';
+import type { RolloutRegistry } from '../../rollouts';
 import type { CrashProbe } from '../createCrashProbe';
 import type { CrashHistory } from '../createCrashHistory';
 import type { RetryAllowance } from '../createRetryAllowance';
@@ -24,7 +24,7 @@
   readonly meter: ForwardingMeter;
   readonly randomness: Randomness;
   readonly retries: RetryAllowance;
-  readonly rollouts: Pick<Rollouts, 'openRequest'>;
+  readonly rollouts: Pick<RolloutRegistry, 'openRequest'>;
   readonly lender: RetryLender;
   readonly tables: RouteTableHolder;
   /** Tells other VMs of a prompt that was sent to a server just now. */
--- a/src/application/gossip/types/GossipDependencies.ts
+++ b/src/application/gossip/types/GossipDependencies.ts
@@ -1,7 +1,7 @@
 import type { ServerEntry } from '../../../domain/forwarding';
 import type { PassedLimits } from '../../limits';
 import type { Clock, EventLog, Randomness } from '../../ports';
-import type { PassedVerdicts } from '../../rollouts';
+import type { VerdictGossip } from '../../rollouts';
 import type { GossipCalls, Member, PassedOutcomes, PassedRows, SharedSuspicion } from '.';
 
 /** What gossip needs. */
@@ -15,7 +15,7 @@
   /** What is known of requests that end their servers. */
   readonly outcomes: PassedOutcomes;
   /** What is known of roll-outs. */
-  readonly verdicts: PassedVerdicts;
+  readonly verdicts: VerdictGossip;
   /** What is known of servers' rate limits. */
   readonly limits: PassedLimits;
   readonly clock: Clock;
--- a/src/application/rollouts/_lib/createTrialTallies/index.ts
+++ b/src/application/rollouts/_lib/createTrialTallies/index.ts
@@ -1,6 +1,6 @@
 import type { RolloutTallies, RouteTally, VersionTally } from '../../../../domain/rollouts';
 
-/** Tallies of one order at this VM. */
+/** Tallies of the requests of one order on this VM, by route. */
 export interface TrialTallies {
   record(route: string, version: keyof RouteTally, attempt: { readonly isPoor: boolean }): void;
   list(): RolloutTallies;
@@ -8,7 +8,7 @@
 
 const EMPTY: VersionTally = { requests: 0, poor: 0 };
 
-/** Creates tallies; they are empty. */
+/** Creates empty tallies. */
 export const createTrialTallies = (): TrialTallies => {
   const tallies = new Map<string, RouteTally>();
   return {
--- a/src/application/rollouts/createRolloutJudge/index.ts
+++ b/src/application/rollouts/createRolloutJudge/index.ts
@@ -8,73 +8,74 @@
 import { chooseOwners } from '../../../domain/membership';
 import type { Clock, EventLog } from '../../ports';
 import { startLoop } from '../../time';
-import type { RolloutRows } from '../createRolloutRows';
-import type { KnownRollout, Rollouts } from '../createRollouts';
+import type { VerdictStore } from '../createVerdictStore';
+import type { RolloutSnapshot, RolloutRegistry } from '../createRolloutRegistry';
 import type { RolloutPeer, TrialReport } from '../types';
 
-/** What a judge needs. */
+/** Dependencies of the rollout judge. */
 export interface RolloutJudgeDependencies {
   /** Name of this VM. */
   readonly self: string;
   readonly listPeers: () => readonly RolloutPeer[];
-  readonly rollouts: Pick<Rollouts, 'applyVerdict' | 'find'>;
-  readonly rows: RolloutRows;
+  readonly rollouts: Pick<RolloutRegistry, 'applyVerdict' | 'find'>;
+  readonly verdictStore: VerdictStore;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Judges roll-outs for all VMs where it falls to this one. */
+/** Judges the rollouts that are assigned to this VM, on behalf of all VMs. */
 export interface RolloutJudge {
-  /** A roll-out is under way, or its verdict changed. */
+  /** Starts to evaluate the rollout of a service, after an order or a change of its verdict. */
   watch(service: string): void;
-  /** Takes what a VM has seen; returns the verdict, null if the order is not known here. */
+  /** Takes the report of a VM; returns the verdict, or null if this VM does not know the order. */
   handleReport(report: TrialReport): RolloutVerdict | null;
-  /** Whether this VM is the first to judge a service's roll-out. */
-  isJudge(service: string): boolean;
+  /** True if this VM is the primary judge of the rollout of a service. */
+  isPrimaryJudge(service: string): boolean;
   stop(): void;
 }
 
-/** A lookup's answer at a version that fails is followed by others within this time. */
-const LOOK_MS = 250;
+/** Time between two evaluations; bounds how long further requests go to a failing version. */
+const EVALUATION_INTERVAL_MS = 250;
 
-/** VMs that judge a roll-out, in order: the next one does where the first does not answer. */
+/** Lists the VMs that may judge a rollout; each one is asked if those before do not answer. */
 export const listJudges = (vms: readonly string[], service: string): readonly string[] =>
   chooseOwners(vms, `rollout ${service}`, 3);
 
 /**
- * Creates the judge of this VM.
+ * Creates the rollout judge of this VM.
  *
- * No VM is set aside: all work out by the same rule who judges, from those that they have heard of, and
- * a VM that gets a report judges by what it was told. Two that judge at the same time each see a part;
- * reports hold all that their sender has seen, so that the next one begins with the whole.
+ * There is no elected judge: each VM computes the judges from its list of live VMs by the same
+ * rendezvous hash, and a VM that receives a report judges by the reports it has. Two concurrent
+ * judges each see a part of the outcomes. Reports are cumulative, so that a new judge soon has them
+ * all.
  */
 export const createRolloutJudge = ({
   clock,
   listPeers,
   log,
   rollouts,
-  rows,
+  verdictStore,
   self,
 }: RolloutJudgeDependencies): RolloutJudge => {
   const watched = new Set<string>();
-  /** By service, then by sender. */
-  const reportsOf = new Map<string, Map<string, TrialReport>>();
+  /** Newest reports, by service and sender. */
+  const reportsByService = new Map<string, Map<string, TrialReport>>();
   let stopLoop: (() => void) | null = null;
 
-  const isFirst = (service: string): boolean =>
+  const isPrimary = (service: string): boolean =>
     listJudges([self, ...listPeers().map(({ vm }) => vm)], service)[0] === self;
 
-  const listReports = ({ order }: KnownRollout): readonly TrialReport[] =>
-    [...(reportsOf.get(order.service)?.values() ?? [])].filter(
+  const listReports = ({ order }: RolloutSnapshot): readonly TrialReport[] =>
+    [...(reportsByService.get(order.service)?.values() ?? [])].filter(
       ({ sequence }) => sequence === order.sequence,
     );
 
-  /** Decides the next state by what is known here. */
-  const judge = (known: KnownRollout): void => {
-    const { ageMs, hasEstablished, order, switchedMs, verdict } = known;
+  /** Decides the next state from the own tallies and the reports received. */
+  const judge = (rollout: RolloutSnapshot): void => {
+    const { ageMs, hasEstablished, order, switchedMs, verdict } = rollout;
     if (ageMs === null) return;
-    const reports = listReports(known);
-    const tallies = addTallies([known.tallies, ...reports.map((report) => report.tallies)]);
+    const reports = listReports(rollout);
+    const tallies = addTallies([rollout.tallies, ...reports.map((report) => report.tallies)]);
     const judgement = judgeVersion(tallies);
     const next = decideRollout({
       state: verdict.state,
@@ -99,38 +100,38 @@
     rollouts.applyVerdict({ ...verdict, state: next, isStored: false });
   };
 
-  /** One that is final, and that the store holds, needs no judge. */
-  const isOver = ({ verdict }: KnownRollout): boolean =>
+  /** A rollout with a final, stored verdict needs no judge. */
+  const isOver = ({ verdict }: RolloutSnapshot): boolean =>
     verdict.isStored &&
     (verdict.state === RolloutState.Completed || verdict.state === RolloutState.Reverted);
 
-  const look = (service: string): void => {
-    const known = rollouts.find(service);
-    if (!known || isOver(known)) {
+  const evaluate = (service: string): void => {
+    const rollout = rollouts.find(service);
+    if (!rollout || isOver(rollout)) {
       watched.delete(service);
-      reportsOf.delete(service);
+      reportsByService.delete(service);
       return;
     }
-    if (known.ageMs === null) rows.readVerdict(known);
-    if (!isFirst(service) && listReports(known).length === 0) return;
-    judge(known);
-    const judged = rollouts.find(service);
-    if (judged && judged.ageMs !== null) rows.writeVerdict(judged);
+    if (rollout.ageMs === null) verdictStore.readVerdict(rollout);
+    if (!isPrimary(service) && listReports(rollout).length === 0) return;
+    judge(rollout);
+    const evaluated = rollouts.find(service);
+    if (evaluated && evaluated.ageMs !== null) verdictStore.writeVerdict(evaluated);
   };
 
-  const startLooking = (): void => {
+  const startEvaluating = (): void => {
     stopLoop ??= startLoop({
       clock,
       firstDelayMs: 0,
       runStep: async () => {
-        [...watched].forEach(look);
-        if (watched.size > 0) return LOOK_MS;
+        [...watched].forEach(evaluate);
+        if (watched.size > 0) return EVALUATION_INTERVAL_MS;
         stopLoop = null;
         return null;
       },
       handleFailure: (reason) => {
         log.error('rollout judge failed unexpectedly', { reason });
-        return LOOK_MS;
+        return EVALUATION_INTERVAL_MS;
       },
     });
   };
@@ -138,19 +139,19 @@
   return {
     watch: (service) => {
       watched.add(service);
-      startLooking();
+      startEvaluating();
     },
     handleReport: (report) => {
-      const known = rollouts.find(report.service);
-      if (known?.order.sequence !== report.sequence) return null;
+      const rollout = rollouts.find(report.service);
+      if (rollout?.order.sequence !== report.sequence) return null;
       if (report.sender !== self) {
-        const reports = reportsOf.get(report.service) ?? new Map<string, TrialReport>();
-        reportsOf.set(report.service, reports.set(report.sender, report));
+        const reports = reportsByService.get(report.service) ?? new Map<string, TrialReport>();
+        reportsByService.set(report.service, reports.set(report.sender, report));
       }
-      judge(known);
+      judge(rollout);
       return rollouts.find(report.service)?.verdict ?? null;
     },
-    isJudge: isFirst,
+    isPrimaryJudge: isPrimary,
     stop: () => stopLoop?.(),
   };
 };
--- a/src/application/rollouts/createRollouts/test.ts
+++ b/src/application/rollouts/createRolloutRegistry/test.ts
@@ -8,7 +8,7 @@
 } from '../../../../standins/fakes';
 import { RolloutState, type RolloutVerdict } from '../../../domain/rollouts';
 import { computeRowVersion } from '../../../domain/rows';
-import { createRollouts } from '.';
+import { createRolloutRegistry } from '.';
 
 const REQUEST = { service: 's', route: 'r' };
 
@@ -22,18 +22,18 @@
 
 const ORDER = { key: 'rollout/s', value: Buffer.from('order'), version: 7 };
 
-/** Versions that orders name, by what their rows hold. */
+/** Target versions, by the content of the order row. */
 const TARGETS: ReadonlyMap<string, string> = new Map([
   ['order', 'v2'],
   ['other', 'v3'],
 ]);
 
-/** A VM that has run for a while, with an order that has just come. */
-const setUp = () => {
+/** Creates the registry of a VM that has run for 20 s and has just received an order. */
+const createFixture = () => {
   const clock = createFakeClock();
   const servers = [ESTABLISHED];
   const changes: string[] = [];
-  const rollouts = createRollouts({
+  const rollouts = createRolloutRegistry({
     decodeOrder: ({ value, version }) => {
       const to = TARGETS.get(value?.toString() ?? '');
       return to
@@ -46,7 +46,7 @@
     clock,
     log: QUIET_LOG,
     randomness: createSeededRandomness(1),
-    tellVerdict: () => undefined,
+    broadcastVerdict: () => undefined,
     handleChange: (service) => changes.push(service),
     handleEvidence: () => undefined,
   });
@@ -71,8 +71,8 @@
   isStored: false,
 };
 
-test('requests before the new version has servers use up none of its trials', (t) => {
-  const { clock, sendMany, servers } = setUp();
+test('requests before the new version has servers do not use up its trials', (t) => {
+  const { clock, sendMany, servers } = createFixture();
   clock.advance(30_000);
   t.false(sendMany(100).includes('v2'));
   servers.push(CANDIDATE);
@@ -80,7 +80,7 @@
 });
 
 test('the second attempt of a request that tried the new version goes to the established one', (t) => {
-  const { clock, rollouts, servers } = setUp();
+  const { clock, rollouts, servers } = createFixture();
   servers.push(CANDIDATE);
   clock.advance(30_000);
   const request = rollouts.openRequest(REQUEST);
@@ -89,8 +89,8 @@
   t.deepEqual(request.list(), [ESTABLISHED]);
 });
 
-test('nothing goes to a version once it is reverted, also where no other server is left', (t) => {
-  const { clock, rollouts, send, servers } = setUp();
+test('no request goes to a reverted version, even if no other server is left', (t) => {
+  const { clock, rollouts, send, servers } = createFixture();
   servers.push(CANDIDATE);
   clock.advance(30_000);
   t.true(rollouts.mergeVerdict(verdict));
@@ -99,8 +99,8 @@
   t.is(send(), undefined);
 });
 
-test('a verdict that comes before its order holds from the order on', (t) => {
-  const { clock, rollouts, sendMany, servers } = setUp();
+test('a verdict that arrives before its order applies once the order arrives', (t) => {
+  const { clock, rollouts, sendMany, servers } = createFixture();
   rollouts.mergeVerdict({ ...verdict, sequence: 8 });
   rollouts.applyRows([{ ...ORDER, version: 8 }]);
   servers.push(CANDIDATE);
@@ -109,47 +109,51 @@
   t.false(sendMany(50).includes('v2'));
 });
 
-test('a malformed order changes nothing', (t) => {
-  const { rollouts } = setUp();
+test('a malformed order is ignored', (t) => {
+  const { rollouts } = createFixture();
   rollouts.applyRows([{ ...ORDER, value: Buffer.from('{'), version: 9 }]);
   t.is(rollouts.find('s')?.order.sequence, 7);
 });
 
-test('while results were told to nobody, nothing is tried', (t) => {
-  const { clock, rollouts, sendMany, servers } = setUp();
+test('paused trials send no request to the new version', (t) => {
+  const { clock, rollouts, sendMany, servers } = createFixture();
   servers.push(CANDIDATE);
   clock.advance(30_000);
   rollouts.setTrialsPaused('s', true);
   t.false(sendMany(50).includes('v2'));
 });
 
-/** Gives the order, or one to another version, in an era of the store; returns its sequence. */
-const giveOrder = ({ rollouts }: ReturnType<typeof setUp>, era: number, to = 'order'): number => {
+/** Applies the order, or one to another version, in an era of the store; returns its sequence. */
+const giveOrder = (
+  { rollouts }: ReturnType<typeof createFixture>,
+  era: number,
+  to = 'order',
+): number => {
   const version = computeRowVersion({ era, revision: 5 });
   rollouts.applyRows([{ ...ORDER, value: Buffer.from(to), version }]);
   return version;
 };
 
-test('an order that the store still holds after it came back older keeps its verdict, which is written again', (t) => {
-  const bench = setUp();
-  bench.rollouts.applyVerdict({ ...verdict, isStored: true });
-  bench.changes.length = 0;
-  const sequence = giveOrder(bench, 1);
+test('an order that survives a restore of the store keeps its verdict, which is written again', (t) => {
+  const fixture = createFixture();
+  fixture.rollouts.applyVerdict({ ...verdict, isStored: true });
+  fixture.changes.length = 0;
+  const sequence = giveOrder(fixture, 1);
   const { state } = verdict;
-  t.like(bench.rollouts.find('s')?.verdict, { state, sequence, isStored: false });
-  t.deepEqual(bench.changes, ['s']);
+  t.like(fixture.rollouts.find('s')?.verdict, { state, sequence, isStored: false });
+  t.deepEqual(fixture.changes, ['s']);
 });
 
-test('an order to another version begins anew, also where the store came back older before', (t) => {
-  const bench = setUp();
-  bench.rollouts.applyVerdict({ ...verdict, isStored: true });
-  giveOrder(bench, 1, 'other');
-  t.like(bench.rollouts.find('s')?.verdict, { to: 'v3', state: RolloutState.InProgress });
+test('an order to another version starts a new rollout, even after a restore of the store', (t) => {
+  const fixture = createFixture();
+  fixture.rollouts.applyVerdict({ ...verdict, isStored: true });
+  giveOrder(fixture, 1, 'other');
+  t.like(fixture.rollouts.find('s')?.verdict, { to: 'v3', state: RolloutState.InProgress });
 });
 
-test('the same order given again begins anew while the store did not come back older', (t) => {
-  const bench = setUp();
-  bench.rollouts.applyVerdict({ ...verdict, isStored: true });
-  bench.rollouts.applyRows([{ ...ORDER, version: 9 }]);
-  t.like(bench.rollouts.find('s')?.verdict, { sequence: 9, state: RolloutState.InProgress });
+test('the same order given again without a restore of the store starts a new rollout', (t) => {
+  const fixture = createFixture();
+  fixture.rollouts.applyVerdict({ ...verdict, isStored: true });
+  fixture.rollouts.applyRows([{ ...ORDER, version: 9 }]);
+  t.like(fixture.rollouts.find('s')?.verdict, { sequence: 9, state: RolloutState.InProgress });
 });
--- a/src/application/rollouts/createTrialReporter/index.ts
+++ b/src/application/rollouts/createTrialReporter/index.ts
@@ -2,36 +2,36 @@
 import type { Clock, EventLog } from '../../ports';
 import { startLoop } from '../../time';
 import { listJudges, type RolloutJudge } from '../createRolloutJudge';
-import type { Rollouts } from '../createRollouts';
+import type { RolloutRegistry } from '../createRolloutRegistry';
 import type { RolloutPeer, TrialReport } from '../types';
 
-/** What a reporter needs. */
+/** Dependencies of the trial reporter. */
 export interface TrialReporterDependencies {
   /** Name of this VM. */
   readonly self: string;
-  /** Differs between two starts of a process. */
+  /** Identifies this start of the process. */
   readonly incarnation: string;
   readonly listPeers: () => readonly RolloutPeer[];
-  /** Null if the VM does not answer in time, or does not know the order. */
+  /** Sends a report; null if the VM does not answer in time or does not know the order. */
   readonly sendReport: (address: string, report: TrialReport) => Promise<RolloutVerdict | null>;
   readonly judge: Pick<RolloutJudge, 'handleReport'>;
-  readonly rollouts: Pick<Rollouts, 'find' | 'mergeVerdict' | 'setTrialsPaused'>;
+  readonly rollouts: Pick<RolloutRegistry, 'find' | 'mergeVerdict' | 'setTrialsPaused'>;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Tells the judge of a roll-out what this VM has seen at servers of the new version. */
+/** Reports the outcomes of this VM at servers of the new version to the judge of the rollout. */
 export interface TrialReporter {
   recordEvidence(service: string): void;
 }
 
-/** Results that come within this time go out together. */
-const GATHER_MS = 50;
+/** Outcomes within this time are sent in one report. */
+const BATCH_DELAY_MS = 50;
 
-/** Time until a report that nobody took is sent again; nothing is tried meanwhile. */
+/** Time until a report that no judge accepted is sent again; trials pause meanwhile. */
 const RETRY_MS = 300;
 
-/** Creates the reporter of this VM. */
+/** Creates the trial reporter of this VM. */
 export const createTrialReporter = ({
   clock,
   incarnation,
@@ -42,15 +42,15 @@
   self,
   sendReport,
 }: TrialReporterDependencies): TrialReporter => {
-  /** Services whose report is due or on its way, and whether there is more to tell. */
+  /** Services whose report is due or in flight, and whether there are newer outcomes. */
   const pending = new Map<string, { hasMore: boolean }>();
 
-  /** Asks the VMs that may judge, in order; null if none took the report. */
-  const report = async (service: string): Promise<RolloutVerdict | null> => {
-    const known = rollouts.find(service);
-    if (!known) return null;
+  /** Sends the report to the candidate judges in order; null if none accepted it. */
+  const sendToJudge = async (service: string): Promise<RolloutVerdict | null> => {
+    const rollout = rollouts.find(service);
+    if (!rollout) return null;
     pending.set(service, { hasMore: false });
-    const { order, tallies } = known;
+    const { order, tallies } = rollout;
     const peers = listPeers();
     const sent = { sender: self, service, sequence: order.sequence, tallies };
     for (const vm of listJudges([self, ...peers.map((peer) => peer.vm)], service)) {
@@ -62,23 +62,23 @@
     return null;
   };
 
-  /** Reports once; returns when to do so again, or null if there is no more to tell. */
+  /** Reports once; returns the delay until the next report, or null if there is none to send. */
   const runStep = async (service: string): Promise<number | null> => {
-    // A roll-out that is over has nobody to report to.
+    // A finished rollout has no judge.
     const isOver = rollouts.find(service)?.verdict.isStored ?? true;
-    const verdict = isOver ? null : await report(service);
+    const verdict = isOver ? null : await sendToJudge(service);
     if (isOver) {
       pending.delete(service);
       return null;
     }
     if (verdict) rollouts.mergeVerdict(verdict);
-    // A VM that can't tell what it saw must not go on to try: the others would not learn of it.
+    // Without a report the other VMs do not learn of failed trials, so this VM sends no more.
     rollouts.setTrialsPaused(service, verdict === null);
     if (verdict === null) {
       log.warn('trial report not taken', { service });
       return RETRY_MS;
     }
-    if (pending.get(service)?.hasMore) return GATHER_MS;
+    if (pending.get(service)?.hasMore) return BATCH_DELAY_MS;
     pending.delete(service);
     return null;
   };
@@ -93,7 +93,7 @@
       pending.set(service, { hasMore: false });
       startLoop({
         clock,
-        firstDelayMs: GATHER_MS,
+        firstDelayMs: BATCH_DELAY_MS,
         runStep: () => runStep(service),
         handleFailure: (reason) => {
           log.error('trial report failed unexpectedly', { service, reason });
--- a/src/application/rollouts/createRolloutRows/index.ts
+++ b/src/application/rollouts/createVerdictStore/index.ts
@@ -1,16 +1,16 @@
 import type { Result } from 'neverthrow';
 import { RolloutState, type RolloutVerdict } from '../../../domain/rollouts';
 import type { Clock, EventLog, RowSource, RowWriter, SharedRow } from '../../ports';
-import type { KnownRollout, Rollouts } from '../createRollouts';
+import type { RolloutSnapshot, RolloutRegistry } from '../createRolloutRegistry';
 
-/** A verdict as the shared store holds it. */
+/** A verdict as stored in the shared store. */
 export interface StoredVerdict {
   readonly verdict: RolloutVerdict;
-  /** When the order was given, by the store's own steady clock. */
+  /** Time of the order, on the monotonic clock of the store. */
   readonly startedStoreMs: number;
 }
 
-/** How verdicts are written. */
+/** Table, keys and encoding of stored verdicts. */
 export interface VerdictCodec {
   readonly table: string;
   readonly buildKey: (service: string) => string;
@@ -18,24 +18,24 @@
   readonly decode: (row: SharedRow) => Result<StoredVerdict, string>;
 }
 
-/** What rows of verdicts need. */
-export interface RolloutRowsDependencies {
+/** Dependencies of the verdict store. */
+export interface VerdictStoreDependencies {
   readonly codec: VerdictCodec;
   readonly store: Pick<RowSource, 'readRows'> & RowWriter;
-  readonly rollouts: Pick<Rollouts, 'applyVerdict' | 'recordAge'>;
+  readonly rollouts: Pick<RolloutRegistry, 'applyVerdict' | 'recordAge'>;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
-/** Keeps verdicts on roll-outs in the shared store. */
-export interface RolloutRows {
-  /** Learns what the store holds of an order that was there before this process. */
-  readVerdict(known: KnownRollout): void;
-  /** Writes the verdict, unless the store holds a final one; called again until that is done. */
-  writeVerdict(known: KnownRollout): void;
+/** Reads and writes rollout verdicts in the shared store. */
+export interface VerdictStore {
+  /** Reads the age and verdict of an order that predates this process into the registry. */
+  readVerdict(rollout: RolloutSnapshot): void;
+  /** Writes the verdict unless the store holds a final one; callers repeat it until it succeeds. */
+  writeVerdict(rollout: RolloutSnapshot): void;
 }
 
-/** Time until a call that failed is made again. */
+/** Time until a failed call may be repeated. */
 const RETRY_MS = 500;
 
 const FINAL_STATES: ReadonlySet<RolloutState> = new Set([
@@ -43,29 +43,29 @@
   RolloutState.Reverted,
 ]);
 
-/** What the store is told: that new requests have moved already is between the VMs. */
+/** Converts a state to the stored one: only the VMs know of `switching`, not the store. */
 const toStoredState = (state: RolloutState): RolloutState =>
   FINAL_STATES.has(state) ? state : RolloutState.InProgress;
 
-/** Creates what keeps verdicts in a table of the shared store. */
-export const createRolloutRows = ({
+/** Creates the verdict store on a table of the shared store. */
+export const createVerdictStore = ({
   clock,
   codec,
   log,
   rollouts,
   store,
-}: RolloutRowsDependencies): RolloutRows => {
+}: VerdictStoreDependencies): VerdictStore => {
   const busy = new Set<string>();
-  const notBeforeMs = new Map<string, number>();
-  /** By service: what the store surely holds, as order and state. */
-  const writtenOf = new Map<string, string>();
+  const retryAtMs = new Map<string, number>();
+  /** Order sequence and state last written, by service. */
+  const writtenByService = new Map<string, string>();
 
-  const buildMark = ({ verdict }: KnownRollout): string =>
+  const buildVerdictKey = ({ verdict }: RolloutSnapshot): string =>
     `${verdict.sequence} ${toStoredState(verdict.state)}`;
 
-  /** Takes what the store holds of an order; true if it is final. */
-  const takeStored = (known: KnownRollout, stored: StoredVerdict | null, storeMs: number) => {
-    const { sequence, service } = known.order;
+  /** Applies the stored row of an order to the registry; returns true if its verdict is final. */
+  const applyStored = (rollout: RolloutSnapshot, stored: StoredVerdict | null, storeMs: number) => {
+    const { sequence, service } = rollout.order;
     if (stored?.verdict.sequence !== sequence) {
       rollouts.recordAge(service, sequence, 0);
       return false;
@@ -76,20 +76,22 @@
     return true;
   };
 
-  const sync = async (known: KnownRollout, isWritten: boolean): Promise<string | null> => {
-    const { order, verdict } = known;
+  const sync = async (rollout: RolloutSnapshot, shouldWrite: boolean): Promise<string | null> => {
+    const { order, verdict } = rollout;
     const read = await store.readRows(codec.table);
     if (read.isErr()) return read.error.kind;
     const key = codec.buildKey(order.service);
-    const row = read.value.rows.find((one) => one.key === key && one.value !== null);
+    const row = read.value.rows.find(
+      (candidate) => candidate.key === key && candidate.value !== null,
+    );
     const decoded = row ? codec.decode(row) : null;
     const stored = decoded?.isOk() ? decoded.value : null;
     const storeMs = read.value.storeMs ?? 0;
-    if (takeStored(known, stored, storeMs) || !isWritten) return null;
+    if (applyStored(rollout, stored, storeMs) || !shouldWrite) return null;
     if (stored && stored.verdict.sequence > order.sequence) return null;
     const isSame = stored?.verdict.sequence === order.sequence;
     const state = toStoredState(verdict.state);
-    const startedStoreMs = isSame ? stored.startedStoreMs : storeMs - (known.ageMs ?? 0);
+    const startedStoreMs = isSame ? stored.startedStoreMs : storeMs - (rollout.ageMs ?? 0);
     const value = codec.encode({ verdict: { ...verdict, state }, startedStoreMs });
     const written = await store.changeRows({
       table: codec.table,
@@ -103,27 +105,31 @@
     return null;
   };
 
-  const run = async (known: KnownRollout, isWritten: boolean): Promise<void> => {
-    const { service } = known.order;
-    if (busy.has(service) || (notBeforeMs.get(service) ?? 0) > clock.readMonotonicMs()) return;
+  const run = async (rollout: RolloutSnapshot, shouldWrite: boolean): Promise<void> => {
+    const { service } = rollout.order;
+    if (busy.has(service) || (retryAtMs.get(service) ?? 0) > clock.readMonotonicMs()) return;
     busy.add(service);
-    const reason = await sync(known, isWritten);
+    const reason = await sync(rollout, shouldWrite);
     busy.delete(service);
     if (reason === null) {
-      if (isWritten) writtenOf.set(service, buildMark(known));
+      if (shouldWrite) writtenByService.set(service, buildVerdictKey(rollout));
       return;
     }
-    log.warn('rollout status failed', { service, reason, isWritten });
-    notBeforeMs.set(service, clock.readMonotonicMs() + RETRY_MS);
+    log.warn('rollout status failed', { service, reason, isWritten: shouldWrite });
+    retryAtMs.set(service, clock.readMonotonicMs() + RETRY_MS);
   };
 
   return {
-    readVerdict: (known) => {
-      run(known, false);
+    readVerdict: (rollout) => {
+      run(rollout, false);
     },
-    writeVerdict: (known) => {
-      if (known.verdict.isStored || writtenOf.get(known.order.service) === buildMark(known)) return;
-      run(known, true);
+    writeVerdict: (rollout) => {
+      if (
+        rollout.verdict.isStored ||
+        writtenByService.get(rollout.order.service) === buildVerdictKey(rollout)
+      )
+        return;
+      run(rollout, true);
     },
   };
 };
--- a/src/application/rollouts/types/index.ts
+++ b/src/application/rollouts/types/index.ts
@@ -1,33 +1,36 @@
 import type { ServerEntry, ServerStatus } from '../../../domain/forwarding';
 import type { RolloutTallies, RolloutVerdict } from '../../../domain/rollouts';
 
-export type { HeldRollout } from './HeldRollout';
+export type { TrackedRollout } from './TrackedRollout';
 
-/** How an attempt at a server ended. */
+/** Outcome of an attempt at a server. */
 export interface AttemptOutcome {
   readonly isFailure: boolean;
-  /** Time it took, in any unit that is the same for all requests of the route; null if it says nothing. */
-  readonly took: number | null;
+  /**
+   * Duration in any unit that is the same for all requests of the route; null if it says nothing
+   * about the speed of the server.
+   */
+  readonly duration: number | null;
 }
 
-/** The servers that one request may go to, as roll-outs allow. */
-export interface RequestServers {
-  /** Servers that may take its next attempt. */
+/** The servers that rollouts allow for one request. */
+export interface EligibleServers {
+  /** Servers that may get the next attempt. */
   list(): readonly ServerStatus[];
-  /** Servers that may hold a copy of its run at a server. */
+  /** Servers that may hold a backup of the run at `source`. */
   listHolders(source: ServerEntry): readonly ServerStatus[];
-  /** True: what runs at this server tries a new version, and leaves no copy elsewhere. */
+  /** True if a run at this server is a trial of a new version; a trial has no backups. */
   isTrial(server: ServerEntry): boolean;
-  /** True: a new attempt may go there now. */
+  /** True if a new attempt may be sent to the server now. */
   isAllowed(server: ServerEntry): boolean;
-  /** An attempt is sent. */
+  /** Records that an attempt was sent to the server. */
   recordSent(server: ServerEntry): void;
   recordOutcome(server: ServerEntry, outcome: AttemptOutcome): void;
 }
 
-/** What one VM tells the judge of a roll-out: all that it has seen since the order. */
+/** Report of one VM to the judge of a rollout: its cumulative tallies since the order. */
 export interface TrialReport {
-  /** Name of the VM and of this start of its process. */
+  /** Name of the VM and incarnation of its process. */
   readonly sender: string;
   readonly service: string;
   readonly sequence: number;
@@ -40,9 +43,9 @@
   readonly address: string;
 }
 
-/** Takes and gives verdicts, for gossip. */
-export interface PassedVerdicts {
-  /** True if it was news. */
+/** Merges and lists verdicts, for gossip. */
+export interface VerdictGossip {
+  /** Returns true if the verdict replaced an older one. */
   mergeVerdict(verdict: RolloutVerdict): boolean;
   listVerdicts(): readonly RolloutVerdict[];
 }
