--- a/src/application/access/checkCaller/index.ts
+++ b/src/application/access/checkCaller/index.ts
@@ -9,15 +9,15 @@
   readonly workspace: Workspace;
 }
 
-/** Why a caller is not let in. */
+/** Reason why a caller is refused. */
 export type CallerRefusal = { readonly kind: 'no-configuration' } | { readonly kind: 'bad-bearer' };
 
 /**
  * Checks the bearer key of a caller against the configuration in force.
  *
  * @param authorization - value of the `Authorization` header
- * @returns the workspace with the configuration to judge the request by, so that one request never
- * sees two versions
+ * @returns the workspace with the configuration for the rest of the request, so that one request
+ * never uses two versions
  */
 export const checkCaller = (
   view: ConfigurationView,
--- a/src/application/health/createHealthRegistry/index.ts
+++ b/src/application/health/createHealthRegistry/index.ts
@@ -1,9 +1,9 @@
 import { BackendHealth, type Suspicion } from '../../../domain/types';
 import type { HealthRegistry } from '../../ports';
 
-/** What the registry needs. */
+/** Dependencies of the health registry. */
 export interface HealthRegistryDependencies {
-  /** Name of this VM: evidence under it is its own. */
+  /** Name of this VM; suspicions with this name are own evidence. */
   readonly vm: string;
 }
 
@@ -25,12 +25,12 @@
 /**
  * Creates the registry of backend servers' health.
  *
- * Each change of a server raises its epoch, as in a Lamport clock: own evidence gets the next
- * epoch, whatever number it carries, and a peer's counts only if it is newer than what is held.
- * So a suspicion that was overtaken by a recovery does not come back with a late message.
+ * Each change of a server increments its epoch, as in a Lamport clock. Own evidence always gets the
+ * next epoch; the evidence of a peer counts only if its epoch is newer. A late message therefore
+ * cannot restore a suspicion that a recovery has cleared.
  *
  * @param dependencies - Name of this VM.
- * @returns Registry, in which unknown servers are serving.
+ * @returns Registry; unknown servers count as serving.
  */
 export const createHealthRegistry = ({ vm }: HealthRegistryDependencies): HealthRegistry => {
   const records = new Map<string, ServerRecord>();
@@ -52,8 +52,9 @@
       const held = readRecord(suspicion.backendServer);
       const isOwn = suspicion.vm === vm;
       const isWeaker = held.suspicion?.confirmed === true && !suspicion.confirmed;
-      const isKnown = held.suspicion !== null && held.suspicion.confirmed === suspicion.confirmed;
-      if (isWeaker || isKnown) return;
+      const isDuplicate =
+        held.suspicion !== null && held.suspicion.confirmed === suspicion.confirmed;
+      if (isWeaker || isDuplicate) return;
       const confirmsHeld = held.suspicion !== null && suspicion.epoch === held.epoch;
       if (!isOwn && suspicion.epoch <= held.epoch && !confirmsHeld) return;
       const epoch = isOwn ? held.epoch + 1 : suspicion.epoch;
--- a/src/application/health/createHealthRegistry/test.ts
+++ b/src/application/health/createHealthRegistry/test.ts
@@ -10,10 +10,9 @@
   epoch: 0,
 };
 
-// Symptom: an engine that recovered gets no work again.
-// Sequence: entry-1 suspects it, its probe recovers it, a peer's older suspicion arrives late.
-// Cause: a registry that takes news in the order of arrival.
-test('a late suspicion of a peer does not undo a recovery', (t) => {
+// Guards against a recovered engine that gets no more work: a registry that applies updates in the
+// order of arrival would let an older suspicion of a peer, arriving late, undo the recovery.
+test('a late suspicion from a peer does not undo a recovery', (t) => {
   const registry = createHealthRegistry({ vm: 'entry-1' });
   const seen: string[] = [];
   registry.addListener((server, health) => seen.push(`${server} ${health}`));
--- a/src/application/health/createProber/index.ts
+++ b/src/application/health/createProber/index.ts
@@ -2,7 +2,7 @@
 import { BackendHealth } from '../../../domain/types';
 import type { Clock, ConfigurationView, EngineClient, HealthRegistry } from '../../ports';
 
-/** What the prober needs. */
+/** Dependencies of the prober. */
 export interface ProberDependencies {
   readonly clock: Clock;
   readonly engineClient: EngineClient;
@@ -10,23 +10,23 @@
   readonly configuration: ConfigurationView;
 }
 
-/** Brings suspected servers back once they answer. */
+/** Probes suspected servers and records their recovery once they answer. */
 export interface Prober {
   start(): void;
   stop(): void;
 }
 
-interface Watched {
-  /** Confirmed suspicions in a row. */
+interface ProbeState {
+  /** Consecutive confirmed suspicions without a stable period between them. */
   suspicions: number;
   recoveredAtMs: number;
   cancelTimer: (() => void) | null;
 }
 
-/** Service for so long after a recovery shows that the trouble is over. */
-const TROUBLE_OVER_MS = 30_000;
+/** A server that serves for this time after a recovery counts as stable again. */
+const STABLE_AFTER_MS = 30_000;
 
-/** Wait after a probe that was not answered. */
+/** Delay after a probe that was not answered. */
 const RETRY_DELAY_MS = 1_000;
 
 const isSuspect = (state: BackendHealth): boolean =>
@@ -35,36 +35,36 @@
 /**
  * Creates the prober of suspected servers.
  *
- * @param dependencies - Health to watch and engines to ask.
- * @returns Prober that stands still until it is started.
+ * @param dependencies - Health registry to watch and client to probe engines.
+ * @returns Prober that is idle until it is started.
  */
 export const createProber = (dependencies: ProberDependencies): Prober => {
   const { clock, engineClient, health, configuration } = dependencies;
-  const watched = new Map<string, Watched>();
+  const probeStates = new Map<string, ProbeState>();
   let stopListening: (() => void) | null = null;
 
-  const readWatched = (name: string): Watched => {
-    const known = watched.get(name);
+  const readProbeState = (name: string): ProbeState => {
+    const known = probeStates.get(name);
     if (known) return known;
-    const fresh: Watched = { suspicions: 0, recoveredAtMs: -Infinity, cancelTimer: null };
-    watched.set(name, fresh);
-    return fresh;
+    const created: ProbeState = { suspicions: 0, recoveredAtMs: -Infinity, cancelTimer: null };
+    probeStates.set(name, created);
+    return created;
   };
 
-  /** Gives false if the server has to be probed again. */
+  /** Probes a server; returns false if it must be probed again. */
   const probe = async (name: string): Promise<boolean> => {
     const current = configuration.readCurrent()?.configuration;
     const server = current?.backendServers.find((candidate) => candidate.name === name);
     if (!server || !isSuspect(health.readHealth(name))) return true;
     const answered = await engineClient.probe(server);
     if (answered.isErr()) return false;
-    readWatched(name).recoveredAtMs = clock.readMonotonicMs();
+    readProbeState(name).recoveredAtMs = clock.readMonotonicMs();
     health.recordRecovery(name);
     return true;
   };
 
   const schedule = (name: string, delayMs: number): void => {
-    const state = readWatched(name);
+    const state = readProbeState(name);
     if (state.cancelTimer || !stopListening) return;
     state.cancelTimer = clock.startTimer(delayMs, () => {
       state.cancelTimer = null;
@@ -76,12 +76,12 @@
     });
   };
 
-  const watch = (name: string): void => {
-    const state = readWatched(name);
+  const handleSuspicion = (name: string): void => {
+    const state = readProbeState(name);
     if (state.cancelTimer) return;
-    const isNewTrouble = clock.readMonotonicMs() - state.recoveredAtMs > TROUBLE_OVER_MS;
-    if (isNewTrouble) state.suspicions = 0;
-    // A short stall under load only makes a server suspected: it is probed soon, however often.
+    const wasStable = clock.readMonotonicMs() - state.recoveredAtMs > STABLE_AFTER_MS;
+    if (wasStable) state.suspicions = 0;
+    // A short stall under load only makes a server suspected; its probe delay does not grow.
     if (health.readHealth(name) === BackendHealth.Dead) state.suspicions += 1;
     schedule(name, computeProbeDelayMs(state.suspicions));
   };
@@ -89,15 +89,15 @@
   return {
     start: () => {
       stopListening ??= health.addListener((name, state) => {
-        if (isSuspect(state)) watch(name);
+        if (isSuspect(state)) handleSuspicion(name);
       });
-      health.listSuspicions().forEach(({ backendServer }) => watch(backendServer));
+      health.listSuspicions().forEach(({ backendServer }) => handleSuspicion(backendServer));
     },
     stop: () => {
       stopListening?.();
       stopListening = null;
-      watched.forEach(({ cancelTimer }) => cancelTimer?.());
-      watched.clear();
+      probeStates.forEach(({ cancelTimer }) => cancelTimer?.());
+      probeStates.clear();
     },
   };
 };
--- a/src/application/health/createProber/test.ts
+++ b/src/application/health/createProber/test.ts
@@ -12,10 +12,9 @@
   epoch: 0,
 };
 
-// Symptom: an engine that answers probes but not its streams is lost and brought back twice a second.
-// Sequence: suspected, probed, recovered, given work, suspected again.
-// Cause: a probe interval that takes no note of earlier suspicions.
-test('a server comes back once it answers, and later each time it fails again', async (t) => {
+// Guards against an engine that answers probes but not its streams and flaps twice a second between
+// dead and serving, because the probe delay does not grow with earlier suspicions.
+test('a server recovers once it answers a probe, later after each new failure', async (t) => {
   const clock = createFakeClock();
   const engines = createScriptedEngines();
   const health = createHealthRegistry({ vm: 'entry-1' });
--- a/src/application/services/_lib/acquireCallClaim/index.ts
+++ b/src/application/services/_lib/acquireCallClaim/index.ts
@@ -2,11 +2,11 @@
 import { ClaimState, type ClaimRow } from '../../../../domain/types';
 import type { Claims, GenerationError } from '../../../ports';
 import type { ServiceCall } from '../../types';
-import { buildKeyReusedError, buildTakenError, convertClaimError } from '../callErrors';
+import { buildKeyReusedError, buildClaimTakenError, convertClaimError } from '../callErrors';
 import { computeCallDigest, computeKeyDigest } from '../computeCallDigest';
 import { RUN_STATE_BY_CLAIM } from '../readEarlierRunState';
 
-/** Takes over the row of a call that surely was not sent, so that its repeat may run. */
+/** Takes over the claim of a call that was certainly not sent, so that its repeat may run. */
 const acquireFailedClaim = async (
   claims: Claims,
   row: ClaimRow,
@@ -18,9 +18,9 @@
 };
 
 /**
- * Claims a call that may run only once, before a byte of it is sent.
+ * Claims a call that may run only once, before its first byte is sent.
  *
- * @returns the row of this call; an error if another one has the key, or the store is down
+ * @returns the claim row of this call; an error if another call has the key or the store is down
  */
 export const acquireCallClaim = async (
   claims: Claims,
@@ -39,5 +39,5 @@
   if (kind === 'granted') return ok(row);
   if (row.requestDigest !== requestDigest) return err(buildKeyReusedError());
   if (row.state === ClaimState.Failed) return acquireFailedClaim(claims, row);
-  return err(buildTakenError(RUN_STATE_BY_CLAIM[row.state]));
+  return err(buildClaimTakenError(RUN_STATE_BY_CLAIM[row.state]));
 };
--- a/src/application/services/_lib/readEarlierRunState/index.ts
+++ b/src/application/services/_lib/readEarlierRunState/index.ts
@@ -3,7 +3,7 @@
 import type { ServiceCall } from '../../types';
 import { computeKeyDigest } from '../computeCallDigest';
 
-/** What a claim's state says of whether its call ran. */
+/** Run state of a call by the state of its claim. */
 export const RUN_STATE_BY_CLAIM: Readonly<Record<ClaimState, RunState>> = {
   [ClaimState.Running]: RunState.Unknown,
   [ClaimState.Finished]: RunState.Ran,
@@ -11,12 +11,12 @@
 };
 
 /**
- * Reads whether an earlier call under the same key or request id ran.
+ * Reads the run state of an earlier call with the same key or request id.
  *
- * A repeat that is refused before its claim would else be told `not-run` although the first one
- * billed, and the caller would send it again under another key.
+ * Otherwise a repeat that is refused before its claim would report `not-run` although the first
+ * call ran and was billed, and the caller would send it again under another key.
  *
- * @returns `unknown` also if the store does not answer
+ * @returns the run state; `unknown` if the store does not answer
  */
 export const readEarlierRunState = async (
   claims: Claims,
--- a/src/application/services/_lib/runAttempts/index.ts
+++ b/src/application/services/_lib/runAttempts/index.ts
@@ -1,16 +1,16 @@
 import { err, ok, type Result } from 'neverthrow';
 import { RunState } from '../../../../domain/types';
 import type { GenerationError, SlotOutcome } from '../../../ports';
-import type { Attempts, PlainDependencies } from '../../types';
+import type { AttemptContext, PlainServicesDependencies } from '../../types';
 import {
-  buildNotTakenError,
+  buildUnreachableError,
   buildTimeoutError,
-  buildUnknownError,
+  buildBackendFailedError,
   convertRefusal,
 } from '../callErrors';
 import { sendAttempt, type AnsweredAttempt, type AttemptFailure } from '../sendAttempt';
 
-/** Servers tried for one call; each further one draws on the retry budget of the routing. */
+/** Limit of the servers tried for one call; each one after the first spends retry budget. */
 const MAX_ATTEMPTS = 3;
 
 const OUTCOME_BY_FAILURE: Readonly<Record<AttemptFailure['kind'], SlotOutcome['outcome']>> = {
@@ -20,54 +20,58 @@
   unclaimed: 'not-started',
 };
 
-type Judges = {
+type FailureHandlers = {
   readonly [K in AttemptFailure['kind']]: (
     failure: Extract<AttemptFailure, { kind: K }>,
     state: { readonly repeatable: boolean; readonly runState: RunState },
   ) => GenerationError | null;
 };
 
-/** What a failed attempt means for the call: its final error, or null to try another server. */
-const JUDGES: Judges = {
+/** Convert a failed attempt into the final error of the call; null means to try another server. */
+const FAILURE_HANDLERS: FailureHandlers = {
   'not-started': () => null,
-  broken: ({ reason }, { repeatable }) => (repeatable ? null : buildUnknownError(reason)),
+  broken: ({ reason }, { repeatable }) => (repeatable ? null : buildBackendFailedError(reason)),
   cancelled: (_failure, { runState }) => buildTimeoutError(runState),
   unclaimed: ({ error }) => error,
 };
 
-const judgeFailure = (
+const computeFinalError = (
   failure: AttemptFailure,
   state: { readonly repeatable: boolean; readonly runState: RunState },
 ): GenerationError | null =>
-  (JUDGES[failure.kind] as (value: AttemptFailure, s: typeof state) => GenerationError | null)(
-    failure,
-    state,
-  );
+  (
+    FAILURE_HANDLERS[failure.kind] as (
+      value: AttemptFailure,
+      s: typeof state,
+    ) => GenerationError | null
+  )(failure, state);
 
-const readReason = (failure: AttemptFailure): string =>
+const describeFailure = (failure: AttemptFailure): string =>
   'reason' in failure ? failure.reason : failure.kind;
 
-/** Sends a call to one server after another until one answers or no more may be tried. */
+/** Sends a call to one server after another until one answers or no further attempt is allowed. */
 export const runAttempts = async (
-  dependencies: PlainDependencies,
-  attempts: Attempts,
+  dependencies: PlainServicesDependencies,
+  context: AttemptContext,
 ): Promise<Result<AnsweredAttempt, GenerationError>> => {
-  const { repeatable } = attempts;
-  const excluded: string[] = [];
+  const { repeatable } = context;
+  const excludedServers: string[] = [];
   let runState: RunState = RunState.NotRun;
   let reason = '';
-  while (excluded.length < MAX_ATTEMPTS) {
-    const end = await sendAttempt(dependencies, attempts, excluded, runState);
+  while (excludedServers.length < MAX_ATTEMPTS) {
+    const end = await sendAttempt(dependencies, context, excludedServers, runState);
     if (end.result.isOk()) return ok(end.result.value);
-    const failed = end.result.error;
+    const failure = end.result.error;
     runState = end.runState;
-    if (failed.kind === 'refused') return err(convertRefusal(failed.refusal, runState));
-    const outcome = OUTCOME_BY_FAILURE[failed.error.kind];
-    failed.slot.release({ outcome, firstTokenMs: 0, outputTokens: 0 });
-    const final = judgeFailure(failed.error, { repeatable, runState });
-    if (final !== null) return err(final);
-    reason = readReason(failed.error);
-    excluded.push(...end.servers);
+    if (failure.kind === 'refused') return err(convertRefusal(failure.refusal, runState));
+    const outcome = OUTCOME_BY_FAILURE[failure.error.kind];
+    failure.slot.release({ outcome, firstTokenMs: 0, outputTokens: 0 });
+    const finalError = computeFinalError(failure.error, { repeatable, runState });
+    if (finalError !== null) return err(finalError);
+    reason = describeFailure(failure.error);
+    excludedServers.push(...end.servers);
   }
-  return err(runState === RunState.NotRun ? buildNotTakenError(reason) : buildUnknownError(reason));
+  return err(
+    runState === RunState.NotRun ? buildUnreachableError(reason) : buildBackendFailedError(reason),
+  );
 };
--- a/src/application/services/createPlainServices/index.ts
+++ b/src/application/services/createPlainServices/index.ts
@@ -2,7 +2,7 @@
 import { isRepeatableCall } from '../../../domain/request';
 import { ClaimState, RunState, type ClaimRow } from '../../../domain/types';
 import type { GenerationError } from '../../ports';
-import type { PlainDependencies, ServiceAnswer, ServiceCall } from '../types';
+import type { PlainServicesDependencies, ServiceAnswer, ServiceCall } from '../types';
 import { acquireCallClaim } from '../_lib/acquireCallClaim';
 import { computeRunState } from '../_lib/computeRunState';
 import { readEarlierRunState } from '../_lib/readEarlierRunState';
@@ -11,15 +11,15 @@
 
 /** Calls to plain services. */
 export interface PlainServices {
-  /** Routes a call and gives the answer as soon as its headers are there. */
+  /** Routes a call and returns the answer as soon as its headers arrive. */
   callService(
     source: ServiceCall,
     signal: AbortSignal,
   ): Promise<Result<ServiceAnswer, GenerationError>>;
 }
 
-/** Gives the bytes on and holds the slot until the last one. */
-async function* followBody({ firstByteMs, response, slot }: AnsweredAttempt) {
+/** Streams the body and releases the slot when it ends. */
+async function* streamBody({ firstByteMs, response, slot }: AnsweredAttempt) {
   let outcome: 'failed' | 'finished' = 'failed';
   try {
     yield* response.body;
@@ -29,7 +29,7 @@
   }
 }
 
-const STATE_BY_RUN_STATE: Readonly<Record<RunState, ClaimState>> = {
+const CLAIM_STATE_BY_RUN_STATE: Readonly<Record<RunState, ClaimState>> = {
   [RunState.NotRun]: ClaimState.Failed,
   [RunState.Ran]: ClaimState.Finished,
   [RunState.Unknown]: ClaimState.Running,
@@ -38,16 +38,16 @@
 /**
  * Creates the calls to plain services.
  *
- * A call that may run only once is claimed in the platform's table before its first byte is sent,
- * and is never sent again after that byte, whatever the error.
+ * A call that may run only once is claimed in the table of the platform before its first byte is
+ * sent. After that byte it is never sent again, whatever the error.
  */
-export const createPlainServices = (dependencies: PlainDependencies): PlainServices => {
+export const createPlainServices = (dependencies: PlainServicesDependencies): PlainServices => {
   const { claims, clock, log } = dependencies;
 
-  /** The row stays `running`, and a repeat is told `unknown`, if this write fails. */
-  const recordEnd = async (row: ClaimRow | null, runState: RunState): Promise<void> => {
+  /** Updates the claim; if the write fails, it stays `running` and repeats get `unknown`. */
+  const recordRunState = async (row: ClaimRow | null, runState: RunState): Promise<void> => {
     if (row === null || runState === RunState.Unknown) return;
-    const updated = await claims.updateClaim(row, { state: STATE_BY_RUN_STATE[runState] });
+    const updated = await claims.updateClaim(row, { state: CLAIM_STATE_BY_RUN_STATE[runState] });
     if (updated.isErr()) log.warn('claim not updated', { requestId: row.generationId, runState });
   };
 
@@ -55,7 +55,7 @@
     const deadline = new AbortController();
     const cancelTimer = clock.startTimer(source.timeoutMs, () => deadline.abort());
     let row: ClaimRow | null = null;
-    let isClaimTried = false;
+    let wasClaimAttempted = false;
     const repeatable = isRepeatableCall({
       method: source.call.method,
       serviceIdempotent: source.service.idempotent,
@@ -69,7 +69,7 @@
       signal: AbortSignal.any([callerSignal, deadline.signal]),
       acquireClaim: async () => {
         if (repeatable || row !== null) return ok(undefined);
-        isClaimTried = true;
+        wasClaimAttempted = true;
         const claimed = await acquireCallClaim(claims, source);
         if (claimed.isErr()) return err(claimed.error);
         row = claimed.value;
@@ -79,15 +79,15 @@
     cancelTimer();
     if (answered.isErr()) {
       const { error } = answered;
-      await recordEnd(row, error.runState);
-      if (repeatable || isClaimTried) return err(error);
+      await recordRunState(row, error.runState);
+      if (repeatable || wasClaimAttempted) return err(error);
       return err({ ...error, runState: await readEarlierRunState(claims, source) });
     }
     const runState = computeRunState(answered.value.response);
-    const ended = recordEnd(row, runState);
-    // A caller told `not-run` repeats at once, so the row must say so before the answer goes out.
-    if (runState === RunState.NotRun) await ended;
-    const body = followBody(answered.value);
+    const claimUpdate = recordRunState(row, runState);
+    // A caller that gets `not-run` may repeat at once: the claim must be updated before the answer.
+    if (runState === RunState.NotRun) await claimUpdate;
+    const body = streamBody(answered.value);
     return ok({ response: { ...answered.value.response, body }, runState });
   };
 
--- a/src/application/services/types/ServiceCall.ts
+++ b/src/application/services/types/ServiceCall.ts
@@ -1,7 +1,7 @@
 import type { Service } from '../../../domain/types';
 import type { PlainCall, PlainResponse } from '../../ports';
 
-/** A checked call of a caller to a plain service. */
+/** A validated call to a plain service. */
 export interface ServiceCall {
   readonly workspace: string;
   readonly service: Service;
@@ -10,11 +10,11 @@
   readonly idempotencyKey: string;
   /** False if the caller sent `Jackdaw-Idempotent: false`. */
   readonly idempotent: boolean;
-  /** Deadline from arrival to the answer's headers, in milliseconds. */
+  /** Time allowed from arrival to the headers of the answer, in milliseconds. */
   readonly timeoutMs: number;
 }
 
-/** Answer to a call, with what is known of whether it ran. */
+/** Answer to a call, with its run state. */
 export interface ServiceAnswer {
   readonly response: PlainResponse;
   readonly runState: 'ran' | 'unknown' | 'not-run';
