--- a/src/application/health/createHealthRegistry/index.ts
+++ b/src/application/health/createHealthRegistry/index.ts
@@ -49,29 +49,29 @@
   return {
     readHealth: (backendServer) => readRecordHealth(readRecord(backendServer)),
     recordSuspicion: (suspicion) => {
-      const held = readRecord(suspicion.backendServer);
+      const current = readRecord(suspicion.backendServer);
       const isOwn = suspicion.vm === vm;
-      const isWeaker = held.suspicion?.confirmed === true && !suspicion.confirmed;
+      const isWeaker = current.suspicion?.confirmed === true && !suspicion.confirmed;
       const isDuplicate =
-        held.suspicion !== null && held.suspicion.confirmed === suspicion.confirmed;
+        current.suspicion !== null && current.suspicion.confirmed === suspicion.confirmed;
       if (isWeaker || isDuplicate) return;
-      const confirmsHeld = held.suspicion !== null && suspicion.epoch === held.epoch;
-      if (!isOwn && suspicion.epoch <= held.epoch && !confirmsHeld) return;
-      const epoch = isOwn ? held.epoch + 1 : suspicion.epoch;
+      const confirmsCurrent = current.suspicion !== null && suspicion.epoch === current.epoch;
+      if (!isOwn && suspicion.epoch <= current.epoch && !confirmsCurrent) return;
+      const epoch = isOwn ? current.epoch + 1 : suspicion.epoch;
       writeRecord(suspicion.backendServer, {
-        ...held,
+        ...current,
         suspicion: { ...suspicion, epoch },
         epoch,
       });
     },
     recordRecovery: (backendServer) => {
-      const held = readRecord(backendServer);
-      if (!held.suspicion) return;
-      writeRecord(backendServer, { ...held, suspicion: null, epoch: held.epoch + 1 });
+      const current = readRecord(backendServer);
+      if (!current.suspicion) return;
+      writeRecord(backendServer, { ...current, suspicion: null, epoch: current.epoch + 1 });
     },
     recordLeaving: (backendServer, leaving) => {
-      const held = readRecord(backendServer);
-      if (held.leaving !== leaving) writeRecord(backendServer, { ...held, leaving });
+      const current = readRecord(backendServer);
+      if (current.leaving !== leaving) writeRecord(backendServer, { ...current, leaving });
     },
     listSuspicions: () =>
       [...records.values()].flatMap(({ suspicion }) => (suspicion ? [suspicion] : [])),
--- a/src/application/health/createHealthRegistry/test.ts
+++ b/src/application/health/createHealthRegistry/test.ts
@@ -14,19 +14,19 @@
 // order of arrival would let an older suspicion of a peer, arriving late, undo the recovery.
 test('a late suspicion from a peer does not undo a recovery', (t) => {
   const registry = createHealthRegistry({ vm: 'entry-1' });
-  const seen: string[] = [];
-  registry.addListener((server, health) => seen.push(`${server} ${health}`));
+  const changes: string[] = [];
+  registry.addListener((server, health) => changes.push(`${server} ${health}`));
   registry.recordSuspicion(suspicion);
   registry.recordSuspicion({ ...suspicion, confirmed: true });
   registry.recordSuspicion(suspicion);
   t.is(registry.readHealth('engine-1'), BackendHealth.Dead);
-  const held = registry.listSuspicions();
+  const earlierSuspicions = registry.listSuspicions();
   registry.recordRecovery('engine-1');
-  held.forEach((late) => registry.recordSuspicion({ ...late, vm: 'entry-2' }));
+  earlierSuspicions.forEach((earlier) => registry.recordSuspicion({ ...earlier, vm: 'entry-2' }));
   t.is(registry.readHealth('engine-1'), BackendHealth.Serving);
   registry.recordLeaving('engine-1', true);
   registry.recordSuspicion({ ...suspicion, vm: 'entry-2', epoch: 9, confirmed: true });
-  t.deepEqual(seen, [
+  t.deepEqual(changes, [
     'engine-1 suspected',
     'engine-1 dead',
     'engine-1 serving',
--- a/src/application/health/createProber/index.ts
+++ b/src/application/health/createProber/index.ts
@@ -44,8 +44,8 @@
   let stopListening: (() => void) | null = null;
 
   const readProbeState = (name: string): ProbeState => {
-    const known = probeStates.get(name);
-    if (known) return known;
+    const existing = probeStates.get(name);
+    if (existing) return existing;
     const created: ProbeState = { suspicions: 0, recoveredAtMs: -Infinity, cancelTimer: null };
     probeStates.set(name, created);
     return created;
--- a/src/application/rollouts/createRolloutRegistry/test.ts
+++ b/src/application/rollouts/createRolloutRegistry/test.ts
@@ -124,7 +124,7 @@
 });
 
 /** Applies the order, or one to another version, in an era of the store; returns its sequence. */
-const giveOrder = (
+const applyOrder = (
   { rollouts }: ReturnType<typeof createFixture>,
   era: number,
   to = 'order',
@@ -138,7 +138,7 @@
   const fixture = createFixture();
   fixture.rollouts.applyVerdict({ ...verdict, isStored: true });
   fixture.changes.length = 0;
-  const sequence = giveOrder(fixture, 1);
+  const sequence = applyOrder(fixture, 1);
   const { state } = verdict;
   t.like(fixture.rollouts.find('s')?.verdict, { state, sequence, isStored: false });
   t.deepEqual(fixture.changes, ['s']);
@@ -147,7 +147,7 @@
 test('an order to another version starts a new rollout, even after a restore of the store', (t) => {
   const fixture = createFixture();
   fixture.rollouts.applyVerdict({ ...verdict, isStored: true });
-  giveOrder(fixture, 1, 'other');
+  applyOrder(fixture, 1, 'other');
   t.like(fixture.rollouts.find('s')?.verdict, { to: 'v3', state: RolloutState.InProgress });
 });
 
--- a/src/application/rollouts/createTrialReporter/index.ts
+++ b/src/application/rollouts/createTrialReporter/index.ts
@@ -52,11 +52,11 @@
     pending.set(service, { hasMore: false });
     const { order, tallies } = rollout;
     const peers = listPeers();
-    const sent = { sender: self, service, sequence: order.sequence, tallies };
+    const ownReport = { sender: self, service, sequence: order.sequence, tallies };
     for (const vm of listJudges([self, ...peers.map((peer) => peer.vm)], service)) {
-      if (vm === self) return judge.handleReport(sent);
+      if (vm === self) return judge.handleReport(ownReport);
       const address = peers.find((peer) => peer.vm === vm)?.address ?? '';
-      const verdict = await sendReport(address, { ...sent, sender: `${self} ${incarnation}` });
+      const verdict = await sendReport(address, { ...ownReport, sender: `${self} ${incarnation}` });
       if (verdict) return verdict;
     }
     return null;
--- a/src/application/rollouts/createVerdictStore/index.ts
+++ b/src/application/rollouts/createVerdictStore/index.ts
@@ -55,7 +55,7 @@
   rollouts,
   store,
 }: VerdictStoreDependencies): VerdictStore => {
-  const busy = new Set<string>();
+  const syncing = new Set<string>();
   const retryAtMs = new Map<string, number>();
   /** Order sequence and state last written, by service. */
   const writtenByService = new Map<string, string>();
@@ -105,12 +105,12 @@
     return null;
   };
 
-  const run = async (rollout: RolloutSnapshot, shouldWrite: boolean): Promise<void> => {
+  const startSync = async (rollout: RolloutSnapshot, shouldWrite: boolean): Promise<void> => {
     const { service } = rollout.order;
-    if (busy.has(service) || (retryAtMs.get(service) ?? 0) > clock.readMonotonicMs()) return;
-    busy.add(service);
+    if (syncing.has(service) || (retryAtMs.get(service) ?? 0) > clock.readMonotonicMs()) return;
+    syncing.add(service);
     const reason = await sync(rollout, shouldWrite);
-    busy.delete(service);
+    syncing.delete(service);
     if (reason === null) {
       if (shouldWrite) writtenByService.set(service, buildVerdictKey(rollout));
       return;
@@ -121,7 +121,7 @@
 
   return {
     readVerdict: (rollout) => {
-      run(rollout, false);
+      startSync(rollout, false);
     },
     writeVerdict: (rollout) => {
       if (
@@ -129,7 +129,7 @@
         writtenByService.get(rollout.order.service) === buildVerdictKey(rollout)
       )
         return;
-      run(rollout, true);
+      startSync(rollout, true);
     },
   };
 };
--- a/src/application/routing/createLoadPoller/index.ts
+++ b/src/application/routing/createLoadPoller/index.ts
@@ -17,7 +17,7 @@
  * Up to this many engines, each VM polls the cache events of all of them, because peers exchange
  * loads but not cache events. In a larger fleet the polls would grow as engines times VMs.
  */
-const MAX_ENGINES_FOR_FULL_CACHE_POLL = 100;
+const MAX_CACHE_POLLED_ENGINES = 100;
 
 /** Dependencies of the load poller. */
 export interface LoadPollerDependencies {
@@ -75,17 +75,17 @@
     selectServers: (servers: readonly BackendServer[]) => readonly BackendServer[],
     poll: (server: BackendServer) => Promise<void>,
   ): void => {
-    const busy = new Set<string>();
+    const inFlight = new Set<string>();
     const pollServer = async (server: BackendServer): Promise<void> => {
-      busy.add(server.name);
+      inFlight.add(server.name);
       await poll(server);
-      busy.delete(server.name);
+      inFlight.delete(server.name);
     };
     const pollAll = (): void => {
       const current = dependencies.configuration.readCurrent();
       const servers = current ? listEngines(current.configuration, dependencies.region) : [];
       selectServers(servers)
-        .filter((server) => !busy.has(server.name))
+        .filter((server) => !inFlight.has(server.name))
         .forEach((server) => {
           pollServer(server);
         });
@@ -103,8 +103,7 @@
   startPolling(
     'cache',
     CACHE_POLL_INTERVAL_MS,
-    (servers) =>
-      servers.length <= MAX_ENGINES_FOR_FULL_CACHE_POLL ? servers : listAssigned(servers),
+    (servers) => (servers.length <= MAX_CACHE_POLLED_ENGINES ? servers : listAssigned(servers)),
     pollCache,
   );
   return {
--- a/src/application/routing/createLoadView/index.ts
+++ b/src/application/routing/createLoadView/index.ts
@@ -95,8 +95,8 @@
   let readinessEpoch = 0;
 
   const readLoad = (name: string): ServerLoad => {
-    const held = loads.get(name);
-    if (held !== undefined) return held;
+    const existing = loads.get(name);
+    if (existing !== undefined) return existing;
     const created = {
       report: null,
       changes: [],
--- a/src/application/routing/createPrefixIndex/index.ts
+++ b/src/application/routing/createPrefixIndex/index.ts
@@ -25,7 +25,7 @@
   sequence: number;
   /** Events known to be missed, from gaps in the sequence numbers. */
   missed: number;
-  readonly held: Map<string, CachedPrefix>;
+  readonly prefixes: Map<string, CachedPrefix>;
 }
 
 /** Index of the prompt prefixes that each server is believed to have in its KV cache. */
@@ -48,29 +48,31 @@
   const serversByPrefix = new Map<string, Set<string>>();
 
   const readCache = (server: string): ServerCache => {
-    const cache = caches.get(server) ?? { sequence: 0, missed: 0, held: new Map() };
+    const cache = caches.get(server) ?? { sequence: 0, missed: 0, prefixes: new Map() };
     caches.set(server, cache);
     return cache;
   };
   const removePrefix = (server: string, prefix: string): void => {
-    caches.get(server)?.held.delete(prefix);
+    caches.get(server)?.prefixes.delete(prefix);
     const servers = serversByPrefix.get(prefix);
     servers?.delete(server);
     if (servers?.size === 0) serversByPrefix.delete(prefix);
   };
   const addPrefix = (server: string, prefix: string): void => {
     const cache = readCache(server);
-    cache.held.delete(prefix);
-    cache.held.set(prefix, { missedBefore: cache.missed, atMs: clock.readMonotonicMs() });
+    cache.prefixes.delete(prefix);
+    cache.prefixes.set(prefix, { missedBefore: cache.missed, atMs: clock.readMonotonicMs() });
     const servers = serversByPrefix.get(prefix);
     if (servers === undefined) serversByPrefix.set(prefix, new Set([server]));
     else servers.add(server);
-    if (cache.held.size <= MAX_PREFIXES_PER_SERVER) return;
-    const [oldest] = cache.held.keys();
+    if (cache.prefixes.size <= MAX_PREFIXES_PER_SERVER) return;
+    const [oldest] = cache.prefixes.keys();
     if (oldest !== undefined) removePrefix(server, oldest);
   };
   const removeAllPrefixes = (server: string): void =>
-    [...(caches.get(server)?.held.keys() ?? [])].forEach((prefix) => removePrefix(server, prefix));
+    [...(caches.get(server)?.prefixes.keys() ?? [])].forEach((prefix) =>
+      removePrefix(server, prefix),
+    );
   const eventHandlers: Readonly<
     Record<CacheEvent['kind'], (server: string, event: CacheEvent) => void>
   > = {
@@ -110,9 +112,9 @@
         serversByPrefix.get(prefix)?.forEach((server) => {
           if (found.has(server)) return;
           const cache = caches.get(server);
-          const held = cache?.held.get(prefix);
-          if (cache === undefined || held === undefined) return;
-          const trust = computeTrust(cache.missed - held.missedBefore, nowMs - held.atMs);
+          const cached = cache?.prefixes.get(prefix);
+          if (cache === undefined || cached === undefined) return;
+          const trust = computeTrust(cache.missed - cached.missedBefore, nowMs - cached.atMs);
           if (trust < LOWEST_TRUST) removePrefix(server, prefix);
           else found.set(server, (index + 1) * TOKENS_PER_BLOCK * trust);
         });
--- a/src/application/routing/createQualityTracker/index.ts
+++ b/src/application/routing/createQualityTracker/index.ts
@@ -109,9 +109,9 @@
           const rate = readRate(name);
           return rate === null ? [] : [{ name, rate }];
         });
-        const all = rates.map(({ rate }) => rate).sort((left, right) => left - right);
+        const sortedRates = rates.map(({ rate }) => rate).sort((left, right) => left - right);
         rates.forEach(({ name, rate }) =>
-          recordObservation(name, { kind: 'speed', ratio: computeSpeedRatio(rate, all) }),
+          recordObservation(name, { kind: 'speed', ratio: computeSpeedRatio(rate, sortedRates) }),
         );
         ejectOutliers(group);
       });
--- a/src/application/routing/createServerPools/index.ts
+++ b/src/application/routing/createServerPools/index.ts
@@ -61,7 +61,7 @@
   };
 }
 
-/** Creates the pools; a decision then only looks at the servers that are left. */
+/** Creates the server pools, which save each decision from filtering all servers. */
 export function createServerPools(dependencies: ServerPoolsDependencies): ServerPools {
   const { health, load, quality } = dependencies;
   const serverState = { readHealth: health.readHealth, findReport: load.findReport };
--- a/src/application/routing/createServiceMeter/index.ts
+++ b/src/application/routing/createServiceMeter/index.ts
@@ -59,30 +59,30 @@
   const predictions = new Map<string, number>();
 
   const readAverages = (service: string): ServiceAverages => {
-    const held = averagesByService.get(service) ?? {
+    const averages = averagesByService.get(service) ?? {
       holdMs: 0,
       firstTokenMs: 0,
       prefillMsPerToken: 0,
     };
-    averagesByService.set(service, held);
-    return held;
+    averagesByService.set(service, averages);
+    return averages;
   };
   const buildKey = (service: string, qualifier: string): string => `${service}\n${qualifier}`;
 
   return {
     recordAttempt: (attempt) => {
-      const held = readAverages(attempt.service);
+      const averages = readAverages(attempt.service);
       const { firstTokenMs } = attempt;
       if (firstTokenMs > 0 && attempt.unqueued) {
         const msPerToken = firstTokenMs / Math.max(1, attempt.uncachedTokens);
-        held.prefillMsPerToken = addToLowEstimate(held.prefillMsPerToken, msPerToken);
+        averages.prefillMsPerToken = addToLowEstimate(averages.prefillMsPerToken, msPerToken);
         const key = buildKey(attempt.service, attempt.group);
         const before = groupPrefillsMsPerToken.get(key) ?? 0;
         groupPrefillsMsPerToken.set(key, addToLowEstimate(before, msPerToken));
-        held.firstTokenMs = addToAverage(held.firstTokenMs, firstTokenMs, SAMPLE_WEIGHT);
+        averages.firstTokenMs = addToAverage(averages.firstTokenMs, firstTokenMs, SAMPLE_WEIGHT);
       }
       if (!attempt.finished) return;
-      held.holdMs = addToAverage(held.holdMs, attempt.holdMs, SAMPLE_WEIGHT);
+      averages.holdMs = addToAverage(averages.holdMs, attempt.holdMs, SAMPLE_WEIGHT);
       const key = buildKey(attempt.service, attempt.workspace);
       outputSamples.set(
         key,
@@ -96,14 +96,14 @@
       averagesByService.get(service)?.prefillMsPerToken ||
       DEFAULT_PREFILL_MS_PER_TOKEN,
     estimateHedgeDelayMs: (service) => {
-      const usualMs = averagesByService.get(service)?.firstTokenMs ?? 0;
-      return usualMs > 0 ? usualMs * HEDGE_FACTOR : null;
+      const averageMs = averagesByService.get(service)?.firstTokenMs ?? 0;
+      return averageMs > 0 ? averageMs * HEDGE_FACTOR : null;
     },
     predictOutputTokens: (service, workspace, maxOutputTokens) => {
       const key = buildKey(service, workspace);
-      const held = outputSamples.get(key);
-      if (held === undefined) return maxOutputTokens;
-      const predicted = predictions.get(key) ?? predictOutputTokens(held, Infinity);
+      const samples = outputSamples.get(key);
+      if (samples === undefined) return maxOutputTokens;
+      const predicted = predictions.get(key) ?? predictOutputTokens(samples, Infinity);
       predictions.set(key, predicted);
       return Math.min(maxOutputTokens, predicted);
     },
--- a/src/application/routing/createWaitQueues/index.ts
+++ b/src/application/routing/createWaitQueues/index.ts
@@ -32,9 +32,9 @@
     findQueue: (pool, workClass) => {
       const rank = findClassPolicy(workClass).queueRank;
       const key = `${rank}\n${pool.placesKey}`;
-      const held = queues.get(key) ?? { rank, queue: createWaitQueue(dependencies) };
-      queues.set(key, held);
-      return held.queue;
+      const entry = queues.get(key) ?? { rank, queue: createWaitQueue(dependencies) };
+      queues.set(key, entry);
+      return entry.queue;
     },
     serve: (trySend) => listRoundRobin().forEach((queue) => queue.serve(trySend)),
     countWaiting: () =>
