--- a/src/application/rollouts/createRolloutJudge/index.ts
+++ b/src/application/rollouts/createRolloutJudge/index.ts
@@ -34,7 +34,7 @@
   stop(): void;
 }
 
-/** Time between two evaluations; bounds how long further requests go to a failing version. */
+/** Time between two evaluations; further answers of a failing version arrive within it. */
 const EVALUATION_INTERVAL_MS = 250;
 
 /** Lists the VMs that may judge a rollout; each one is asked if those before do not answer. */
--- a/src/application/routing/createLoadView/index.ts
+++ b/src/application/routing/createLoadView/index.ts
@@ -38,7 +38,7 @@
   report: LoadReport | null;
   /** Changes since the newest report was sampled. */
   changes: LoadChange[];
-  /** Sums of `changes`: own ones, and those of the peers. */
+  /** Sums of `changes`, by this VM and by its peers. */
   ownSince: number;
   peersSince: number;
   /** Running requests of this VM, and those that the peers last announced. */
--- a/src/application/services/_lib/runAttempts/index.ts
+++ b/src/application/services/_lib/runAttempts/index.ts
@@ -27,7 +27,7 @@
   ) => GenerationError | null;
 };
 
-/** Convert a failed attempt into the final error of the call; null means to try another server. */
+/** Handlers that return the final error of the call, or null to try another server. */
 const FAILURE_HANDLERS: FailureHandlers = {
   'not-started': () => null,
   broken: ({ reason }, { repeatable }) => (repeatable ? null : buildBackendFailedError(reason)),
