--- a/src/application/rollouts/createRolloutJudge/index.ts
+++ b/src/application/rollouts/createRolloutJudge/index.ts
@@ -1,5 +1,5 @@
 import {
-  addTallies,
+  sumTallies,
   decideRollout,
   judgeVersion,
   RolloutState,
@@ -75,7 +75,7 @@
     const { ageMs, hasEstablished, order, switchedMs, verdict } = rollout;
     if (ageMs === null) return;
     const reports = listReports(rollout);
-    const tallies = addTallies([rollout.tallies, ...reports.map((report) => report.tallies)]);
+    const tallies = sumTallies([rollout.tallies, ...reports.map((report) => report.tallies)]);
     const judgement = judgeVersion(tallies);
     const next = decideRollout({
       state: verdict.state,
--- a/src/application/routing/createLoadView/index.ts
+++ b/src/application/routing/createLoadView/index.ts
@@ -1,7 +1,7 @@
 import {
-  addToAverage,
+  updateMovingAverage,
   computeFreshness,
-  estimateRunning,
+  estimateRunningRequests,
   isNewerReport,
 } from '../../../domain/load';
 import type { LoadReport } from '../../../domain/types';
@@ -119,7 +119,7 @@
     const { report, own, peers: peerRequests, others, meanOthers, peersSince } = load;
     // A request observed at a random moment is more likely a long one: length-biased mean.
     const holdMs = load.holdMs > 0 ? load.holdSquareMs / load.holdMs : 0;
-    load.running = estimateRunning({
+    load.running = estimateRunningRequests({
       own,
       peers: peerRequests,
       others: report === null ? null : others + peersSince,
@@ -209,7 +209,7 @@
     recordZoneRoundTripMs: (zone, roundTripMs) => {
       zoneRoundTripsMs.set(
         zone,
-        addToAverage(zoneRoundTripsMs.get(zone) ?? 0, roundTripMs, ZONE_ROUND_TRIP_WEIGHT),
+        updateMovingAverage(zoneRoundTripsMs.get(zone) ?? 0, roundTripMs, ZONE_ROUND_TRIP_WEIGHT),
       );
     },
     recordSend: (name, prefixes) => {
@@ -218,8 +218,8 @@
     },
     recordEnd: (name, holdMs) => {
       const load = readLoad(name);
-      load.holdMs = addToAverage(load.holdMs, holdMs, HOLD_WEIGHT);
-      load.holdSquareMs = addToAverage(load.holdSquareMs, holdMs * holdMs, HOLD_WEIGHT);
+      load.holdMs = updateMovingAverage(load.holdMs, holdMs, HOLD_WEIGHT);
+      load.holdSquareMs = updateMovingAverage(load.holdSquareMs, holdMs * holdMs, HOLD_WEIGHT);
       recordOwnChange(name, -1);
       notifyListeners(name);
     },
--- a/src/application/routing/createPrefixIndex/index.ts
+++ b/src/application/routing/createPrefixIndex/index.ts
@@ -1,4 +1,4 @@
-import { computeTrust, LOWEST_TRUST } from '../../../domain/load';
+import { computePrefixTrust, MIN_PREFIX_TRUST } from '../../../domain/load';
 import { PREFIX_CUT_CHARACTERS } from '../../../domain/routing';
 import type { CacheEvent } from '../../../domain/types';
 import type { Clock } from '../../ports';
@@ -114,8 +114,8 @@
           const cache = caches.get(server);
           const cached = cache?.prefixes.get(prefix);
           if (cache === undefined || cached === undefined) return;
-          const trust = computeTrust(cache.missed - cached.missedBefore, nowMs - cached.atMs);
-          if (trust < LOWEST_TRUST) removePrefix(server, prefix);
+          const trust = computePrefixTrust(cache.missed - cached.missedBefore, nowMs - cached.atMs);
+          if (trust < MIN_PREFIX_TRUST) removePrefix(server, prefix);
           else found.set(server, (index + 1) * TOKENS_PER_BLOCK * trust);
         });
       }
--- a/src/application/routing/createQualityTracker/index.ts
+++ b/src/application/routing/createQualityTracker/index.ts
@@ -1,10 +1,10 @@
 import {
-  chooseEjected,
+  chooseServersToEject,
   computeSpeedRatio,
-  GOOD_QUALITY,
+  INITIAL_QUALITY,
   updateQuality,
 } from '../../../domain/outlier';
-import type { QualitySign, ServerQuality } from '../../../domain/outlier';
+import type { QualityObservation, ServerQuality } from '../../../domain/outlier';
 import type { BackendServer } from '../../../domain/types';
 import type { Clock, ConfigurationView } from '../../ports';
 import type { RouterLoadView } from '../types';
@@ -62,7 +62,7 @@
 
   const notifyListeners = (name: string, ejected: boolean): void =>
     listeners.forEach((listener) => listener(name, ejected));
-  const readQuality = (name: string): ServerQuality => qualities.get(name) ?? GOOD_QUALITY;
+  const readQuality = (name: string): ServerQuality => qualities.get(name) ?? INITIAL_QUALITY;
   const readMutableEstimate = (name: string): { speed: number } => {
     const estimate = speedEstimates.get(name) ?? { speed: 1 };
     speedEstimates.set(name, estimate);
@@ -72,14 +72,14 @@
     qualities.set(name, quality);
     readMutableEstimate(name).speed = quality.speed * (1 - quality.failures);
   };
-  const recordObservation = (name: string, observation: QualitySign): void =>
+  const recordObservation = (name: string, observation: QualityObservation): void =>
     writeQuality(name, updateQuality(readQuality(name), observation));
   const listServers = (): readonly BackendServer[] =>
     dependencies.configuration.readCurrent()?.configuration.backendServers ?? [];
   const ejectOutliers = (group: readonly BackendServer[]): void => {
     const nowMs = clock.readMonotonicMs();
     const candidates = group.map(({ name }) => ({ name, quality: readQuality(name) }));
-    chooseEjected(candidates, nowMs).forEach(({ name, quality }) => {
+    chooseServersToEject(candidates, nowMs).forEach(({ name, quality }) => {
       writeQuality(name, quality);
       notifyListeners(name, true);
       clock.startTimer(quality.ejectedUntilMs - nowMs, () => notifyListeners(name, false));
--- a/src/application/routing/createServerPools/index.ts
+++ b/src/application/routing/createServerPools/index.ts
@@ -1,7 +1,7 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { findClassPolicy } from '../../../domain/admission';
-import type { ServerRoom } from '../../../domain/admission';
+import { findWorkClassPolicy } from '../../../domain/admission';
+import type { ServerSlots } from '../../../domain/admission';
 import { filterAllowedServers, filterBackendServers } from '../../../domain/routing';
 import { WorkClass } from '../../../domain/types';
 import type { BackendServer, Refusal, VersionedConfiguration } from '../../../domain/types';
@@ -46,18 +46,18 @@
   reportedSlots: number,
   lookupServices: ReadonlySet<string>,
   lookupReserve: number,
-): ServerRoom {
+): ServerSlots {
   const slots = reportedSlots > 0 ? Math.min(server.slots, reportedSlots) : server.slots;
   const servesLookups = server.services.some((service) => lookupServices.has(service));
   return { slots, reservedSlots: servesLookups ? Math.ceil(slots * lookupReserve) : 0 };
 }
 
 /** Builds the limit of requests at the server for each class of work. */
-function buildRequestLimits(capacity: ServerRoom): Readonly<Record<WorkClass, number>> {
+function buildRequestLimits(capacity: ServerSlots): Readonly<Record<WorkClass, number>> {
   return {
-    lookup: findClassPolicy(WorkClass.Lookup).computeLimit(capacity),
-    long: findClassPolicy(WorkClass.Long).computeLimit(capacity),
-    plain: findClassPolicy(WorkClass.Plain).computeLimit(capacity),
+    lookup: findWorkClassPolicy(WorkClass.Lookup).computeLimit(capacity),
+    long: findWorkClassPolicy(WorkClass.Long).computeLimit(capacity),
+    plain: findWorkClassPolicy(WorkClass.Plain).computeLimit(capacity),
   };
 }
 
--- a/src/application/routing/createServerSelector/index.ts
+++ b/src/application/routing/createServerSelector/index.ts
@@ -1,4 +1,4 @@
-import { findClassPolicy } from '../../../domain/admission';
+import { findWorkClassPolicy } from '../../../domain/admission';
 import { chooseServer, estimateFirstTokenMs } from '../../../domain/routing';
 import type { Demand } from '../../../domain/types';
 import type { Clock, Randomness, Slot, SlotOutcome } from '../../ports';
@@ -88,7 +88,7 @@
     selectServer: (demand, pool) => {
       const { servers, groups, zones } = pool;
       const { workClass, excludedServers, promptTokens, prefixes } = demand;
-      const { overtakes } = findClassPolicy(workClass);
+      const { isServedFirst } = findWorkClassPolicy(workClass);
       const cached = prefixes.length > 0 ? load.findCachedTokens(prefixes) : NO_CACHED_TOKENS;
       const holdMs = meter.readHoldMs(demand.service);
       const prefillsMsPerToken = groups.map((group) =>
@@ -111,11 +111,11 @@
             running,
             slots,
             holdMs,
-            overtakes,
+            skipsQueue: isServedFirst,
             promptTokens,
             cachedTokens: cached.size > 0 ? (cached.get(name) ?? 0) : 0,
             prefillMsPerToken: prefillsMsPerToken[ready.groupIndex] ?? 0,
-            zoneMs: zoneRoundTripsMs[ready.zoneIndex] ?? 0,
+            zoneRoundTripMs: zoneRoundTripsMs[ready.zoneIndex] ?? 0,
             speed: ready.speedEstimate.speed,
           }),
         );
@@ -140,7 +140,7 @@
       const { server } = selected.ready;
       const sentMs = clock.readMonotonicMs();
       const priority =
-        findClassPolicy(demand.workClass).enginePriority +
+        findWorkClassPolicy(demand.workClass).enginePriority +
         (demand.purpose === 'resume' ? RESUME_PRIORITY : 0);
       load.recordSend(server.name, demand.prefixes);
       return createSlot(server, priority, (outcome) =>
--- a/src/application/routing/createServiceMeter/index.ts
+++ b/src/application/routing/createServiceMeter/index.ts
@@ -1,6 +1,6 @@
-import { addToAverage, addToLowEstimate } from '../../../domain/load';
+import { updateMovingAverage, updateUndisturbedEstimate } from '../../../domain/load';
 import { addOutputSample, predictOutputTokens } from '../../../domain/prediction';
-import type { OutputSamples } from '../../../domain/prediction';
+import type { OutputLengthSamples } from '../../../domain/prediction';
 
 /** Weight of a new sample in the moving averages: about the last ten requests count. */
 const SAMPLE_WEIGHT = 0.1;
@@ -54,7 +54,7 @@
 export function createServiceMeter(): ServiceMeter {
   const averagesByService = new Map<string, ServiceAverages>();
   const groupPrefillsMsPerToken = new Map<string, number>();
-  const outputSamples = new Map<string, OutputSamples>();
+  const outputSamples = new Map<string, OutputLengthSamples>();
   /** Cached predictions, before the output limit of a request; dropped by the next sample. */
   const predictions = new Map<string, number>();
 
@@ -75,14 +75,21 @@
       const { firstTokenMs } = attempt;
       if (firstTokenMs > 0 && attempt.unqueued) {
         const msPerToken = firstTokenMs / Math.max(1, attempt.uncachedTokens);
-        averages.prefillMsPerToken = addToLowEstimate(averages.prefillMsPerToken, msPerToken);
+        averages.prefillMsPerToken = updateUndisturbedEstimate(
+          averages.prefillMsPerToken,
+          msPerToken,
+        );
         const key = buildKey(attempt.service, attempt.group);
         const before = groupPrefillsMsPerToken.get(key) ?? 0;
-        groupPrefillsMsPerToken.set(key, addToLowEstimate(before, msPerToken));
-        averages.firstTokenMs = addToAverage(averages.firstTokenMs, firstTokenMs, SAMPLE_WEIGHT);
+        groupPrefillsMsPerToken.set(key, updateUndisturbedEstimate(before, msPerToken));
+        averages.firstTokenMs = updateMovingAverage(
+          averages.firstTokenMs,
+          firstTokenMs,
+          SAMPLE_WEIGHT,
+        );
       }
       if (!attempt.finished) return;
-      averages.holdMs = addToAverage(averages.holdMs, attempt.holdMs, SAMPLE_WEIGHT);
+      averages.holdMs = updateMovingAverage(averages.holdMs, attempt.holdMs, SAMPLE_WEIGHT);
       const key = buildKey(attempt.service, attempt.workspace);
       outputSamples.set(
         key,
--- a/src/application/routing/createWaitQueue/index.ts
+++ b/src/application/routing/createWaitQueue/index.ts
@@ -2,13 +2,13 @@
 import type { Result } from 'neverthrow';
 import {
   compareWaiters,
-  computeFairTag,
+  computeStartTag,
   estimateWaitMs,
-  hasQueueRoom,
-  removeFairCost,
+  hasQueueCapacity,
+  removeQueuedCost,
 } from '../../../domain/admission';
-import type { FairShares, Waiter } from '../../../domain/admission';
-import { addToAverage } from '../../../domain/load';
+import type { FairQueueState, Waiter } from '../../../domain/admission';
+import { updateMovingAverage } from '../../../domain/load';
 import { DemandPurpose, RefusalCode } from '../../../domain/types';
 import type { Demand, Refusal } from '../../../domain/types';
 import type { Clock, Slot } from '../../ports';
@@ -62,7 +62,7 @@
 
 /** Creates a bounded queue that serves workspaces by weighted fair queueing. */
 export function createWaitQueue({ clock }: { readonly clock: Clock }): WaitQueue {
-  let shares: FairShares = { virtualTime: 0, finishTags: new Map() };
+  let shares: FairQueueState = { virtualTime: 0, finishTags: new Map() };
   let waiting: readonly WaitingDemand[] = [];
   let nextId = 0;
   let intervalMs = 0;
@@ -79,19 +79,19 @@
   const measureInterval = (): void => {
     const nowMs = clock.readMonotonicMs();
     if (lastServedMs !== null)
-      intervalMs = addToAverage(intervalMs, nowMs - lastServedMs, INTERVAL_WEIGHT);
+      intervalMs = updateMovingAverage(intervalMs, nowMs - lastServedMs, INTERVAL_WEIGHT);
     // The idle time of an empty queue says nothing about the service rate.
     lastServedMs = waiting.length > 0 ? nowMs : null;
   };
   const assignTag = ({ demand, pool, cost }: QueuedDemand): number => {
-    const tag = computeFairTag(shares, demand.workspace, pool.weight, cost);
-    shares = tag.shares;
+    const tag = computeStartTag(shares, demand.workspace, pool.weight, cost);
+    shares = tag.state;
     return tag.startTag;
   };
 
   const rejectWaiter = (waiter: WaitingDemand, message: string): void => {
     removeWaiter(waiter);
-    shares = removeFairCost(shares, waiter.workspace, waiter.pool.weight, waiter.cost);
+    shares = removeQueuedCost(shares, waiter.workspace, waiter.pool.weight, waiter.cost);
     waiter.finish(err(buildDeadlineRefusal(message, readInterval(waiter))));
   };
 
@@ -117,10 +117,10 @@
       if (wasAdmittedBefore(demand)) return ok();
       const interval = readInterval(queued);
       const own = waiting.filter(({ demand: other }) => other.workspace === demand.workspace);
-      const hasCapacity = hasQueueRoom({
+      const hasCapacity = hasQueueCapacity({
         waiting: waiting.length,
         waitingOfWorkspace: own.length,
-        bound: pool.limits.maxQueuedLong,
+        maxWaiting: pool.limits.maxQueuedLong,
         relativeWeight: pool.relativeWeight,
       });
       if (!hasCapacity) {
@@ -129,7 +129,7 @@
         const retryAfterMs = Math.ceil(estimateWaitMs(ahead, interval));
         return err({ code: RefusalCode.QueueFull, message, retryAfterMs });
       }
-      const { startTag } = computeFairTag(shares, demand.workspace, pool.weight, queued.cost);
+      const { startTag } = computeStartTag(shares, demand.workspace, pool.weight, queued.cost);
       const ahead = waiting.filter(
         (other) => other.comesFirst || other.startTag <= startTag,
       ).length;
--- a/src/application/routing/createWaitQueues/index.ts
+++ b/src/application/routing/createWaitQueues/index.ts
@@ -1,4 +1,4 @@
-import { findClassPolicy } from '../../../domain/admission';
+import { findWorkClassPolicy } from '../../../domain/admission';
 import type { WorkClass } from '../../../domain/types';
 import type { Clock } from '../../ports';
 import { createWaitQueue } from '../createWaitQueue';
@@ -30,7 +30,7 @@
 
   return {
     findQueue: (pool, workClass) => {
-      const rank = findClassPolicy(workClass).queueRank;
+      const rank = findWorkClassPolicy(workClass).queueRank;
       const key = `${rank}\n${pool.placesKey}`;
       const entry = queues.get(key) ?? { rank, queue: createWaitQueue(dependencies) };
       queues.set(key, entry);
--- a/src/application/routing/types/ServerPool.ts
+++ b/src/application/routing/types/ServerPool.ts
@@ -1,4 +1,4 @@
-import type { ServerRoom } from '../../../domain/admission';
+import type { ServerSlots } from '../../../domain/admission';
 import type { SpeedEstimate } from '../createQualityTracker';
 import type { RunningEstimate } from './RouterLoadView';
 import type { AllowedServers } from '../../../domain/routing';
@@ -19,7 +19,7 @@
 /** A server that can accept work now. */
 export interface ReadyServer {
   readonly server: BackendServer;
-  readonly capacity: ServerRoom;
+  readonly capacity: ServerSlots;
   /** Group of comparable servers: those that serve the same services. */
   readonly group: string;
   /** Indexes of its group and its availability zone in the lists of the `ReadyPool`. */
--- a/src/application/services/createPlainServices/index.ts
+++ b/src/application/services/createPlainServices/index.ts
@@ -1,5 +1,5 @@
 import { err, ok, type Result } from 'neverthrow';
-import { isRepeatableCall } from '../../../domain/request';
+import { isRetryableCall } from '../../../domain/request';
 import { ClaimState, RunState, type ClaimRow } from '../../../domain/types';
 import type { GenerationError } from '../../ports';
 import type { PlainServicesDependencies, ServiceAnswer, ServiceCall } from '../types';
@@ -56,7 +56,7 @@
     const cancelTimer = clock.startTimer(source.timeoutMs, () => deadline.abort());
     let row: ClaimRow | null = null;
     let wasClaimAttempted = false;
-    const repeatable = isRepeatableCall({
+    const repeatable = isRetryableCall({
       method: source.call.method,
       serviceIdempotent: source.service.idempotent,
       callerIdempotent: source.idempotent,
--- a/src/programs/gateway/types/GatewayParts.ts
+++ b/src/programs/gateway/types/GatewayParts.ts
@@ -1,7 +1,7 @@
 import type { GatewayMetrics } from '../../../adapters/metrics';
 import type {
   Forwarder,
-  PromptPlaces,
+  PromptReservations,
   QuarantineRows,
   RetryLender,
   RouteTableHolder,
@@ -11,7 +11,7 @@
 import type { LimitOwner } from '../../../application/limits';
 import type { Clock, EventLog } from '../../../application/ports';
 import type { RolloutJudge } from '../../../application/rollouts';
-import type { RowFollower, SharedReading } from '../../../application/rows';
+import type { RowFollower, ZoneReplication } from '../../../application/rows';
 
 /** The parts of a gateway. */
 export interface GatewayParts {
@@ -23,11 +23,11 @@
   readonly forwarder: Forwarder;
   readonly followers: { readonly configuration: RowFollower; readonly servers: RowFollower };
   readonly gossip: Gossip;
-  readonly sharing: SharedReading;
+  readonly sharing: ZoneReplication;
   readonly lender: RetryLender;
   readonly limitOwner: LimitOwner;
   readonly quarantineRows: QuarantineRows;
-  readonly places: PromptPlaces;
+  readonly places: PromptReservations;
   readonly rolloutJudge: RolloutJudge;
   /** Closes all connections to servers and the store. */
   stop(): Promise<void>;
--- a/tests/peers/_lib/createTestRegion/index.ts
+++ b/tests/peers/_lib/createTestRegion/index.ts
@@ -91,7 +91,7 @@
       calls: createCalls(name),
       versions: {
         readVersion: () => held.version,
-        offerVersion: (version) => {
+        recordPeerVersion: (version) => {
           held.version = version;
         },
         readTableReadAtMs: () => held.tableReadAtMs,
--- a/tools/bench/load/_lib/createBaselineRouter/index.ts
+++ b/tools/bench/load/_lib/createBaselineRouter/index.ts
@@ -6,7 +6,7 @@
   Router,
 } from '../../../../../src/application/ports';
 import type { RouterLoadView } from '../../../../../src/application/routing';
-import { findClassPolicy } from '../../../../../src/domain/admission';
+import { findWorkClassPolicy } from '../../../../../src/domain/admission';
 import { filterAllowedServers, filterBackendServers } from '../../../../../src/domain/routing';
 import type { BackendServer } from '../../../../../src/domain/types';
 
@@ -75,7 +75,7 @@
       if (server === undefined) {
         return err({ code: 'no_ready_server', message: 'none is ready', retryAfterMs: 1000 });
       }
-      const priority = findClassPolicy(demand.workClass).enginePriority;
+      const priority = findWorkClassPolicy(demand.workClass).enginePriority;
       return ok({ server, priority, release: () => {} });
     },
   };
