--- a/src/application/rollouts/_lib/createLatencyBaselines/index.ts
+++ b/src/application/rollouts/_lib/createLatencyBaselines/index.ts
@@ -1,41 +1,47 @@
-/** Usual times of answers, by route of a service. */
+/** Baseline latencies, by service and route. */
 export interface LatencyBaselines {
-  /** Takes the time of an answer, in any unit that is the same for all requests of the route. */
-  record(service: string, route: string, took: number): void;
-  /** True: an answer took far longer than usual. */
-  isSlow(service: string, route: string, took: number): boolean;
+  /** Adds the duration of an answer, in any unit that is the same for all requests of the route. */
+  record(service: string, route: string, duration: number): void;
+  /** True if an answer took more than `SLOW_FACTOR` times its baseline. */
+  isSlow(service: string, route: string, duration: number): boolean;
 }
 
-/** Answers before any is called slow. */
-const MIN_SAMPLES = 3;
+/** Samples needed before an answer can count as slow. */
+const MIN_BASELINE_SAMPLES = 3;
 
 const SLOW_FACTOR = 2.5;
 
-/** Part by which a newer sample moves the usual time. */
-const SMOOTHING = 0.1;
+/** Weight of a new sample in the moving average; the first samples weigh more. */
+const MIN_SAMPLE_WEIGHT = 0.1;
 
-/** A usual time, as the mean of its logarithm. */
-interface Usual {
+/** A baseline, as the mean of the logarithms of the durations. */
+interface Baseline {
   readonly samples: number;
-  readonly log: number;
+  readonly meanLog: number;
 }
 
-/** Creates usual times; none is known. */
+/** Creates latency baselines without samples. */
 export const createLatencyBaselines = (): LatencyBaselines => {
-  const usualOf = new Map<string, Usual>();
+  const baselinesByKey = new Map<string, Baseline>();
   const buildKey = (service: string, route: string): string => `${service} ${route}`;
   return {
-    record: (service, route, took) => {
-      const log = Math.log(took);
+    record: (service, route, duration) => {
+      const logDuration = Math.log(duration);
       const key = buildKey(service, route);
-      const { log: before, samples } = usualOf.get(key) ?? { samples: 0, log };
-      const weight = Math.max(SMOOTHING, 1 / (samples + 1));
-      usualOf.set(key, { samples: samples + 1, log: before + (log - before) * weight });
+      const { meanLog: before, samples } = baselinesByKey.get(key) ?? {
+        samples: 0,
+        meanLog: logDuration,
+      };
+      const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / (samples + 1));
+      baselinesByKey.set(key, {
+        samples: samples + 1,
+        meanLog: before + (logDuration - before) * weight,
+      });
     },
-    isSlow: (service, route, took) => {
-      const usual = usualOf.get(buildKey(service, route));
-      if (!usual || usual.samples < MIN_SAMPLES) return false;
-      return Math.log(took) > usual.log + Math.log(SLOW_FACTOR);
+    isSlow: (service, route, duration) => {
+      const baseline = baselinesByKey.get(buildKey(service, route));
+      if (!baseline || baseline.samples < MIN_BASELINE_SAMPLES) return false;
+      return Math.log(duration) > baseline.meanLog + Math.log(SLOW_FACTOR);
     },
   };
 };
--- a/src/application/rollouts/createRolloutRegistry/index.ts
+++ b/src/application/rollouts/createRolloutRegistry/index.ts
@@ -16,9 +16,9 @@
 import { createLatencyBaselines } from '../_lib/createLatencyBaselines';
 import type { TrackedRollout, VerdictGossip, EligibleServers } from '../types';
 
-/** What roll-outs need. */
+/** Dependencies of the rollout registry. */
 export interface RolloutRegistryDependencies {
-  /** Null: the row is no order. */
+  /** Decodes the order in a row; null if the row holds none. */
   readonly decodeOrder: (row: SharedRow) => Result<RolloutOrder, string> | null;
   readonly bounds: TrialBounds;
   readonly listServing: (service: string) => readonly ServerStatus[];
@@ -26,56 +26,57 @@
   readonly clock: Clock;
   readonly log: EventLog;
   readonly randomness: Randomness;
-  /** Tells other VMs of a verdict that was reached here. */
+  /** Sends a verdict that this VM reached to the other VMs. */
   readonly broadcastVerdict: (verdict: RolloutVerdict) => void;
-  /** An order came into force here, or its verdict changed. */
+  /** Called when an order comes into force on this VM or its verdict changes. */
   readonly handleChange: (service: string) => void;
-  /** Something was seen at a server of the new version. */
+  /** Called after each outcome at a server of the new version. */
   readonly handleEvidence: (service: string) => void;
 }
 
-/** A roll-out as this VM knows it. */
+/** State of a rollout on this VM at the time of the call. */
 export interface RolloutSnapshot {
   readonly order: RolloutOrder;
   readonly verdict: RolloutVerdict;
-  /** Since the order, in milliseconds; null while it is not known. */
+  /** Time since the order, in milliseconds; null if unknown. */
   readonly ageMs: number | null;
+  /** Time since the state became `switching`, in milliseconds; 0 in other states. */
   readonly switchedMs: number;
   readonly hasEstablished: boolean;
   readonly tallies: RolloutTallies;
 }
 
-/** Knows the roll-outs under way, and which versions a request may go to. */
+/** Tracks rollouts and determines which versions a request may go to. */
 export interface RolloutRegistry extends VerdictGossip {
-  /** Takes rows of the operator; the first ones were there before this process. */
+  /** Applies rows with orders of the operator; those of the first call predate this process. */
   applyRows(rows: readonly SharedRow[]): void;
   openRequest(request: { readonly service: string; readonly route: string }): EligibleServers;
   find(service: string): RolloutSnapshot | null;
-  /** Takes how long ago an order was given, where its row was there before this process. */
+  /** Sets the age of an order that predates this process. */
   recordAge(service: string, sequence: number, ageMs: number): void;
-  /** Sets a verdict that was reached at this VM. */
+  /** Applies a verdict that this VM reached or read from the store, and sends it to the others. */
   applyVerdict(verdict: RolloutVerdict): void;
-  /** Whether results that were not told yet forbid further trials. */
+  /** Pauses or resumes trials; they pause while the judge has not accepted the results. */
   setTrialsPaused(service: string, isPaused: boolean): void;
 }
 
-/** A process that has not run for this long is not sure how many VMs there are. */
-const SETTLE_MS = 10_000;
+/** A process that has run for less than this time may not know all VMs yet, and sends no trials. */
+const VM_COUNT_SETTLE_MS = 10_000;
 
-/** Verdicts are passed on for this long after they changed; a VM that starts later reads the store. */
-const TOLD_MS = 60_000;
+/** Gossip carries a verdict for this time after a change; VMs that start later read the store. */
+const VERDICT_GOSSIP_MS = 60_000;
 
-/** Creates what knows the roll-outs; there are none. */
+/** Creates a registry without rollouts. */
 export const createRolloutRegistry = (
   dependencies: RolloutRegistryDependencies,
 ): RolloutRegistry => {
   const { bounds, clock, countVms, handleChange, handleEvidence, listServing, log } = dependencies;
   const { decodeOrder, randomness, broadcastVerdict } = dependencies;
-  const bornAtMs = clock.readMonotonicMs();
-  const heldOf = new Map<string, TrackedRollout>();
-  /** Verdicts that came before their order did. */
-  const early = new Map<string, RolloutVerdict>();
-  const usual = createLatencyBaselines();
+  const createdAtMs = clock.readMonotonicMs();
+  const rolloutsByService = new Map<string, TrackedRollout>();
+  /** Verdicts that arrived before their order, by service. */
+  const earlyVerdicts = new Map<string, RolloutVerdict>();
+  const latencyBaselines = createLatencyBaselines();
   let hasRows = false;
 
   const readAgeMs = ({ startedAtMs }: TrackedRollout): number | null =>
@@ -89,49 +90,49 @@
     isStored,
   });
 
-  /** Takes a verdict; true if it stands from now on. */
-  const merge = (verdict: RolloutVerdict, source: string): boolean => {
-    const held = heldOf.get(verdict.service);
-    if (!held || held.order.sequence < verdict.sequence) {
-      const known = early.get(verdict.service);
+  /** Applies a verdict if it supersedes the known one; returns true if it does. */
+  const applyNewerVerdict = (verdict: RolloutVerdict, source: string): boolean => {
+    const rollout = rolloutsByService.get(verdict.service);
+    if (!rollout || rollout.order.sequence < verdict.sequence) {
+      const known = earlyVerdicts.get(verdict.service);
       if (known && compareVerdicts(verdict, known) <= 0) return false;
-      early.set(verdict.service, verdict);
+      earlyVerdicts.set(verdict.service, verdict);
       return true;
     }
-    const before = buildVerdict(held);
-    if (held.order.sequence > verdict.sequence || compareVerdicts(verdict, before) <= 0)
+    const before = buildVerdict(rollout);
+    if (rollout.order.sequence > verdict.sequence || compareVerdicts(verdict, before) <= 0)
       return false;
     const nowMs = clock.readMonotonicMs();
-    if (held.state !== verdict.state) held.changedAtMs = nowMs;
-    Object.assign(held, { state: verdict.state, isStored: verdict.isStored });
+    if (rollout.state !== verdict.state) rollout.changedAtMs = nowMs;
+    Object.assign(rollout, { state: verdict.state, isStored: verdict.isStored });
     log.info('rollout verdict', { ...verdict, before: before.state, source });
     handleChange(verdict.service);
     return true;
   };
 
-  const mergeEarly = ({ sequence, service }: RolloutOrder): void => {
-    const verdict = early.get(service);
-    early.delete(service);
-    if (verdict?.sequence === sequence) merge(verdict, 'early');
+  const applyEarlyVerdict = ({ sequence, service }: RolloutOrder): void => {
+    const verdict = earlyVerdicts.get(service);
+    earlyVerdicts.delete(service);
+    if (verdict?.sequence === sequence) applyNewerVerdict(verdict, 'early');
   };
 
-  /** What is known of the order holds; what was written for it may be gone. */
-  const renewOrder = (held: TrackedRollout, order: RolloutOrder): void => {
-    log.info('rollout order renewed', { ...order, state: held.state });
-    Object.assign(held, { order, isStored: false, changedAtMs: clock.readMonotonicMs() });
-    mergeEarly(order);
+  /** Keeps the state of an order known before a restore of the store; the stored one may be lost. */
+  const renewOrder = (rollout: TrackedRollout, order: RolloutOrder): void => {
+    log.info('rollout order renewed', { ...order, state: rollout.state });
+    Object.assign(rollout, { order, isStored: false, changedAtMs: clock.readMonotonicMs() });
+    applyEarlyVerdict(order);
     handleChange(order.service);
   };
 
   const applyOrder = (order: RolloutOrder): void => {
-    const before = heldOf.get(order.service);
+    const before = rolloutsByService.get(order.service);
     if (before && before.order.sequence >= order.sequence) return;
     if (before && isSameOrder(before.order, order)) {
       renewOrder(before, order);
       return;
     }
     const nowMs = clock.readMonotonicMs();
-    heldOf.set(order.service, {
+    rolloutsByService.set(order.service, {
       order,
       startedAtMs: hasRows ? nowMs : null,
       state: RolloutState.InProgress,
@@ -145,35 +146,38 @@
       tallies: createTrialTallies(),
     });
     log.info('rollout ordered', { ...order, isOld: !hasRows, before: before?.state ?? 'none' });
-    mergeEarly(order);
+    applyEarlyVerdict(order);
     handleChange(order.service);
   };
 
-  const isTrialDue = (held: TrackedRollout): boolean => {
-    const ageMs = readAgeMs(held);
-    if (held.state !== RolloutState.InProgress || held.isPaused || ageMs === null) return false;
-    if (clock.readMonotonicMs() - bornAtMs < SETTLE_MS) return false;
-    const { durationMs } = held.order;
-    const { draw, requests } = held;
+  const isTrialDue = (rollout: TrackedRollout): boolean => {
+    const ageMs = readAgeMs(rollout);
+    if (rollout.state !== RolloutState.InProgress || rollout.isPaused || ageMs === null)
+      return false;
+    if (clock.readMonotonicMs() - createdAtMs < VM_COUNT_SETTLE_MS) return false;
+    const { durationMs } = rollout.order;
+    const { draw, requests } = rollout;
     const vms = countVms();
     const options = { bounds, requests, vms, ageMs, durationMs, draw };
-    if (held.trials >= computeTrialAllowance(options)) return false;
-    return listServing(held.order.service).some(({ entry }) => entry.version === held.order.to);
+    if (rollout.trials >= computeTrialAllowance(options)) return false;
+    return listServing(rollout.order.service).some(
+      ({ entry }) => entry.version === rollout.order.to,
+    );
   };
 
   const openRequest: RolloutRegistry['openRequest'] = ({ route, service }) => {
-    const opened = heldOf.get(service);
-    const isTrial = opened !== undefined && isTrialDue(opened);
-    if (opened) {
-      opened.requests += 1;
-      if (isTrial) opened.trials += 1;
+    const trackedRollout = rolloutsByService.get(service);
+    const isTrial = trackedRollout !== undefined && isTrialDue(trackedRollout);
+    if (trackedRollout) {
+      trackedRollout.requests += 1;
+      if (isTrial) trackedRollout.trials += 1;
     }
     return buildEligibleServers({
-      findRollout: () => heldOf.get(service),
+      findRollout: () => rolloutsByService.get(service),
       service,
       route,
-      latencyBaselines: usual,
-      trialRollout: isTrial ? opened : null,
+      latencyBaselines,
+      trialRollout: isTrial ? trackedRollout : null,
       trialRatio: bounds.trialRatio,
       listServing: () => listServing(service),
       handleEvidence: () => handleEvidence(service),
@@ -193,39 +197,41 @@
     },
     openRequest,
     find: (service) => {
-      const held = heldOf.get(service);
-      if (!held) return null;
-      // Also where no request came by since.
-      if (listServing(service).some(({ entry }) => entry.version !== held.order.to)) {
-        held.hasEstablished = true;
+      const rollout = rolloutsByService.get(service);
+      if (!rollout) return null;
+      // Without requests, `list` has not set this flag.
+      if (listServing(service).some(({ entry }) => entry.version !== rollout.order.to)) {
+        rollout.hasEstablished = true;
       }
       return {
-        order: held.order,
-        verdict: buildVerdict(held),
-        ageMs: readAgeMs(held),
+        order: rollout.order,
+        verdict: buildVerdict(rollout),
+        ageMs: readAgeMs(rollout),
         switchedMs:
-          held.state === RolloutState.Switching ? clock.readMonotonicMs() - held.changedAtMs : 0,
-        hasEstablished: held.hasEstablished,
-        tallies: held.tallies.list(),
+          rollout.state === RolloutState.Switching
+            ? clock.readMonotonicMs() - rollout.changedAtMs
+            : 0,
+        hasEstablished: rollout.hasEstablished,
+        tallies: rollout.tallies.list(),
       };
     },
     recordAge: (service, sequence, ageMs) => {
-      const held = heldOf.get(service);
-      if (held?.order.sequence !== sequence || held.startedAtMs !== null) return;
-      held.startedAtMs = clock.readMonotonicMs() - ageMs;
+      const rollout = rolloutsByService.get(service);
+      if (rollout?.order.sequence !== sequence || rollout.startedAtMs !== null) return;
+      rollout.startedAtMs = clock.readMonotonicMs() - ageMs;
     },
     applyVerdict: (verdict) => {
-      if (merge(verdict, 'own')) broadcastVerdict(verdict);
+      if (applyNewerVerdict(verdict, 'own')) broadcastVerdict(verdict);
     },
-    mergeVerdict: (verdict) => merge(verdict, 'told'),
+    mergeVerdict: (verdict) => applyNewerVerdict(verdict, 'told'),
     listVerdicts: () =>
-      [...heldOf.values()]
+      [...rolloutsByService.values()]
         .filter(({ state }) => state !== RolloutState.InProgress)
-        .filter(({ changedAtMs }) => clock.readMonotonicMs() - changedAtMs < TOLD_MS)
+        .filter(({ changedAtMs }) => clock.readMonotonicMs() - changedAtMs < VERDICT_GOSSIP_MS)
         .map(buildVerdict),
     setTrialsPaused: (service, isPaused) => {
-      const held = heldOf.get(service);
-      if (held) held.isPaused = isPaused;
+      const rollout = rolloutsByService.get(service);
+      if (rollout) rollout.isPaused = isPaused;
     },
   };
 };
--- a/src/application/routing/createLoadView/index.ts
+++ b/src/application/routing/createLoadView/index.ts
@@ -38,7 +38,7 @@
   report: LoadReport | null;
   /** Changes since the newest report was sampled. */
   changes: LoadChange[];
-  /** Sums of `changes`: own ones, and those of the peers. */
+  /** Sums of `changes`, by this VM and by its peers. */
   ownSince: number;
   peersSince: number;
   /** Running requests of this VM, and those that the peers last announced. */
@@ -95,8 +95,8 @@
   let readinessEpoch = 0;
 
   const readLoad = (name: string): ServerLoad => {
-    const held = loads.get(name);
-    if (held !== undefined) return held;
+    const existing = loads.get(name);
+    if (existing !== undefined) return existing;
     const created = {
       report: null,
       changes: [],
--- a/src/application/services/_lib/acquireCallClaim/index.ts
+++ b/src/application/services/_lib/acquireCallClaim/index.ts
@@ -6,7 +6,7 @@
 import { computeCallDigest, computeKeyDigest } from '../computeCallDigest';
 import { RUN_STATE_BY_CLAIM } from '../readEarlierRunState';
 
-/** Takes over the row of a call that surely was not sent, so that its repeat may run. */
+/** Takes over the claim of a call that was certainly not sent, so that its repeat may run. */
 const acquireFailedClaim = async (
   claims: Claims,
   row: ClaimRow,
@@ -18,9 +18,9 @@
 };
 
 /**
- * Claims a call that may run only once, before a byte of it is sent.
+ * Claims a call that may run only once, before its first byte is sent.
  *
- * @returns the row of this call; an error if another one has the key, or the store is down
+ * @returns the claim row of this call; an error if another call has the key or the store is down
  */
 export const acquireCallClaim = async (
   claims: Claims,
