--- a/src/domain/detection/computeInitialGapStatistics/index.ts
+++ b/src/domain/detection/computeInitialGapStatistics/index.ts
@@ -2,20 +2,20 @@
 import type { GapStatistics } from '../types';
 import { NO_GAPS } from '../updateGapStatistics';
 
-/** Gaps of a service that must be known before a new stream begins with its figures. */
+/** Gaps of a service from which its statistics are used for new streams. */
 const MIN_TYPICAL_GAPS = 32;
 
-/** Room for a stream that is slower than those before it: its engine or prompt may differ. */
+/** Factor on the deviation, since engine or prompt may make a stream slower than earlier ones. */
 const DEVIATION_FACTOR = 2;
 
 /**
- * Computes the figures with which a stream begins, from the gaps of the service's other streams.
+ * Computes the initial gap statistics of a stream from those of the service's other streams.
  *
- * A stream that froze before it had enough gaps of its own would otherwise stand still for the
- * longest limit there is, although everything is known of its engine's pace.
+ * Without them, a stream that stalls before it has enough gaps of its own would be suspected only
+ * after the longest limit.
  *
- * @param typical - Figures over the service's newest gaps at this VM.
- * @returns Figures of a stream without gaps; `NO_GAPS` if too little is known of the service.
+ * @param typical - statistics over the service's latest gaps at this VM
+ * @returns initial statistics; `NO_GAPS` if there are too few gaps of the service
  */
 export const computeInitialGapStatistics = (typical: GapStatistics): GapStatistics =>
   typical.count < MIN_TYPICAL_GAPS
--- a/src/domain/detection/computePrefillLimits/index.ts
+++ b/src/domain/detection/computePrefillLimits/index.ts
@@ -1,28 +1,30 @@
 import type { FirstTokenSample, SilenceLimits } from '../types';
 
-/** Limit while no first token of the service has been seen. */
+/** Limit while the service has no samples. */
 const UNKNOWN_SUSPECT_MS = 10_000;
 
 const MIN_SUSPECT_MS = 300;
 const MAX_SUSPECT_MS = 60_000;
 
-/** Room above the slowest prefill seen: load in the engine varies more than the prompt. */
+/** Factor on the slowest prefill: the load of an engine varies more than the length of prompts. */
 const SAFETY_FACTOR = 3;
+
+/** A suspicion is confirmed after this many times its own limit. */
 const CONFIRM_FACTOR = 2;
 
-/** Shortest prefill after which a server that counts as dead by other evidence is given up. */
-const MIN_SHARED_SUSPECT_MS = 60;
+/** Shortest limit if other evidence says that the server is dead. */
+const MIN_DEAD_SERVER_MS = 60;
 
 const estimatePrefillMs = (sample: FirstTokenSample, promptCharacters: number): number =>
   sample.firstTokenMs * Math.max(1, promptCharacters / Math.max(1, sample.promptCharacters));
 
 /**
- * Computes how long a prefill may take, from first-token times seen for the same service.
+ * Computes how long a prefill may take, from the first-token times of the same service.
  *
- * @param samples - Newest samples, in any order.
- * @param promptCharacters - Length of this prompt; a longer one than any seen gets more time.
- * @param options.serverDead - True if other evidence says that the server is dead.
- * @returns Limits in milliseconds.
+ * @param samples - latest samples, in any order
+ * @param promptCharacters - length of the prompt; longer prompts than the samples' get more time
+ * @param options.isServerDead - true if other evidence says that the server is dead
+ * @returns limits in milliseconds
  */
 export const computePrefillLimits = (
   samples: readonly FirstTokenSample[],
@@ -34,10 +36,10 @@
     ...samples.map((sample) => estimatePrefillMs(sample, promptCharacters)),
   );
   if (options.isServerDead) {
-    const sharedMs = Math.max(MIN_SHARED_SUSPECT_MS, Math.min(slowestMs, MAX_SUSPECT_MS));
-    return { suspectMs: sharedMs, confirmMs: sharedMs };
+    const deadServerMs = Math.max(MIN_DEAD_SERVER_MS, Math.min(slowestMs, MAX_SUSPECT_MS));
+    return { suspectMs: deadServerMs, confirmMs: deadServerMs };
   }
-  const wantedMs = samples.length === 0 ? UNKNOWN_SUSPECT_MS : slowestMs * SAFETY_FACTOR;
-  const suspectMs = Math.min(MAX_SUSPECT_MS, Math.max(MIN_SUSPECT_MS, wantedMs));
+  const limitMs = samples.length === 0 ? UNKNOWN_SUSPECT_MS : slowestMs * SAFETY_FACTOR;
+  const suspectMs = Math.min(MAX_SUSPECT_MS, Math.max(MIN_SUSPECT_MS, limitMs));
   return { suspectMs, confirmMs: suspectMs * CONFIRM_FACTOR };
 };
--- a/src/domain/detection/computeSilenceLimits/index.ts
+++ b/src/domain/detection/computeSilenceLimits/index.ts
@@ -1,13 +1,13 @@
 import type { GapStatistics, SilenceLimits } from '../types';
 
 /**
- * Shortest silence that counts. Below it a pause of the engine's scheduler, a garbage collection
- * or a lost packet (minimum retransmission timeout on Linux: 200 ms) looks the same as a death.
+ * Shortest silence that raises a suspicion. A pause of the engine's scheduler, a garbage collection
+ * or a lost packet (minimum retransmission timeout on Linux: 200 ms) causes shorter silences, too.
  */
 const MIN_SUSPECT_MS = 200;
 
-/** Silence that counts at once where other streams of the same server were confirmed as stuck. */
-const MIN_SHARED_SUSPECT_MS = 60;
+/** Shortest limit if other streams of the same server were confirmed as stuck. */
+const MIN_DEAD_SERVER_MS = 60;
 
 const MAX_SUSPECT_MS = 5_000;
 const MEAN_FACTOR = 8;
@@ -16,17 +16,18 @@
 /** A suspicion is confirmed after this many times its own limit. */
 const CONFIRM_FACTOR = 2;
 
-/** Gaps that must be known before a stream's figures count. */
+/** Gaps from which the statistics of a stream are used. */
 export const MIN_GAPS = 4;
 
 /**
  * Computes how long a stream may be silent, from its own gaps.
  *
- * @param gaps - Figures of the stream so far.
- * @param options.serverDead - True if other evidence says that the server is dead.
- * @returns Limits in milliseconds; equal if the server counts as dead.
+ * @param gaps - gap statistics of the stream so far
+ * @param options.isServerDead - true if other evidence says that the server is dead
+ * @returns limits in milliseconds; both are equal if the server counts as dead
+ *
  * @example
- * computeSilenceLimitMs({ count: 50, meanMs: 10, deviationMs: 1 }, { serverDead: false });
+ * computeSilenceLimits({ count: 50, meanMs: 10, deviationMs: 1 }, { isServerDead: false });
  * // => { suspectMs: 200, confirmMs: 400 }
  */
 export const computeSilenceLimits = (
@@ -38,8 +39,8 @@
       ? MAX_SUSPECT_MS
       : gaps.meanMs * MEAN_FACTOR + gaps.deviationMs * DEVIATION_FACTOR;
   if (options.isServerDead) {
-    const sharedMs = Math.max(MIN_SHARED_SUSPECT_MS, Math.min(ownMs, MIN_SUSPECT_MS));
-    return { suspectMs: sharedMs, confirmMs: sharedMs };
+    const deadServerMs = Math.max(MIN_DEAD_SERVER_MS, Math.min(ownMs, MIN_SUSPECT_MS));
+    return { suspectMs: deadServerMs, confirmMs: deadServerMs };
   }
   const suspectMs = Math.min(MAX_SUSPECT_MS, Math.max(MIN_SUSPECT_MS, ownMs));
   return { suspectMs, confirmMs: suspectMs * CONFIRM_FACTOR };
--- a/src/domain/detection/estimatePrefill/index.ts
+++ b/src/domain/detection/estimatePrefill/index.ts
@@ -1,29 +1,29 @@
 import type { FirstTokenSample } from '../types';
 
-/** How long prompts take to read, in milliseconds; infinite while too few have been seen. */
+/** Estimated prefill times in milliseconds; infinite while there are too few samples. */
 export interface PrefillEstimate {
-  /** The prompt in question, by its length, at a server that reads nothing else. */
+  /** Prefill time of the given prompt, by its length, on an otherwise idle server. */
   readonly ownMs: number;
-  /** Some other prompt. */
+  /** Median prefill time of other prompts. */
   readonly usualMs: number;
 }
 
-/** Part of the samples that had a server for themselves: the others waited in a queue as well. */
-const UNDISTURBED_PART = 0.25;
+/** Quantile of the samples without queueing time: the slower ones waited in a queue as well. */
+const UNDISTURBED_QUANTILE = 0.25;
 
-/** With fewer samples nothing is known: a prompt that was cached takes a tenth of the usual time. */
+/** Fewer samples are not representative: a cached prompt takes a tenth of the usual time. */
 const MIN_SAMPLES = 4;
 
-const findQuantile = (values: readonly number[], part: number): number =>
+const findQuantile = (values: readonly number[], fraction: number): number =>
   values.length < MIN_SAMPLES
     ? Infinity
-    : ([...values].sort((left, right) => left - right)[Math.floor(values.length * part)] ??
+    : ([...values].sort((left, right) => left - right)[Math.floor(values.length * fraction)] ??
       Infinity);
 
 /**
- * Estimates how long a prompt takes to read, from first-token times seen lately.
+ * Estimates the prefill time of a prompt from recent first-token times.
  *
- * @param samples - newest samples, in any order
+ * @param samples - latest samples, in any order
  * @param promptCharacters - length of the prompt, in the unit of the samples
  *
  * @example
@@ -36,7 +36,7 @@
 ): PrefillEstimate => ({
   ownMs: findQuantile(
     samples.map((one) => (one.firstTokenMs / Math.max(1, one.promptCharacters)) * promptCharacters),
-    UNDISTURBED_PART,
+    UNDISTURBED_QUANTILE,
   ),
   usualMs: findQuantile(
     samples.map(({ firstTokenMs }) => firstTokenMs),
--- a/src/domain/detection/types/FirstTokenSample.ts
+++ b/src/domain/detection/types/FirstTokenSample.ts
@@ -1,4 +1,4 @@
-/** How long a prompt took to its first token. */
+/** Measured time from sending a prompt to its first token. */
 export interface FirstTokenSample {
   readonly promptCharacters: number;
   readonly firstTokenMs: number;
--- a/src/domain/detection/types/GapStatistics.ts
+++ b/src/domain/detection/types/GapStatistics.ts
@@ -1,4 +1,4 @@
-/** Running figures of the gaps between the batches of one stream. */
+/** Running statistics of the gaps between the batches of a stream. */
 export interface GapStatistics {
   readonly count: number;
   readonly meanMs: number;
--- a/src/domain/detection/types/SilenceLimits.ts
+++ b/src/domain/detection/types/SilenceLimits.ts
@@ -1,4 +1,4 @@
-/** Silences after which a stream is suspected, and then confirmed as stuck. */
+/** Durations of silence after which a stream is suspected, and then confirmed, to be stuck. */
 export interface SilenceLimits {
   readonly suspectMs: number;
   readonly confirmMs: number;
--- a/src/domain/detection/updateGapStatistics/index.ts
+++ b/src/domain/detection/updateGapStatistics/index.ts
@@ -1,18 +1,18 @@
 import type { GapStatistics } from '../types';
 
-/** Weights of a new gap in mean and deviation, as TCP's retransmission timer has them (RFC 6298). */
+/** Weights of a new gap in mean and deviation, as for TCP's retransmission timer (RFC 6298). */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
 
-/** Figures of a stream without a gap so far. */
+/** Statistics of a stream without gaps. */
 export const NO_GAPS: GapStatistics = { count: 0, meanMs: 0, deviationMs: 0 };
 
 /**
- * Updates a stream's figures with one more gap.
+ * Updates gap statistics with a new gap.
  *
- * @param statistics - Figures so far.
- * @param gapMs - Time between two batches, in milliseconds.
- * @returns New figures.
+ * @param statistics - previous statistics
+ * @param gapMs - time between two batches, in milliseconds
+ * @returns new statistics
  */
 export const updateGapStatistics = (statistics: GapStatistics, gapMs: number): GapStatistics => {
   if (statistics.count === 0) return { count: 1, meanMs: gapMs, deviationMs: gapMs / 2 };
--- a/src/domain/forwarding/checkRequestKey/index.ts
+++ b/src/domain/forwarding/checkRequestKey/index.ts
@@ -1,16 +1,16 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { KeyHolder, Route, RouteTable } from '../types';
 
-/** What a request may do, as far as its key says. */
+/** Result of a successful key check. */
 export interface RequestAccess {
-  /** Null: nobody's in particular. */
+  /** Holder of the key; null if the request is anonymous. */
   readonly holder: KeyHolder | null;
 }
 
 /**
- * Checks the key of a request.
+ * Checks the API key of a request against the key holders and the route.
  *
- * @returns whose it is; an error if the route needs a key and nobody holds this one
+ * @returns the holder of the key; an error if the route is not public and nobody holds the key
  */
 export const checkRequestKey = (
   table: RouteTable,
--- a/src/domain/forwarding/chooseLeastLoadedServer/index.ts
+++ b/src/domain/forwarding/chooseLeastLoadedServer/index.ts
@@ -1,60 +1,68 @@
 import type { ServerStatus } from '../types';
 
-/** What speaks for or against a server for one attempt. */
+/** Exclusions and preferences for the server of one attempt. */
 export interface LeastLoadedServerOptions {
-  /** Ids of servers that failed this request. */
+  /** Ids of servers that already failed this request. */
   readonly excludedIds: ReadonlySet<string>;
-  /** Zone in which it must not be, if others have a server; null for none. */
+  /** Availability zone to avoid as long as another one has a server; null for none. */
   readonly avoidedZone: string | null;
-  /** Zone that is slightly better, all else being equal; null for none. */
+  /** Availability zone that is preferred among nearly equal servers; null for none. */
   readonly preferredZone: string | null;
-  /** From 0 inclusive to 1 exclusive: VMs with the same late reports must not choose alike. */
+  /**
+   * Random number, from 0 inclusive to 1 exclusive. VMs that hold the same outdated load reports
+   * must not all choose the same server.
+   */
   readonly draw: number;
 }
 
-/** Tokens that weigh as much as one running request: it is slowed for as long as they are read. */
+/** Prompt tokens that weigh as much as one running request: prefill slows running requests down. */
 const PREFILL_TOKENS_PER_REQUEST = 4000;
 
-/** A copy fills memory, but takes no step of the engine. */
+/** Weight of a KV cache copy in requests: a copy occupies memory but no engine steps. */
 const COPY_WEIGHT = 0.25;
 
-/** Bonus of the preferred zone, as a part of one request on all slots. */
-const ZONE_WEIGHT = 0.4;
+/** Bonus of the preferred availability zone, in requests. */
+const ZONE_BONUS = 0.4;
 
-/** Estimates within this part of a slot count as equal. */
-const NEAR_LOAD = 0.5;
+/** Loads that differ by at most this many requests count as equal. */
+const LOAD_TOLERANCE = 0.5;
 
 const computeLoad = (status: ServerStatus, preferredZone: string | null): number => {
-  const own = status.running + status.pendingPrefillTokens / PREFILL_TOKENS_PER_REQUEST;
-  const requests = Math.max(own, status.reported) + status.copies * COPY_WEIGHT;
-  const zone = status.entry.availabilityZone === preferredZone ? -ZONE_WEIGHT : 0;
+  const ownLoad = status.running + status.pendingPrefillTokens / PREFILL_TOKENS_PER_REQUEST;
+  const requests = Math.max(ownLoad, status.reported) + status.copies * COPY_WEIGHT;
+  const zone = status.entry.availabilityZone === preferredZone ? -ZONE_BONUS : 0;
   const warmup = status.entry.warmupLeftMs > 0 ? 1 : 0;
   return requests + zone + warmup;
 };
 
-const preferAll = (
+const preferMatching = (
   servers: readonly ServerStatus[],
-  isWanted: (status: ServerStatus) => boolean,
+  isPreferred: (status: ServerStatus) => boolean,
 ): readonly ServerStatus[] => {
-  const wanted = servers.filter(isWanted);
-  return wanted.length > 0 ? wanted : servers;
+  const preferred = servers.filter(isPreferred);
+  return preferred.length > 0 ? preferred : servers;
 };
 
 /**
- * Chooses the server of an attempt: one of the least loaded ones that are not suspected and not in
- * the avoided zone, as far as there are such.
+ * Chooses one of the least loaded servers for an attempt.
  *
- * @returns null if every server has failed the request already, or there is none
+ * Suspected servers and those in the avoided availability zone are chosen only if there are no
+ * others.
+ *
+ * @returns the status of the chosen server; null if no server is left that has not failed the
+ *   request
  */
 export const chooseLeastLoadedServer = (
   servers: readonly ServerStatus[],
   { avoidedZone, draw, excludedIds, preferredZone }: LeastLoadedServerOptions,
 ): ServerStatus | null => {
   const allowed = servers.filter(({ entry }) => !excludedIds.has(entry.id));
-  const sound = preferAll(allowed, ({ isSuspected }) => !isSuspected);
-  const apart = preferAll(sound, ({ entry }) => entry.availabilityZone !== avoidedZone);
-  const loads = apart.map((status) => computeLoad(status, preferredZone));
-  const least = loads.reduce((low, load) => Math.min(low, load), Infinity);
-  const near = apart.filter((_, index) => (loads[index] ?? Infinity) <= least + NEAR_LOAD);
-  return near[Math.floor(draw * near.length)] ?? null;
+  const healthy = preferMatching(allowed, ({ isSuspected }) => !isSuspected);
+  const candidates = preferMatching(healthy, ({ entry }) => entry.availabilityZone !== avoidedZone);
+  const loads = candidates.map((status) => computeLoad(status, preferredZone));
+  const lowestLoad = loads.reduce((low, load) => Math.min(low, load), Infinity);
+  const leastLoaded = candidates.filter(
+    (_, index) => (loads[index] ?? Infinity) <= lowestLoad + LOAD_TOLERANCE,
+  );
+  return leastLoaded[Math.floor(draw * leastLoaded.length)] ?? null;
 };
--- a/src/domain/forwarding/chooseLeastLoadedServer/test.ts
+++ b/src/domain/forwarding/chooseLeastLoadedServer/test.ts
@@ -13,7 +13,7 @@
 const choose = (servers: readonly ServerStatus[], change: Partial<typeof NONE> = {}) =>
   chooseLeastLoadedServer(servers, { ...NONE, ...change })?.entry.id ?? null;
 
-test('the least loaded server is chosen; among nearly equal ones the draw decides', (t) => {
+test('the least loaded server is chosen; the random number decides between nearly equal ones', (t) => {
   const servers = [
     buildServerStatus('a', 'z1', { running: 3 }),
     buildServerStatus('b', 'z1'),
@@ -23,7 +23,7 @@
   t.is(choose(servers, { draw: 0.9 }), 'c');
 });
 
-test('suspected servers and the avoided zone are left out as long as there are others', (t) => {
+test('suspected servers and those of the avoided zone are chosen only without others', (t) => {
   const servers = [
     buildServerStatus('a', 'z1', { isSuspected: true }),
     buildServerStatus('b', 'z2'),
@@ -33,12 +33,12 @@
   t.is(choose([buildServerStatus('a', 'z1', { isSuspected: true })]), 'a');
 });
 
-test('a server that failed the request is never chosen again for it', (t) => {
+test('a server that failed the request is not chosen again for it', (t) => {
   t.is(choose([buildServerStatus('a', 'z1')], { excludedIds: new Set(['a']) }), null);
 });
 
-test('prompts that are still read and copies weigh as well', (t) => {
-  const reading = buildServerStatus('a', 'z1', { pendingPrefillTokens: 8000 });
-  const holding = buildServerStatus('b', 'z1', { copies: 4 });
-  t.is(choose([reading, holding, buildServerStatus('c', 'z1')], { draw: 0.99 }), 'c');
+test('pending prefill and KV cache copies count as load', (t) => {
+  const prefilling = buildServerStatus('a', 'z1', { pendingPrefillTokens: 8000 });
+  const holdingCopies = buildServerStatus('b', 'z1', { copies: 4 });
+  t.is(choose([prefilling, holdingCopies, buildServerStatus('c', 'z1')], { draw: 0.99 }), 'c');
 });
--- a/src/domain/forwarding/chooseServerByReport/index.ts
+++ b/src/domain/forwarding/chooseServerByReport/index.ts
@@ -1,35 +1,40 @@
 import { countPrefillingRuns } from '../countPrefillingRuns';
 import type { ServerEntry, ServerReport } from '../types';
 
-/** A server with what it said of itself just now. */
+/** A server with its latest report. */
 export interface ReportedServer {
   readonly entry: ServerEntry;
   readonly report: ServerReport;
-  /** Runs whose memory this VM knows to be copied there. */
+  /** Runs whose KV cache is, as far as this VM knows, copied to the server. */
   readonly copies: number;
-  /** Prompt tokens that are known to have been sent there and are still to be read. */
+  /** Prompt tokens known to have been sent to the server whose prefill has not finished. */
   readonly pendingPrefillTokens: number;
 }
 
-/** Prompts are read one after the other: a running request delays a new one far less. */
+/**
+ * Weight of a running request, in waiting prompts. Prefill is sequential, so that a request that
+ * generates delays a new prompt far less than a waiting one does.
+ */
 const RUNNING_WEIGHT = 0.08;
 
-/** A run that is not listed yet reads its prompt. */
-const READING_WEIGHT = 0.7;
+/** Weight of a run in prefill, in waiting prompts. */
+const PREFILL_WEIGHT = 0.7;
 
+/** Weight of a KV cache copy, in waiting prompts. */
 const COPY_WEIGHT = 0.03;
 
-/** Bonus of the preferred zone, in prompts that wait. */
+/** Bonus of the preferred availability zone, in waiting prompts. */
 const ZONE_BONUS = 0.15;
 
-/** Part of the KV memory that may be in use with the new request; past it, runs are preempted. */
-const MEMORY_PART = 0.85;
+/** Highest KV memory use including the new request; above it, engines preempt runs. */
+const MAX_MEMORY_FRACTION = 0.85;
 
-/** Weight of memory that is not there, in prompts that wait. */
-const FULL_WEIGHT = 4;
+/** Penalty of a server without enough KV memory, in waiting prompts. */
+const FULL_PENALTY = 4;
 
-/** What the new request needs: its prompt, and KV memory until its end. */
+/** Needs of the new request and the preferred availability zone. */
 export interface ServerByReportOptions {
+  /** KV memory that the request needs until its end, in tokens. */
   readonly neededKvTokens: number;
   readonly promptTokens: number;
   readonly preferredZone: string | null;
@@ -39,25 +44,29 @@
   { copies, entry, report, pendingPrefillTokens }: ReportedServer,
   { neededKvTokens, preferredZone, promptTokens }: ServerByReportOptions,
 ): number => {
-  // What was sent a moment ago is in no report yet.
-  const ahead = Math.max(
-    report.waiting + countPrefillingRuns(report) * READING_WEIGHT,
+  // Prompts that were sent just now are missing from the report.
+  const promptsAhead = Math.max(
+    report.waiting + countPrefillingRuns(report) * PREFILL_WEIGHT,
     pendingPrefillTokens / Math.max(1, promptTokens),
   );
   const isFull =
     report.kvTotalTokens > 0 &&
-    report.kvUsedTokens + neededKvTokens > report.kvTotalTokens * MEMORY_PART;
+    report.kvUsedTokens + neededKvTokens > report.kvTotalTokens * MAX_MEMORY_FRACTION;
   return (
-    ahead +
+    promptsAhead +
     report.running * RUNNING_WEIGHT +
     copies * COPY_WEIGHT +
-    (isFull ? FULL_WEIGHT : 0) +
+    (isFull ? FULL_PENALTY : 0) +
     (entry.warmupLeftMs > 0 ? 1 : 0) -
     (entry.availabilityZone === preferredZone ? ZONE_BONUS : 0)
   );
 };
 
-/** Chooses the server that begins with a new prompt first, by what the servers just said. */
+/**
+ * Chooses the server that is expected to start a new prompt first, from the servers' reports.
+ *
+ * @returns the chosen server; null if there are none
+ */
 export const chooseServerByReport = (
   servers: readonly ReportedServer[],
   options: ServerByReportOptions,
--- a/src/domain/forwarding/chooseServerByReport/test.ts
+++ b/src/domain/forwarding/chooseServerByReport/test.ts
@@ -23,35 +23,35 @@
 const runs = (count: number): ReadonlyMap<string, number> =>
   new Map(Array.from({ length: count }, (_, index) => [`r-${index}`, 5]));
 
-test('a prompt that waits delays a new one more than many runs that generate', (t) => {
+test('a waiting prompt counts more than many generating runs', (t) => {
   const generating = build('a', 'z1', { running: 8, eventsByRun: runs(8) });
   t.is(choose([build('b', 'z1', { waiting: 1 }), generating]), 'a');
 });
 
-test('a run that is not listed yet reads its prompt, and counts as one that waits', (t) => {
-  const reading = build('a', 'z1', { running: 2, eventsByRun: runs(1) });
-  t.is(choose([reading, build('b', 'z1', { running: 4, eventsByRun: runs(4) })]), 'b');
+test('a run that is not listed yet is in prefill, and counts almost as a waiting one', (t) => {
+  const prefilling = build('a', 'z1', { running: 2, eventsByRun: runs(1) });
+  t.is(choose([prefilling, build('b', 'z1', { running: 4, eventsByRun: runs(4) })]), 'b');
 });
 
-test('a server whose memory the request would not fit into comes last', (t) => {
+test('a server without enough KV memory for the request is chosen last', (t) => {
   const full = build('a', 'z1', { kvUsedTokens: 70_000 });
   t.is(choose([full, build('b', 'z1', { waiting: 3 })]), 'b');
   t.is(choose([full], { neededKvTokens: 9000 }), 'a');
 });
 
-test('copies count a little, and the preferred zone decides between equal servers', (t) => {
+test('copies count as little load, and the preferred zone decides between equal servers', (t) => {
   t.is(choose([build('a', 'z1', {}, 1), build('b', 'z2')]), 'b');
   const equal = [build('a', 'z1'), build('b', 'z2')];
   t.is(choose(equal), 'a');
   t.is(chooseServerByReport(equal, { ...NONE, preferredZone: 'z2' })?.entry.id, 'b');
 });
 
-test('prompts that were sent a moment ago count before any report shows them', (t) => {
+test('prompts sent just now count before a report includes them', (t) => {
   const sentTo = { ...build('a', 'z1'), pendingPrefillTokens: 8000 };
   t.is(choose([sentTo, build('b', 'z1', { running: 6, eventsByRun: runs(6) })]), 'b');
   t.is(choose([sentTo, build('b', 'z1', { waiting: 2 })]), 'a');
 });
 
-test('nobody is chosen among none', (t) => {
+test('no server is chosen if there are none', (t) => {
   t.is(choose([]), null);
 });
--- a/src/domain/forwarding/compareIncarnations/index.ts
+++ b/src/domain/forwarding/compareIncarnations/index.ts
@@ -1,22 +1,23 @@
-/** How a server that tells of itself stands to the one that is known under the same id. */
+/** Order of a reported incarnation of a server relative to the known one with the same id. */
 export type IncarnationOrder = 'same' | 'newer' | 'older';
 
 /**
- * Compares two times of birth of servers with one id.
+ * Compares the start times of two incarnations of a server.
  *
- * A server may start again under its old id and then knows nothing of its runs, copies or load. A
- * time that is not known tells nothing, and counts as the same.
+ * A server may restart under its old id; its runs, KV cache copies and load are lost then. An
+ * unknown start time counts as the same incarnation.
  *
- * @param knownBornMs - Unix milliseconds, or null
- * @param toldBornMs - Unix milliseconds, or null
+ * @param knownBornMs - start of the known incarnation in Unix milliseconds; null if unknown
+ * @param reportedBornMs - start of the reported incarnation in Unix milliseconds; null if unknown
  *
  * @example
  * compareIncarnations(1000, 2000); // 'newer'
  */
 export const compareIncarnations = (
   knownBornMs: number | null,
-  toldBornMs: number | null,
+  reportedBornMs: number | null,
 ): IncarnationOrder => {
-  if (knownBornMs === null || toldBornMs === null || knownBornMs === toldBornMs) return 'same';
-  return toldBornMs > knownBornMs ? 'newer' : 'older';
+  if (knownBornMs === null || reportedBornMs === null || knownBornMs === reportedBornMs)
+    return 'same';
+  return reportedBornMs > knownBornMs ? 'newer' : 'older';
 };
--- a/src/domain/forwarding/computeBatchDelayMs/index.ts
+++ b/src/domain/forwarding/computeBatchDelayMs/index.ts
@@ -1,16 +1,17 @@
 import type { GatewayBounds } from '../types';
 
-/** Part of the time that a change has; the rest is for the call, and for one that fails. */
-const PAUSE_PART = 0.3;
+/** Fraction of `changeMs`; the rest is left for the next call and for one that fails. */
+const DELAY_FRACTION = 0.3;
 
 /**
- * Computes how long the next call to the store waits after changes have come: they come in bursts,
- * and what follows within the pause needs no call of its own.
+ * Computes the delay between receiving changes and the next call to the store.
+ *
+ * Changes come in bursts: those that follow within the delay are fetched by one call.
  *
  * @returns milliseconds
  *
  * @example
- * computeBurstPause({ changeMs: 2000 }); // 600
+ * computeBatchDelayMs({ changeMs: 2000 }); // 600
  */
 export const computeBatchDelayMs = ({ changeMs }: Pick<GatewayBounds, 'changeMs'>): number =>
-  changeMs * PAUSE_PART;
+  changeMs * DELAY_FRACTION;
--- a/src/domain/forwarding/computeEventTimeoutMs/index.ts
+++ b/src/domain/forwarding/computeEventTimeoutMs/index.ts
@@ -1,59 +1,59 @@
-/** What is known of an attempt whose server answers questions, but sends no event. */
+/** State of an attempt whose server answers status queries but sends no event. */
 export interface EventTimeoutOptions {
-  /** True: events of this attempt have come. */
+  /** True if events of this attempt have arrived. */
   readonly hasDelivered: boolean;
-  /** True: the run could go on from a copy elsewhere. */
+  /** True if another server has a copy of the run's KV cache, from which the run can continue. */
   readonly hasCopy: boolean;
-  /** True: the server said just now that requests wait there; the run may be one of them. */
+  /** True if the server's latest report lists waiting requests; the run may be one of them. */
   readonly isQueued: boolean;
   readonly gapGoalMs: number;
   readonly latencyGoalMs: number;
-  /** Longest time that prompts took to their first event lately. */
+  /** Longest recent time from sending a prompt to its first event. */
   readonly slowestPrefillMs: number;
-  /** Time that the first event was expected to take when the prompt was sent; 0 if not known. */
+  /** Time to the first event as predicted when the prompt was sent; 0 if unknown. */
   readonly expectedFirstEventMs: number;
 }
 
 /**
- * Part of the longest good pause after which a server is given up where a copy is at hand: its
- * connection may be what is dead, and the rest of the pause is enough to go on elsewhere.
+ * Timeout of a run with a copy, in gap goals. The connection may be dead although the server is
+ * alive; the rest of the gap goal is enough to continue on the copy's server.
  */
-const PAUSE_PART = 0.7;
+const COPIED_GAP_GOALS = 0.7;
 
-/** Longest good pauses after which a server is given up where the prompt must be read. */
-const UNCOPIED_PAUSES = 3;
+/** Timeout of a run without a copy, in gap goals: another server has to repeat the prefill. */
+const UNCOPIED_GAP_GOALS = 3;
 
 /**
- * Part of the latency goal after which a server without a first event is given up: with the prompt
- * read anew elsewhere the answer may still come in time.
+ * Timeout of the first event, in latency goals. A retry with a new prefill on another server may
+ * still meet the goal.
  */
-const FIRST_EVENT_PART = 0.8;
+const FIRST_EVENT_GOALS = 0.8;
 
 /**
- * A prompt is not given up before this many times its predicted time. Of 263 first events on three days
- * of trouble one in twenty took more than 1.8 times, one in a hundred more than 2.4 times as long. With
- * the part of the goal alone a prompt of 24,000 tokens, which takes 3.7 s, was read three times.
+ * Shortest timeout of the first event, in predicted times. Of 263 first events under failures, 5%
+ * took more than 1.8 times and 1% more than 2.4 times the prediction. With `FIRST_EVENT_GOALS`
+ * alone, a prompt of 24,000 tokens, whose prefill takes 3.7 s, was prefilled three times.
  */
 const PREDICTION_FACTOR = 2;
 
 /**
- * Latency goals for which a place in a queue is kept, before the first event or once a run was put
- * back into the queue. Callers wait for four. Given up sooner, the place is lost, and another one is
- * taken at the end of another queue.
+ * Timeout of a queued run, in latency goals, before its first event or after the engine requeued
+ * it. Callers wait for four. A shorter timeout gives up the place in the queue for the last place
+ * in another one.
  */
 const QUEUED_GOALS = 3;
 
 /**
- * Computes how long a server that answers questions may send no event before the attempt is given
- * up.
+ * Computes how long a server that answers status queries may send no event before the attempt is
+ * given up.
  *
  * @returns milliseconds
  *
  * @example
- * // A prompt in a queue.
- * computeEventLimit({
+ * // A queued prompt.
+ * computeEventTimeoutMs({
  *   hasDelivered: false, hasCopy: false, isQueued: true,
- *   gapGoalMs: 700, latencyGoalMs: 4500, slowestPrefillMs: 1200, expectedMs: 1000,
+ *   gapGoalMs: 700, latencyGoalMs: 4500, slowestPrefillMs: 1200, expectedFirstEventMs: 1000,
  * }); // 13500
  */
 export const computeEventTimeoutMs = ({
@@ -65,12 +65,12 @@
   expectedFirstEventMs,
   slowestPrefillMs,
 }: EventTimeoutOptions): number => {
-  if (hasDelivered && hasCopy) return gapGoalMs * PAUSE_PART;
+  if (hasDelivered && hasCopy) return gapGoalMs * COPIED_GAP_GOALS;
   if (isQueued) return latencyGoalMs * QUEUED_GOALS;
-  if (hasDelivered) return gapGoalMs * UNCOPIED_PAUSES;
-  // Never sooner than reading the prompt takes now and then, where that is long beside the goal.
+  if (hasDelivered) return gapGoalMs * UNCOPIED_GAP_GOALS;
+  // Prefill of a long prompt may take longer than the latency goal allows.
   return Math.max(
-    latencyGoalMs * FIRST_EVENT_PART,
+    latencyGoalMs * FIRST_EVENT_GOALS,
     slowestPrefillMs,
     expectedFirstEventMs * PREDICTION_FACTOR,
   );
--- a/src/domain/forwarding/computeEventTimeoutMs/test.ts
+++ b/src/domain/forwarding/computeEventTimeoutMs/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { computeEventTimeoutMs } from '.';
 
-const READING = {
+const PREFILLING = {
   hasDelivered: false,
   hasCopy: false,
   isQueued: false,
@@ -11,30 +11,29 @@
   expectedFirstEventMs: 0,
 };
 
-test('a prompt that is read has most of the goal, or as long as prompts take', (t) => {
-  t.is(computeEventTimeoutMs(READING), 3600);
-  t.is(computeEventTimeoutMs({ ...READING, slowestPrefillMs: 5000 }), 5000);
+test('a prompt in prefill has most of the latency goal, or the longest recent prefill time', (t) => {
+  t.is(computeEventTimeoutMs(PREFILLING), 3600);
+  t.is(computeEventTimeoutMs({ ...PREFILLING, slowestPrefillMs: 5000 }), 5000);
 });
 
-test('a place in a queue is kept', (t) => {
-  t.is(computeEventTimeoutMs({ ...READING, isQueued: true }), 13_500);
-  t.is(computeEventTimeoutMs({ ...READING, isQueued: true, hasDelivered: true }), 13_500);
+test('a queued run has three latency goals', (t) => {
+  t.is(computeEventTimeoutMs({ ...PREFILLING, isQueued: true }), 13_500);
+  t.is(computeEventTimeoutMs({ ...PREFILLING, isQueued: true, hasDelivered: true }), 13_500);
 });
 
-test('a run with a copy goes on elsewhere within the longest good pause', (t) => {
-  const delivered = { ...READING, hasDelivered: true };
+test('a run with a copy is given up within the gap goal, one without a copy after three', (t) => {
+  const delivered = { ...PREFILLING, hasDelivered: true };
   t.is(Math.round(computeEventTimeoutMs({ ...delivered, hasCopy: true })), 490);
   t.is(Math.round(computeEventTimeoutMs({ ...delivered, hasCopy: true, isQueued: true })), 490);
   t.is(computeEventTimeoutMs(delivered), 2100);
 });
 
-// Symptom: long prompts are read two and three times, and come late.
-// Sequence: a prompt takes 3.7 s to read; at 3.6 s without an event it is given up and sent again.
-// Cause: the limit knew nothing of how long this prompt was predicted to take.
-test('a prompt that is predicted to take long is not given up in the middle', (t) => {
-  t.true(computeEventTimeoutMs({ ...READING, expectedFirstEventMs: 3700 }) >= 7400);
+// Guards against repeated prefill of long prompts: a prefill of 3.7 s was given up after 3.6 s and
+// sent again, because the timeout ignored the predicted prefill time.
+test('a prompt with a long predicted prefill is not given up during the prefill', (t) => {
+  t.true(computeEventTimeoutMs({ ...PREFILLING, expectedFirstEventMs: 3700 }) >= 7400);
   t.is(
-    computeEventTimeoutMs({ ...READING, expectedFirstEventMs: 500 }),
-    computeEventTimeoutMs(READING),
+    computeEventTimeoutMs({ ...PREFILLING, expectedFirstEventMs: 500 }),
+    computeEventTimeoutMs(PREFILLING),
   );
 });
--- a/src/domain/forwarding/computeFingerprint/index.ts
+++ b/src/domain/forwarding/computeFingerprint/index.ts
@@ -1,14 +1,14 @@
 import { createHash } from 'node:crypto';
 import type { ForwardedRequest } from '../types';
 
-/** Length of a fingerprint in hex digits: 64 bits tell the requests of a day apart. */
+/** Length of a fingerprint in hex digits: 64 bits make collisions within a day unlikely. */
 const FINGERPRINT_DIGITS = 16;
 
 /**
- * Computes what a request has in common with its repetitions by the same caller.
+ * Computes the fingerprint of a request, which is equal for all its retries by the same caller.
  *
- * @param request - only its target and body count: ids, deadlines and headers differ each time
- * @param workspace - the caller; null where the route needs no key
+ * @param request - only target and body are hashed: ids, deadlines and headers change with a retry
+ * @param workspace - workspace of the caller; null if the route needs no key
  * @returns lower-case hex digits
  *
  * @example
--- a/src/domain/forwarding/computeLongPollMs/index.ts
+++ b/src/domain/forwarding/computeLongPollMs/index.ts
@@ -1,29 +1,29 @@
 import type { GatewayBounds } from '../types';
 
-/** An answer to a waiting call may be late by this much: the store client's own margin. */
-const OVERDUE_MS = 600;
+/** Margin of the store client: an answer to a long poll may be late by this much. */
+const ANSWER_MARGIN_MS = 600;
 
 /**
- * From a call that is given up to what it missed being in force: the pause before the next call
- * (0.1 s), and a configuration of 2,000 routes over 7 Mbit/s (0.6 s).
+ * Time from giving up a call to applying the changes that the call missed: the pause before the
+ * next call (0.1 s) and the transfer of a configuration of 2,000 routes over 7 Mbit/s (0.6 s).
  */
-const RECOVER_MS = 700;
+const CATCH_UP_MS = 700;
 
-/** Shorter waits would be polling; a store that answers at once is asked this often at most. */
-const MIN_WAIT_MS = 1000;
+/** Shortest wait, below which long polling would turn into frequent short polling. */
+const MIN_POLL_MS = 1000;
 
 /**
- * Computes how long one call to the store may wait for changes.
+ * Computes how long one call to the store may wait for changes (long polling).
  *
- * A call that waits says nothing, so that one which was lost shows only when its answer is overdue.
- * The VM counts as undisturbed `settleMs` after its path is back, and must have by then whatever it
- * missed: a call that was sent just before the path was back must have been given up, and the next
- * one answered. Longer waits leave changes overdue after an outage.
+ * A lost call is detected only when its answer is overdue. A VM has to be up to date `settleMs`
+ * after its connection to the store is restored. By then it must have given up a call that was sent
+ * just before the connection came back, and the next call must have been answered. With longer
+ * polls changes are applied too late after an outage.
  *
  * @returns milliseconds
  *
  * @example
- * computeFollowWait({ settleMs: 3000 }); // 1700
+ * computeLongPollMs({ settleMs: 3000 }); // 1700
  */
 export const computeLongPollMs = ({ settleMs }: Pick<GatewayBounds, 'settleMs'>): number =>
-  Math.max(MIN_WAIT_MS, settleMs - OVERDUE_MS - RECOVER_MS);
+  Math.max(MIN_POLL_MS, settleMs - ANSWER_MARGIN_MS - CATCH_UP_MS);
--- a/src/domain/forwarding/computeRetryAfterMs/index.ts
+++ b/src/domain/forwarding/computeRetryAfterMs/index.ts
@@ -1,34 +1,35 @@
-/** What is known when a request is refused that may come back. */
+/** Circumstances of a refused request. */
 export interface RetryAfterOptions {
-  /** Predicted wait for a place; 0 if none is predicted. */
+  /** Predicted queueing time; 0 if unknown. */
   readonly waitMs: number;
-  /** How long what prevents it has lasted; 0 if it has just begun. */
+  /** How long the current outage or overload has lasted; 0 if it has just begun. */
   readonly outageMs: number;
-  /** How long the caller still waits. */
+  /** Time left until the caller's deadline. */
   readonly leftMs: number;
-  /** From 0 inclusive to 1 exclusive: callers must not return together. */
+  /** Random number, from 0 inclusive to 1 exclusive, which spreads the retries of callers. */
   readonly draw: number;
 }
 
-/** Callers come back no later than at this part of the time that they have left. */
-const HONOURED_PART = 1 / 3;
+/** Callers ignore a delay beyond this fraction of the time until their deadline. */
+const MAX_LEFT_FRACTION = 1 / 3;
 
-/** Spread of the returns, as a part of the time. */
-const SPREAD = 0.2;
+/** Width of the jitter, as a fraction of the delay. */
+const JITTER = 0.2;
 
-/** An outage that has just begun lasts this long at least, in most cases. */
-const MIN_RETURN_MS = 200;
+/** Shortest delay: most outages last at least this long. */
+const MIN_RETRY_AFTER_MS = 200;
 
 /**
- * Computes when a refused caller is told to come back.
+ * Computes the delay after which a refused caller is told to retry.
  *
- * Callers come back once: too soon is refused again, which is worse than late. A queue's wait is
- * known; an outage that has lasted for some time may be expected to last about as long again.
+ * Callers retry once, and a retry that comes too early is refused for good, which is worse than one
+ * that comes late. The wait in a queue is predicted; an outage is expected to last about as long as
+ * it has lasted so far.
  *
  * @returns milliseconds
  *
  * @example
- * computeReturnMs({ waitMs: 0, outageMs: 2000, leftMs: 24000, draw: 0.5 }); // 2000
+ * computeRetryAfterMs({ waitMs: 0, outageMs: 2000, leftMs: 24000, draw: 0.5 }); // 2000
  */
 export const computeRetryAfterMs = ({
   draw,
@@ -36,7 +37,7 @@
   outageMs,
   waitMs,
 }: RetryAfterOptions): number => {
-  const wantedMs = Math.max(MIN_RETURN_MS, waitMs, outageMs);
-  const spreadMs = wantedMs * (1 - SPREAD / 2 + SPREAD * draw);
-  return Math.round(Math.max(1, Math.min(spreadMs, leftMs * HONOURED_PART)));
+  const delayMs = Math.max(MIN_RETRY_AFTER_MS, waitMs, outageMs);
+  const jitteredMs = delayMs * (1 - JITTER / 2 + JITTER * draw);
+  return Math.round(Math.max(1, Math.min(jitteredMs, leftMs * MAX_LEFT_FRACTION)));
 };
--- a/src/domain/forwarding/countCrashedServers/index.ts
+++ b/src/domain/forwarding/countCrashedServers/index.ts
@@ -1,42 +1,48 @@
 import type { RunOutcome } from '../types';
 
-/** Servers that end within this time of each other, under different requests, ended for one reason. */
-const SAME_FAULT_MS = 250;
+/** Crashes under different requests within this time are taken to have one common cause. */
+const SAME_CAUSE_MS = 250;
 
-/** Splits crashes, the oldest first, into groups that begin at most `SAME_FAULT_MS` before they end. */
-const splitByFault = (crashes: readonly RunOutcome[]): RunOutcome[][] => {
+/** Splits crashes, oldest first, into groups that span at most `SAME_CAUSE_MS`. */
+const groupByCause = (crashes: readonly RunOutcome[]): RunOutcome[][] => {
   const groups: RunOutcome[][] = [];
   crashes.forEach((crash) => {
     const group = groups.at(-1);
     const firstMs = group?.[0]?.atMs ?? -Infinity;
-    if (group && crash.atMs - firstMs <= SAME_FAULT_MS) group.push(crash);
+    if (group && crash.atMs - firstMs <= SAME_CAUSE_MS) group.push(crash);
     else groups.push([crash]);
   });
   return groups;
 };
 
-/** One request runs at one server after the other: each of its crashes counts. */
-const countOfOneFault = (crashes: readonly RunOutcome[]): number => {
+/**
+ * Counts the crashes of a group. One request runs on one server at a time, so that each of its
+ * crashes counts; crashes under different requests count as one.
+ */
+const countGroup = (crashes: readonly RunOutcome[]): number => {
   const byRequest = new Map<string, number>();
   crashes.forEach(({ requestId }) => byRequest.set(requestId, (byRequest.get(requestId) ?? 0) + 1));
   return Math.max(0, ...byRequest.values());
 };
 
 /**
- * Counts the servers that a request ended, as far as the crashes under it say.
+ * Counts the servers that a request appears to have crashed.
  *
- * Each server counts once. Repetitions that ran side by side when a rack was lost count as one crash.
+ * Each server counts once. Retries that ran concurrently when a rack was lost count as one crash.
  *
- * @param outcomes - outcomes of one fingerprint, in any order; those that answered are left out
+ * @param outcomes - outcomes of one fingerprint, in any order; those without a crash are ignored
  * @returns the number of servers
  */
 export const countCrashedServers = (outcomes: readonly RunOutcome[]): number => {
   const ordered = outcomes
     .filter(({ hasCrashed }) => hasCrashed)
     .sort((left, right) => left.atMs - right.atMs);
-  const first = new Map<string, RunOutcome>();
+  const firstByServer = new Map<string, RunOutcome>();
   ordered.forEach((crash) => {
-    if (!first.has(crash.server)) first.set(crash.server, crash);
+    if (!firstByServer.has(crash.server)) firstByServer.set(crash.server, crash);
   });
-  return splitByFault([...first.values()]).reduce((sum, group) => sum + countOfOneFault(group), 0);
+  return groupByCause([...firstByServer.values()]).reduce(
+    (sum, group) => sum + countGroup(group),
+    0,
+  );
 };
--- a/src/domain/forwarding/countCrashedServers/test.ts
+++ b/src/domain/forwarding/countCrashedServers/test.ts
@@ -9,24 +9,24 @@
   atMs,
 });
 
-test('each server that ended counts once, however many tell of it', (t) => {
+test('each crashed server counts once, however many outcomes report it', (t) => {
   const crashes = [buildCrash('i-1', 0), buildCrash('i-2', 900, 'r-2'), buildCrash('i-1', 910)];
   t.is(countCrashedServers(crashes), 2);
   t.is(countCrashedServers([]), 0);
 });
 
-test('a server that answered is no crash', (t) => {
+test('a server that answered does not count', (t) => {
   t.is(countCrashedServers([{ ...buildCrash('i-1', 0), hasCrashed: false }]), 0);
 });
 
-test('crashes of one request count each, however fast they follow each other', (t) => {
+test('crashes under one request all count, however quickly they follow each other', (t) => {
   t.is(
     countCrashedServers([buildCrash('i-1', 0), buildCrash('i-2', 40), buildCrash('i-3', 80)]),
     3,
   );
 });
 
-test('a rack that is lost under repetitions side by side counts as one crash', (t) => {
+test('the loss of a rack during concurrent retries counts as one crash', (t) => {
   const crashes = ['1', '2', '3', '4'].map((n) => buildCrash(`i-${n}`, 10 * Number(n), `r-${n}`));
   t.is(countCrashedServers(crashes), 1);
   t.is(countCrashedServers([...crashes, buildCrash('i-9', 700, 'r-9')]), 2);
--- a/src/domain/forwarding/countPromptTokens/index.ts
+++ b/src/domain/forwarding/countPromptTokens/index.ts
@@ -1,5 +1,5 @@
 import type { RequestHead } from '../types';
 
-/** Counts the tokens of a request's prompt; none for requests that are no generation. */
+/** Counts the tokens of a request's prompt; 0 if it is no generation. */
 export const countPromptTokens = ({ tokens }: Pick<RequestHead, 'tokens'>): number =>
   tokens?.prompt ?? 0;
--- a/src/domain/forwarding/decideStreamAdmission/index.ts
+++ b/src/domain/forwarding/decideStreamAdmission/index.ts
@@ -1,40 +1,40 @@
 import { computeRetryAfterMs } from '../computeRetryAfterMs';
 
-/** What is known of a new stream when it might be sent. */
+/** State on which the admission of a new stream depends. */
 export interface StreamAdmissionOptions {
-  /** Predicted time to its first event at the best server. */
+  /** Predicted time to the first event on the best server. */
   readonly predictedMs: number;
-  /** True: that server has no prompt to read before this one, and room for it. */
+  /** True if that server has no other prompt to prefill first, and enough KV memory. */
   readonly isFree: boolean;
   readonly latencyGoalMs: number;
-  /** How long the caller still waits. */
+  /** Time left until the caller's deadline. */
   readonly leftMs: number;
-  /** True: the caller was refused before, and will not come back again. */
+  /** True if the caller was refused before, and will not retry again. */
   readonly isReturning: boolean;
-  /** Since when streams of the service could not be begun in time, or 0. */
+  /** How long the service has been unable to start streams in time; 0 if it is able to. */
   readonly overloadMs: number;
-  /** From 0 inclusive to 1 exclusive. */
+  /** Random number, from 0 inclusive to 1 exclusive. */
   readonly draw: number;
 }
 
-/** Send it now, or refuse it now and say when to come back. */
+/** The stream is sent now, or refused with a time after which to retry (0: no retry). */
 export type StreamAdmission =
   | { readonly kind: 'send' }
   | { readonly kind: 'refuse'; readonly reason: string; readonly returnMs: number };
 
 /**
- * Part of the latency goal within which a first event must be predicted. Predictions are short under
- * load, as runs slow the reading down and other VMs send at the same moment.
+ * Highest prediction that is admitted, as a fraction of the latency goal. Predictions are too low
+ * under load: runs slow prefill down, and other VMs send at the same moment.
  */
-const START_PART = 0.75;
+const ADMITTED_GOAL_FRACTION = 0.75;
 
 /**
- * Decides whether a new stream is sent, or refused at once.
+ * Decides whether a new stream is sent or refused (admission control).
  *
- * Under a burst that servers can't read in time, each stream that is sent nonetheless delays all
- * that follow, until none is in time. Those that can begin within the goal are sent; the others come
- * back, once, when the burst may be over. Where a server is free, waiting can gain nothing: a prompt
- * that takes long to read takes as long later.
+ * In a burst that exceeds the prefill capacity, each stream that is sent too late delays all that
+ * follow, until none meets the goal. Streams that can start within the goal are sent; callers of
+ * the others retry once, when the burst may be over. A free server gets the stream as long as the
+ * caller still waits for it: a long prefill takes no less time later.
  */
 export const decideStreamAdmission = ({
   draw,
@@ -45,7 +45,7 @@
   overloadMs,
   predictedMs,
 }: StreamAdmissionOptions): StreamAdmission => {
-  const limitMs = isFree ? leftMs : Math.min(leftMs, latencyGoalMs * START_PART);
+  const limitMs = isFree ? leftMs : Math.min(leftMs, latencyGoalMs * ADMITTED_GOAL_FRACTION);
   if (predictedMs <= limitMs) return { kind: 'send' };
   return {
     kind: 'refuse',
@@ -53,7 +53,7 @@
     returnMs: isReturning
       ? 0
       : computeRetryAfterMs({
-          // Not before the goal has passed: a return that soon is taken for a new caller.
+          // A retry before the goal has passed would be taken for a new caller (`isReturning`).
           waitMs: Math.max(predictedMs, latencyGoalMs),
           outageMs: overloadMs,
           leftMs,
--- a/src/domain/forwarding/decodeQuarantine/index.ts
+++ b/src/domain/forwarding/decodeQuarantine/index.ts
@@ -16,17 +16,17 @@
 };
 
 /**
- * Decodes a row that `encodeQuarantine` wrote.
+ * Decodes a row that was encoded by `encodeQuarantine`.
  *
- * @param fingerprint - the row's key
- * @returns the quarantine, its time as Unix milliseconds, or why the row can't be read
+ * @param fingerprint - key of the row
+ * @returns the quarantine with its time in Unix milliseconds, or why the row is malformed
  */
 export const decodeQuarantine = (
   fingerprint: string,
   value: Buffer,
 ): Result<Quarantine, string> => {
-  const read = RowSchema.safeParse(parseJson(value));
-  if (!read.success) return err(read.error.issues[0]?.message ?? 'malformed');
-  const { last_crash_unix_ms: lastCrashAtMs, servers } = read.data;
+  const parsed = RowSchema.safeParse(parseJson(value));
+  if (!parsed.success) return err(parsed.error.issues[0]?.message ?? 'malformed');
+  const { last_crash_unix_ms: lastCrashAtMs, servers } = parsed.data;
   return ok({ fingerprint, servers, lastCrashAtMs });
 };
--- a/src/domain/forwarding/decodeQuarantine/test.ts
+++ b/src/domain/forwarding/decodeQuarantine/test.ts
@@ -2,12 +2,12 @@
 import { encodeQuarantine } from '../encodeQuarantine';
 import { decodeQuarantine } from '.';
 
-test('a quarantine is read as it was written', (t) => {
+test('an encoded quarantine decodes to the same value', (t) => {
   const quarantine = { fingerprint: 'f', servers: ['i-1', 'i-2@7'], lastCrashAtMs: 1_700_000 };
   t.deepEqual(decodeQuarantine('f', encodeQuarantine(quarantine))._unsafeUnwrap(), quarantine);
 });
 
-test('a row of another shape is told, not guessed', (t) => {
+test('a malformed row is an error', (t) => {
   ['', '{', '[]', '{"servers":[],"last_crash_unix_ms":1}', '{"servers":["i"]}'].forEach((text) => {
     t.true(decodeQuarantine('f', Buffer.from(text)).isErr());
   });
--- a/src/domain/forwarding/findRoute/index.ts
+++ b/src/domain/forwarding/findRoute/index.ts
@@ -1,7 +1,7 @@
 import type { Route, RouteTable } from '../types';
 
 /**
- * Finds the route of a request: the one of its host with the longest prefix that begins its path.
+ * Finds the route of a request by host and longest matching path prefix.
  *
  * @param table - configuration in force
  * @param host - in lower case, without a port
@@ -10,7 +10,7 @@
  */
 export const findRoute = (table: RouteTable, host: string, target: string): Route | null => {
   const [path = ''] = target.split('?');
-  // Sorted by length, so that the first match is the longest.
+  // The routes are sorted by prefix length, so that the first match is the longest.
   const routes = table.routesByHost.get(host) ?? [];
   return routes.find(({ prefix }) => path.startsWith(prefix)) ?? null;
 };
--- a/src/domain/forwarding/formatIncarnation/index.ts
+++ b/src/domain/forwarding/formatIncarnation/index.ts
@@ -1,5 +1,9 @@
 import type { ServerEntry } from '../types';
 
-/** Names one start of a server: most have a new id at each, others the old one and a later birth. */
+/**
+ * Formats the name of one incarnation of a server.
+ *
+ * Most servers get a new id at each start; others keep their id and have a later start time.
+ */
 export const formatIncarnation = ({ bornMs, id }: Pick<ServerEntry, 'bornMs' | 'id'>): string =>
   bornMs === null ? id : `${id}@${bornMs}`;
--- a/src/domain/forwarding/hasFailedEarly/index.ts
+++ b/src/domain/forwarding/hasFailedEarly/index.ts
@@ -1,11 +1,12 @@
-/** A request that ends its server does so as it begins, also at a server that is slowed down. */
+/** A request that crashes its server does so at the start of its run, even on a slow server. */
 const EARLY_MS = 1000;
 
 /**
- * Says whether a run broke off so early that the request itself may have ended the server. One that
- * had not begun did not.
+ * Tells whether a run broke off so early that the request itself may have crashed the server.
  *
- * @param run.headAtMs - when the server's head came; null if none did
+ * A run without a response head had not started, and did not crash the server.
+ *
+ * @param run.headAtMs - when the response head arrived; null if it did not
  * @param run.nowMs - when the run broke off
  */
 export const hasFailedEarly = ({
--- a/src/domain/forwarding/hasMemoryForCopy/index.ts
+++ b/src/domain/forwarding/hasMemoryForCopy/index.ts
@@ -1,14 +1,17 @@
 import type { ServerReport } from '../types';
 
 /**
- * Part of a server's KV memory that may be in use, with the copy, for it to take one. Above it the
- * copy takes the place of a run: with half of the engines lost in a burst, 98 runs were put back for
- * lack of memory and read again.
+ * Highest use of a server's KV memory including the copy. Above it, copies take memory from runs:
+ * when half of the engines were lost in a burst, 98 runs were preempted and prefilled again.
  */
-const COPY_MEMORY_PART = 0.7;
+const MAX_MEMORY_FRACTION = 0.7;
 
-/** Tells whether a server has room for a copy beside the runs that it may expect. */
-export const hasMemoryForCopy = (report: ServerReport, neededTokens: number): boolean =>
+/**
+ * Tells whether a server has enough KV memory for a copy besides its running and waiting runs.
+ *
+ * @returns true if the server reports no memory
+ */
+export const hasMemoryForCopy = (report: ServerReport, neededKvTokens: number): boolean =>
   report.kvTotalTokens === 0 ||
-  report.kvUsedTokens + (report.waiting + 1) * neededTokens <=
-    report.kvTotalTokens * COPY_MEMORY_PART;
+  report.kvUsedTokens + (report.waiting + 1) * neededKvTokens <=
+    report.kvTotalTokens * MAX_MEMORY_FRACTION;
--- a/src/domain/forwarding/hasMissedRows/index.ts
+++ b/src/domain/forwarding/hasMissedRows/index.ts
@@ -1,20 +1,22 @@
-/** What two tables know of the store's versions. */
+/** Versions of the store's changes that are known from two tables. */
 export interface KnownVersions {
-  /** Version up to which no change of this table is missing. */
+  /** Version up to which this table is complete. */
   readonly held: number;
-  /** The store's newest version, as an answer for another table named it. */
+  /** Newest version of the store, from an answer for another table. */
   readonly newest: number;
-  /** Versions of the rows in that answer. */
+  /** Versions of the other table's rows in that answer. */
   readonly otherRowVersions: readonly number[];
 }
 
 /**
- * Tells whether changes of this table may be missing: the store numbers the changes of all its
- * tables from one counter, and not all up to the newest one are changes of the other table.
+ * Tells whether changes of this table may be missing.
+ *
+ * The store numbers the changes of all tables with one counter. A newer version that is not a
+ * change of the other table may be one of this table.
  *
  * @example
- * hasMissedRows({ held: 7, newest: 9, otherRows: [8, 9] }); // false
- * hasMissedRows({ held: 7, newest: 9, otherRows: [9] }); // true
+ * hasMissedRows({ held: 7, newest: 9, otherRowVersions: [8, 9] }); // false
+ * hasMissedRows({ held: 7, newest: 9, otherRowVersions: [9] }); // true
  */
 export const hasMissedRows = ({ held, newest, otherRowVersions }: KnownVersions): boolean =>
   new Set(otherRowVersions.filter((version) => version > held)).size < newest - held;
--- a/src/domain/forwarding/hasTimeForPrefill/index.ts
+++ b/src/domain/forwarding/hasTimeForPrefill/index.ts
@@ -1,29 +1,30 @@
 /**
- * Part of the latency goal that a prompt takes at least while no pace is known: goals leave room
+ * Assumed prefill time while it is unknown, as a fraction of the latency goal: goals include time
  * for a queue and for a second attempt.
  */
-const LEAST_PART = 0.25;
+const ASSUMED_GOAL_FRACTION = 0.25;
 
-/** What is known of a prompt that must be read. */
+/** Times that decide whether a prefill can finish before the caller's deadline. */
 export interface PrefillTimeOptions {
-  /** What is left of the caller's time. */
+  /** Time left until the caller's deadline. */
   readonly leftMs: number;
   readonly latencyGoalMs: number;
-  /** How long it takes at a server that reads nothing else; infinite if that is not known. */
+  /** Prefill time on an otherwise idle server; infinite if unknown. */
   readonly prefillMs: number;
 }
 
 /**
- * Tells whether a first event can come before the caller stops waiting.
+ * Tells whether a first event can arrive before the caller's deadline.
  *
- * A prompt that is sent with less time left is read in vain, and its caller is told late what could
- * be said at once.
+ * With less time left, the prefill would be wasted, and the caller would learn of the failure late
+ * instead of at once.
  *
  * @example
- * hasTimeToRead({ leftMs: 600, latencyGoalMs: 4500, prefillMs: 1000 }); // false
+ * hasTimeForPrefill({ leftMs: 600, latencyGoalMs: 4500, prefillMs: 1000 }); // false
  */
 export const hasTimeForPrefill = ({
   latencyGoalMs,
   leftMs,
   prefillMs,
-}: PrefillTimeOptions): boolean => leftMs >= Math.min(prefillMs, latencyGoalMs * LEAST_PART);
+}: PrefillTimeOptions): boolean =>
+  leftMs >= Math.min(prefillMs, latencyGoalMs * ASSUMED_GOAL_FRACTION);
--- a/src/domain/forwarding/isAddressReserved/index.ts
+++ b/src/domain/forwarding/isAddressReserved/index.ts
@@ -1,20 +1,21 @@
-/** When a server was surely there last, and how long its address stays with its service. */
+/** Times that decide whether a server's address is still reserved for its service. */
 export interface AddressTimes {
-  /** Monotonic time of the last answer that bore its id. */
+  /** Monotonic time of the last answer that carried the server's id. */
   readonly lastAnswerAtMs: number;
   readonly nowMs: number;
-  /** Addresses go to servers of other services no sooner than this after a server's end. */
+  /** Shortest time from the end of a server until another service may get its address. */
   readonly reuseAfterMs: number;
 }
 
 /**
- * Tells whether whoever answers at a server's address now is surely of the same service.
+ * Tells whether any server that answers at the address now must belong to the same service.
  *
- * The server ended no sooner than it answered last, and its address goes to another service only
- * `reuseAfterMs` after its end: until then, another id at the address is the server started again.
+ * The server was alive at its last answer, and its address goes to another service at the earliest
+ * `reuseAfterMs` after its end. Until then, a new id at the address means that the server
+ * restarted.
  *
  * @example
- * isAddressKept({ aliveAtMs: 1000, nowMs: 2500, reuseAfterMs: 2000 }); // true
+ * isAddressReserved({ lastAnswerAtMs: 1000, nowMs: 2500, reuseAfterMs: 2000 }); // true
  */
 export const isAddressReserved = ({ lastAnswerAtMs, nowMs, reuseAfterMs }: AddressTimes): boolean =>
   nowMs - lastAnswerAtMs < reuseAfterMs;
--- a/src/domain/forwarding/isReturning/index.ts
+++ b/src/domain/forwarding/isReturning/index.ts
@@ -1,19 +1,21 @@
-/** What a request says of its time, beside others of its route. */
+/** Deadline of a request, compared with others of its route. */
 export interface ReturningOptions {
-  /** How long the caller waits; null if it does not say. */
+  /** How long the caller waits; null if unknown. */
   readonly deadlineMs: number | null;
-  /** Longest time that callers of the route waited so far. */
+  /** Longest deadline seen on the route so far. */
   readonly longestDeadlineMs: number;
-  /** Refused callers of the route are told to come back no sooner than this. */
+  /** Shortest delay after which refused callers of the route are told to retry. */
   readonly minRetryAfterMs: number;
 }
 
 /**
- * Tells whether a caller was refused before: its time is shorter than that of others by at least as
- * long as it was told to stay away. Nothing else in a request tells.
+ * Tells whether a request is the retry of a refused one.
+ *
+ * The deadline of a retry is shorter than that of other requests by at least the delay that the
+ * caller was told to wait. Nothing else in a request marks a retry.
  *
  * @example
- * isReturning({ deadlineMs: 18000, longestMs: 25000, shortestReturnMs: 4500 }); // true
+ * isReturning({ deadlineMs: 18000, longestDeadlineMs: 25000, minRetryAfterMs: 4500 }); // true
  */
 export const isReturning = ({
   deadlineMs,
--- a/src/domain/forwarding/isReturning/test.ts
+++ b/src/domain/forwarding/isReturning/test.ts
@@ -1,11 +1,11 @@
 import test from 'ava';
 import { isReturning } from '.';
 
-test('a caller whose time is shorter by what it was told to stay away was refused before', (t) => {
+test('a request whose deadline is shorter by the retry delay is a retry', (t) => {
   t.true(isReturning({ deadlineMs: 20_500, longestDeadlineMs: 25_000, minRetryAfterMs: 4500 }));
 });
 
-test('times of new callers differ by less, and one that says none is new', (t) => {
+test('a request with a smaller difference or without a deadline is new', (t) => {
   t.false(isReturning({ deadlineMs: 21_250, longestDeadlineMs: 25_000, minRetryAfterMs: 4500 }));
   t.false(isReturning({ deadlineMs: null, longestDeadlineMs: 25_000, minRetryAfterMs: 4500 }));
 });
--- a/src/domain/forwarding/isRunLost/index.ts
+++ b/src/domain/forwarding/isRunLost/index.ts
@@ -3,41 +3,41 @@
 import type { ServerReport } from '../types';
 
 /**
- * Events that a server must have made, while none of them arrived, for its connection to count as
- * dead: a report is late, but so would be these events by no more than the way of one packet.
+ * Events that a server must have sent, without any of them arriving, for its connection to count as
+ * dead. Reports and events take equally long, so that one or two missing events may be in transit.
  */
 const MIN_UNSEEN_EVENTS = 3;
 
 /**
- * Time that prompts are given beyond the estimate: they are read in chunks between the tokens of
- * other requests, which vary.
+ * Factor on the estimated prefill time. Engines prefill in chunks between the tokens of other
+ * requests, so that the time varies.
  */
-const READING_FACTOR = 1.5;
+const PREFILL_FACTOR = 1.5;
 
-/** Age that a report may have, and time in which a run that has just begun is not listed yet. */
+/** Highest age of a report, and the time until a run that has just started is listed. */
 const REPORT_AGE_MS = 250;
 
-/** What is known of the run here. */
+/** State of the run on this VM. */
 export interface RunLostOptions {
-  /** True: events of this attempt have arrived, so that their number tells nothing. */
+  /** True if events of this attempt have arrived; the count of events is no evidence then. */
   readonly hasArrived: boolean;
-  /** How long ago the server said first, since it got the run, that none waits there. */
+  /** Time since the server, after it got the run, first reported an empty queue. */
   readonly queueEmptyMs: number;
   readonly prefill: PrefillEstimate;
 }
 
 /**
- * Tells whether a run is surely lost to its reader, although its server answers: the server has no
- * run of it any more, and reads no prompt that could be it, or has read some for too long; or it has
- * made events of which none arrived.
+ * Tells whether a run is certainly lost although its server still answers.
  *
- * A server may lose an answer without closing the connection; nothing else tells.
+ * A run is lost if the server does not list it and it can be neither queued nor in prefill (any
+ * prefill would have finished by now), or if the server has sent events of which none arrived. A
+ * server may lose an answer without closing the connection, which shows in no other way.
  *
  * @example
- * // It has two runs, reads no prompt, and has none waiting.
+ * // The server has two runs, none in prefill and none waiting.
  * isRunLost({ waiting: 0, running: 2, eventsByRun: new Map([['a', 9], ['b', 4]]), ... }, 'c', {
  *   hasArrived: true,
- *   unqueuedMs: 0,
+ *   queueEmptyMs: 0,
  *   prefill: { ownMs: 1000, usualMs: 1100 },
  * }); // true
  */
@@ -50,10 +50,10 @@
   if (eventsByRun === null) return false;
   const events = eventsByRun.get(requestId);
   if (events !== undefined) return !hasArrived && events >= MIN_UNSEEN_EVENTS;
-  const reading = countPrefillingRuns(report);
+  const prefilling = countPrefillingRuns(report);
   if (waiting > 0) return false;
-  if (reading === 0) return true;
-  // If it is among those that are read, they are through by then: prompts are read one by one.
-  const dueMs = prefill.ownMs + (reading - 1) * prefill.usualMs;
-  return queueEmptyMs > dueMs * READING_FACTOR + REPORT_AGE_MS;
+  if (prefilling === 0) return true;
+  // Prefill is sequential: if the run is among those in prefill, all of them finish by then.
+  const dueMs = prefill.ownMs + (prefilling - 1) * prefill.usualMs;
+  return queueEmptyMs > dueMs * PREFILL_FACTOR + REPORT_AGE_MS;
 };
--- a/src/domain/forwarding/isRunLost/test.ts
+++ b/src/domain/forwarding/isRunLost/test.ts
@@ -17,32 +17,31 @@
 const ARRIVED = { hasArrived: true, queueEmptyMs: 0, prefill: PREFILL };
 const NOT_ARRIVED = { ...ARRIVED, hasArrived: false };
 
-test('a run that is not listed is lost, unless it may wait or be read', (t) => {
+test('a run that is not listed is lost, unless it may be queued or in prefill', (t) => {
   t.true(isRunLost(build({}), 'c', ARRIVED));
   t.false(isRunLost(build({ waiting: 1 }), 'c', ARRIVED));
   t.false(isRunLost(build({ running: 3 }), 'c', ARRIVED));
 });
 
-test('a run that is listed is not lost while its events arrive', (t) => {
+test('a listed run is not lost while its events arrive', (t) => {
   t.false(isRunLost(build({}), 'a', ARRIVED));
 });
 
-// Symptom: a stream has its first event after 4.7 s, of which 3.6 s were waiting for a server.
-// Sequence: the server loses the answer, runs the request all the same, and answers all questions.
-// Cause: a run that is listed counts as sound, whatever arrives of it.
-test('a run that has made events of which none arrived is lost', (t) => {
+// Guards against a first event after 4.7 s, 3.6 s of which were a wait for one server: the server
+// lost the answer but went on with the run and answered status queries, and every listed run
+// counted as healthy.
+test('a run is lost if it has sent events of which none arrived', (t) => {
   t.true(isRunLost(build({}), 'a', NOT_ARRIVED));
   t.false(isRunLost(build({ eventsByRun: new Map([['a', 1]]) }), 'a', NOT_ARRIVED));
 });
 
-test('a server that lists no runs tells nothing', (t) => {
+test('no run is lost on a server that lists no runs', (t) => {
   t.false(isRunLost(build({ eventsByRun: null }), 'c', NOT_ARRIVED));
 });
 
-// Symptom: a stream has its first event after 4.7 s, of which 3.6 s were waiting for one server.
-// Sequence: the server loses the request while it goes on to read other prompts.
-// Cause: a prompt that is being read may be this one, for however long.
-test('a run that is not listed is lost once the prompts being read must be through', (t) => {
+// Guards against a first event after 4.7 s, 3.6 s of which were a wait for one server: the server
+// lost the request while it prefilled other prompts, any of which might have been this one.
+test('a run that is not listed is lost once all prompts in prefill must have finished', (t) => {
   const one = build({ running: 3 });
   t.false(isRunLost(one, 'c', { ...NOT_ARRIVED, queueEmptyMs: 1700 }));
   t.true(isRunLost(one, 'c', { ...NOT_ARRIVED, queueEmptyMs: 1800 }));
@@ -54,7 +53,7 @@
   );
 });
 
-test('while no prompt has been seen, none is overdue', (t) => {
+test('no run is overdue while the prefill time is unknown', (t) => {
   const prefill = { ownMs: Infinity, usualMs: Infinity };
   const options = { ...NOT_ARRIVED, queueEmptyMs: 60_000, prefill };
   t.false(isRunLost(build({ running: 3 }), 'c', options));
--- a/src/domain/forwarding/rankServersByPrompt/index.ts
+++ b/src/domain/forwarding/rankServersByPrompt/index.ts
@@ -8,28 +8,30 @@
     .map(({ status }) => status);
 
 /**
- * Ranks the servers that may get a prompt: half of them from anywhere, the rest from other zones
- * than the first one's.
+ * Ranks the candidate servers of a prompt by rendezvous hashing.
  *
- * The rank follows from the prompt, so that every VM finds the same ones: a caller that comes back
- * through another VM is led to the servers that may have its prompt in memory.
+ * Half of the candidates are from any availability zone, the rest from other zones than the first
+ * one's. All VMs rank alike, so that a caller that retries through another VM reaches the servers
+ * that may have its prompt in the KV cache.
  *
- * @param servers - servers that may take work
- * @param key - names the prompt
- * @param count - servers wanted
+ * @param servers - servers that accept work
+ * @param key - id of the prompt
+ * @param count - number of candidates
  */
 export const rankServersByPrompt = (
   servers: readonly ServerStatus[],
   key: string,
   count: number,
 ): readonly ServerStatus[] => {
-  const sound = servers.filter(({ isSuspected }) => !isSuspected);
-  const ranked = sortByRank(sound.length > 0 ? sound : servers, key);
+  const healthy = servers.filter(({ isSuspected }) => !isSuspected);
+  const ranked = sortByRank(healthy.length > 0 ? healthy : servers, key);
   const anywhere = ranked.slice(0, Math.ceil(count / 2));
   const zone = anywhere[0]?.entry.availabilityZone;
-  const apart = ranked.filter(
+  const otherZones = ranked.filter(
     (status) => !anywhere.includes(status) && status.entry.availabilityZone !== zone,
   );
-  const rest = ranked.filter((status) => !anywhere.includes(status) && !apart.includes(status));
-  return [...anywhere, ...apart, ...rest].slice(0, count);
+  const rest = ranked.filter(
+    (status) => !anywhere.includes(status) && !otherZones.includes(status),
+  );
+  return [...anywhere, ...otherZones, ...rest].slice(0, count);
 };
--- a/src/domain/forwarding/splitEvents/index.ts
+++ b/src/domain/forwarding/splitEvents/index.ts
@@ -1,12 +1,12 @@
-/** A whole event of a stream. */
+/** A complete server-sent event. */
 export interface StreamEvent {
-  /** Null if it names none. */
+  /** Id of the event; null if it has none. */
   readonly id: number | null;
-  /** With its closing blank line. */
+  /** Bytes of the event, including the blank line at its end. */
   readonly bytes: Buffer;
 }
 
-/** Events that are whole by now, and the bytes of the next one. */
+/** The complete events, and the bytes of an incomplete one. */
 export interface SplitEvents {
   readonly events: readonly StreamEvent[];
   readonly rest: Buffer;
@@ -16,7 +16,7 @@
 const CARRIAGE_RETURN = 0x0d;
 const ID_PATTERN = /(?:^|\r?\n)id: ?(\d+)\r?\n/;
 
-/** Finds the end of the first event, just past its blank line; -1 while there is none. */
+/** Finds the position after the blank line of the first event; -1 if it is incomplete. */
 const findEnd = (bytes: Buffer, from: number): number => {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     if (bytes[at + 1] === LINE_FEED) return at + 2;
@@ -31,10 +31,10 @@
 };
 
 /**
- * Splits the bytes of a stream into whole events.
+ * Splits the bytes of a stream into complete events.
  *
- * A server that dies may break off within an event: what has no blank line after it is never
- * handed on.
+ * A server that crashes may break off within an event; an event without its blank line is never
+ * forwarded.
  */
 export const splitEvents = (bytes: Buffer): SplitEvents => {
   const events: StreamEvent[] = [];
--- a/src/domain/forwarding/splitEvents/test.ts
+++ b/src/domain/forwarding/splitEvents/test.ts
@@ -9,7 +9,7 @@
   'data: x\nid: 30\n\n',
 ];
 
-test('whole events are given with their ids; the rest is kept', (t) => {
+test('complete events are returned with their ids, and the rest separately', (t) => {
   const { events, rest } = splitEvents(Buffer.from(`${EVENTS.join('')}id: 31\ndata: ha`));
   t.deepEqual(
     events.map(({ id }) => id),
@@ -19,7 +19,7 @@
   t.is(rest.toString(), 'id: 31\ndata: ha');
 });
 
-test('bytes cut anywhere give the same events', (t) => {
+test('bytes split at any position give the same events', (t) => {
   const bytes = Buffer.from(EVENTS.join(''));
   fc.assert(
     fc.property(fc.nat(bytes.length), (cut) => {
--- a/src/domain/forwarding/types/ForwardedRequest.ts
+++ b/src/domain/forwarding/types/ForwardedRequest.ts
@@ -1,39 +1,40 @@
-/** Size of a generation in tokens. */
+/** Size of a generation, in tokens. */
 export interface TokenSizes {
   readonly prompt: number;
   readonly maxOutput: number;
 }
 
-/** What a caller's request says before its body, in the product's own terms. */
+/** Head of a caller's request, independent of its wire format. */
 export interface RequestHead {
-  /** The caller's id of this attempt; the same at every server. */
+  /** Id that the caller gave this attempt; the same on every server. */
   readonly requestId: string;
   readonly method: string;
-  /** Path and query as sent. */
+  /** Path and query as received. */
   readonly target: string;
   readonly host: string;
-  /** Headers that are handed on as they are: name, value, name, value. */
+  /** Headers that are forwarded unchanged, as alternating names and values. */
   readonly forwardedHeaders: readonly string[];
+  /** API key; null if the request has none. */
   readonly key: string | null;
-  /** How long the caller waits from `arrivedAtMs`; null if it does not say. */
+  /** How long the caller waits from `arrivedAtMs`; null if unknown. */
   readonly deadlineMs: number | null;
-  /** Monotonic milliseconds. */
+  /** Monotonic time of arrival, in milliseconds. */
   readonly arrivedAtMs: number;
-  /** Id of the last event that the caller holds of this stream; null for a new one. */
+  /** Id of the last event of the stream that the caller received; null for a new stream. */
   readonly lastEventId: number | null;
-  /** Null for requests that are no generation. */
+  /** Size of the generation; null for other requests. */
   readonly tokens: TokenSizes | null;
-  /** Parts of the prompt, from its start; empty for requests that are no generation. */
+  /** Parts of the prompt in order; empty for requests that are no generation. */
   readonly promptParts: readonly PromptPart[];
 }
 
-/** A part of a prompt that requests may share. */
+/** A part of a prompt that several requests may share. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** A caller's request, read whole. */
+/** A caller's complete request. */
 export interface ForwardedRequest extends RequestHead {
   readonly body: Buffer;
 }
--- a/src/domain/forwarding/types/ForwardedService.ts
+++ b/src/domain/forwarding/types/ForwardedService.ts
@@ -1,20 +1,20 @@
-/** What engines of a service can do beside running requests. */
+/** Capacity and optional features of a service's engines. */
 export interface EngineCapabilities {
-  /** Requests that one engine runs at once. */
+  /** Requests that one engine runs concurrently. */
   readonly slots: number;
-  /** Tokens that fit into one engine's KV memory. */
+  /** Size of one engine's KV memory, in tokens. */
   readonly kvCapacityTokens: number;
-  /** True: an engine copies a run's KV memory to another one as it grows. */
+  /** True if an engine continuously copies a run's KV cache to another one. */
   readonly supportsKvBackup: boolean;
-  /** True: a run's memory can be copied on demand. */
+  /** True if a run's KV cache can be copied on demand. */
   readonly supportsKvCopy: boolean;
 }
 
 /** A service as the configuration describes it. */
 export interface ForwardedService {
   readonly name: string;
-  /** Path at which its servers say who they are. */
+  /** Path at which the servers report their identity and health. */
   readonly healthPath: string;
-  /** Null: a plain service. */
+  /** Engines of the service; null for a plain service. */
   readonly engine: EngineCapabilities | null;
 }
--- a/src/domain/forwarding/types/GatewaySettings.ts
+++ b/src/domain/forwarding/types/GatewaySettings.ts
@@ -1,46 +1,50 @@
-/** Bounds that the platform sets. */
+/** Time limits and retry budgets that the platform sets. */
 export interface GatewayBounds {
-  /** From SIGTERM to SIGKILL. */
+  /** Time from SIGTERM to SIGKILL. */
   readonly shutdownMs: number;
-  /** From a server's end until its address may go to a server of another service. */
+  /** Time from the end of a server until its address may go to a server of another service. */
   readonly reuseAfterMs: number;
-  /** After trouble of its own, a VM must keep the other bounds again this much later. */
+  /**
+   * Time after a failure of its own (such as a pause) until a VM must meet the other bounds again.
+   */
   readonly settleMs: number;
-  /** From the store's answer to a change until the change is in force. */
+  /** Time from the store's acknowledgement of a change until the change must be in force. */
   readonly changeMs: number;
-  /** Sends beyond the first of each request, as a part of a service's requests in a window. */
+  /** Retries as a fraction of a service's requests in a window. */
   readonly retryRatio: number;
   readonly retryWindowMs: number;
-  /** Such sends that are free in each window, over all VMs. */
+  /** Further retries allowed in each window, over all VMs. */
   readonly retryExtra: number;
-  /** Requests that a new version may get before it is known to be sound, as a part of its service's. */
+  /**
+   * Fraction of a service's requests that may go to a new version before it is known to be sound.
+   */
   readonly trialRatio: number;
-  /** Such requests on top, over all VMs. */
+  /** Further requests that may go to the new version, over all VMs. */
   readonly trialExtra: number;
 }
 
-/** Checked settings of a gateway. */
+/** Validated settings of a gateway. */
 export interface GatewaySettings {
   readonly vm: string;
   readonly availabilityZone: string;
-  /** Processor share of this VM; 0 if the platform does not tell it. */
+  /** Processor cores of this VM; 0 if unknown. */
   readonly cores: number;
   readonly callerAddress: string;
   readonly readinessAddress: string;
-  /** Where other VMs reach this one. */
+  /** Address at which other VMs reach this one. */
   readonly peerAddress: string;
   readonly metricsAddress: string;
-  /** Peer addresses of some VMs; they may be stale. */
+  /** Peer addresses of some other VMs; they may be outdated. */
   readonly seedAddresses: readonly string[];
   readonly storeUrl: string;
-  /** True: the whole system starts for the first time, so that no VM has written anything yet. */
+  /** True if the whole system starts for the first time and the store is still empty. */
   readonly isFirstStart: boolean;
   readonly bounds: GatewayBounds;
 }
 
-/** Why a settings file can't be used. */
+/** Reason why a settings file can't be used. */
 export interface SettingsProblem {
-  /** Dotted key; empty if the file as a whole is wrong. */
+  /** Dotted key of the invalid setting; empty if the file as a whole is invalid. */
   readonly key: string;
   readonly reason: string;
 }
--- a/src/domain/forwarding/types/Quarantine.ts
+++ b/src/domain/forwarding/types/Quarantine.ts
@@ -1,8 +1,9 @@
-/** A request that is not sent to servers any more, as it ended those that ran it. */
+/** A request that is no longer sent to servers, because it crashed those that ran it. */
 export interface Quarantine {
+  /** Fingerprint of the request (`computeFingerprint`). */
   readonly fingerprint: string;
-  /** Incarnations of the servers that ended under it. */
+  /** Incarnations of the servers that crashed. */
   readonly servers: readonly string[];
-  /** When the last of them did, in milliseconds of the caller's choice of clock. */
+  /** Time of the last crash, in milliseconds; the user of the type chooses the clock. */
   readonly lastCrashAtMs: number;
 }
--- a/src/domain/forwarding/types/Route.ts
+++ b/src/domain/forwarding/types/Route.ts
@@ -1,43 +1,43 @@
-/** What a route's requests allow when an attempt fails. */
+/** Kinds of routes, which differ in how a failed attempt may be retried. */
 export const RouteKind = {
-  /** Idempotent call: may run more than once. */
+  /** Idempotent call, which may run more than once. */
   Repeatable: 'repeatable',
-  /** Non-idempotent call: runs at most once for each request. */
+  /** Non-idempotent call, which runs at most once for each request. */
   Once: 'once',
-  /** Server-sent events. */
+  /** Stream of server-sent events. */
   Stream: 'stream',
 } as const;
 
-/** One of the kinds of routes. */
+/** Kind of a route. */
 export type RouteKind = (typeof RouteKind)[keyof typeof RouteKind];
 
-/** A service that may take a route's requests, and its share of them. */
+/** A service that gets requests of a route, and its share of them. */
 export interface RouteTarget {
   readonly service: string;
-  /** Share against the weights of the route's other targets; 0 takes nothing. */
+  /** Weight relative to the route's other targets; 0: the service gets no requests. */
   readonly weight: number;
 }
 
-/** Where requests of one host and path prefix go, and how they are treated. */
+/** Targets and rules for the requests of one host and path prefix. */
 export interface Route {
   readonly name: string;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Path prefix; begins and ends with a slash. */
   readonly prefix: string;
   readonly kind: RouteKind;
-  /** True: a stream may go on at another server after the last event that arrived. */
+  /** True if another server may continue a stream after the last event that arrived. */
   readonly resumable: boolean;
-  /** Longest time that a request is kept waiting, in milliseconds. */
+  /** Timeout of a request, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time to the answer, or to a stream's first event, that counts as good. */
+  /** Goal for the time to the answer, or to the first event of a stream. */
   readonly latencyGoalMs: number;
-  /** Longest pause between a stream's events that counts as good. */
+  /** Goal for the longest gap between the events of a stream. */
   readonly gapGoalMs: number;
-  /** 0 is the most urgent. */
+  /** Default priority of requests; 0 is the most urgent. */
   readonly priority: number;
-  /** Servers to which one request may be sent. */
+  /** Highest number of servers to which one request is sent. */
   readonly maxAttempts: number;
-  /** True: needs no key. */
+  /** True if requests need no API key. */
   readonly isPublic: boolean;
   readonly targets: readonly RouteTarget[];
 }
--- a/src/domain/forwarding/types/RunOutcome.ts
+++ b/src/domain/forwarding/types/RunOutcome.ts
@@ -1,18 +1,18 @@
-/** How a server fared that began to run a request, or may have begun. */
+/** Outcome of a run on a server that started it, or may have started it. */
 export interface RunOutcome {
-  /** What the request has in common with its repetitions (`computeFingerprint`). */
+  /** Fingerprint shared by all retries of the request (`computeFingerprint`). */
   readonly fingerprint: string;
   readonly requestId: string;
-  /** The incarnation of the server (`formatIncarnation`). */
+  /** Incarnation of the server (`formatIncarnation`). */
   readonly server: string;
-  /** True: it ended; false: it answered. */
+  /** True if the server crashed, false if it answered. */
   readonly hasCrashed: boolean;
-  /** When that showed, in monotonic milliseconds of this process. */
+  /** When the outcome was detected, in monotonic milliseconds of this process. */
   readonly atMs: number;
 }
 
-/** An outcome as VMs tell it to each other. */
+/** An outcome as VMs exchange it. */
 export interface SharedOutcome extends Omit<RunOutcome, 'atMs'> {
-  /** How long ago it showed, in milliseconds. */
+  /** Time since the outcome was detected, in milliseconds. */
   readonly ageMs: number;
 }
--- a/src/domain/forwarding/types/ServerAnswer.ts
+++ b/src/domain/forwarding/types/ServerAnswer.ts
@@ -1,28 +1,29 @@
 import type { ServerSignals } from './ServerSignals';
 
-/** Load that a server tells with an answer. */
+/** Load that a server reports with an answer. */
 export interface ServerLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** What a server's answer says before its body. */
+/** Head of a server's answer. */
 export interface AnswerHead extends ServerSignals {
   readonly status: number;
-  /** Headers that are handed on: name, value, name, value. */
+  /** Headers that are forwarded, as alternating names and values. */
   readonly forwardedHeaders: readonly string[];
-  /** False: without the server's signature, in an encoding, or of another request. */
+  /** False if the answer lacks the server's signature, is encoded, or is for another request. */
   readonly isVerified: boolean;
-  /** False: its body ends with its connection, so that a cut one can't be told from a whole one. */
+  /** False if the end of the connection ends the body: a truncated body looks complete then. */
   readonly isFramed: boolean;
-  /** True: the server says that it did not run the request, and won't. */
+  /** True if the server states that it did not run the request, and will not run it. */
   readonly isNotExecuted: boolean;
-  /** True: another server has the address now. */
+  /** True if another server has the address now. */
   readonly isFromOtherServer: boolean;
-  /** Id of the server that answered, where it says so. */
+  /** Id of the server that answered; null if unknown. */
   readonly serverId: string | null;
+  /** Load of the server; null if unknown. */
   readonly load: ServerLoad | null;
-  /** For how long the server wants nothing of this VM, in milliseconds; 0 if it does not say so. */
+  /** Time for which the server asks this VM to send nothing, in milliseconds; 0 if it does not. */
   readonly pauseMs: number;
 }
--- a/src/domain/forwarding/types/ServerEntry.ts
+++ b/src/domain/forwarding/types/ServerEntry.ts
@@ -1,22 +1,22 @@
 /**
- * One running backend server, as it registered itself. A restarted server has a new id, or the old
- * one and a later birth.
+ * Registration entry of a running backend server. A restarted server has a new id, or its old id
+ * and a later start time.
  */
 export interface ServerEntry {
   readonly id: string;
   readonly service: string;
-  /** IP:PORT. */
+  /** Address as `IP:PORT`. */
   readonly address: string;
   readonly availabilityZone: string;
   readonly slots: number;
-  /** True: it takes no new work and will be gone soon. */
+  /** True if the server accepts no new work and shuts down soon. */
   readonly isLeaving: boolean;
-  /** How much longer it is slow after its start, in milliseconds, when it wrote the entry. */
+  /** Warm-up time left when the server wrote the entry, in milliseconds. */
   readonly warmupLeftMs: number;
-  /** Version of its software; empty if it does not tell. */
+  /** Software version; empty if unknown. */
   readonly version: string;
-  /** Grows each time that it writes its entry; 0 if it does not tell. */
+  /** Increases each time the server writes its entry; 0 if unknown. */
   readonly sequence: number;
-  /** When it started, in Unix milliseconds; null if it does not tell. */
+  /** Start time in Unix milliseconds; null if unknown. */
   readonly bornMs: number | null;
 }
--- a/src/domain/forwarding/types/ServerReport.ts
+++ b/src/domain/forwarding/types/ServerReport.ts
@@ -1,15 +1,16 @@
 import type { ServerSignals } from './ServerSignals';
 
-/** What a server says of itself; late by some hundred milliseconds. */
+/** State that a server reports; some hundred milliseconds old. */
 export interface ServerReport extends ServerSignals {
-  /** Requests that have not begun to run. */
+  /** Requests that have not started. */
   readonly waiting: number;
   readonly running: number;
-  /** Tokens of KV memory that can't yield, and of all of it; 0 if not told. */
+  /** KV memory in use that can't be evicted, in tokens; 0 if unknown. */
   readonly kvUsedTokens: number;
+  /** Size of the KV memory in tokens; 0 if unknown. */
   readonly kvTotalTokens: number;
-  /** Events made so far, by the id of each request that runs; null if it does not tell. */
+  /** Events sent so far, by id of the running request; null if unknown. */
   readonly eventsByRun: ReadonlyMap<string, number> | null;
-  /** When it started, in Unix milliseconds; null if it does not tell. */
+  /** Start time in Unix milliseconds; null if unknown. */
   readonly bornMs: number | null;
 }
--- a/src/domain/forwarding/types/ServerSignals.ts
+++ b/src/domain/forwarding/types/ServerSignals.ts
@@ -1,7 +1,7 @@
-/** What a server says of itself in the head of any answer. */
+/** State that a server reports in the head of any answer. */
 export interface ServerSignals {
-  /** True: it takes no new work and will be gone soon. */
+  /** True if the server accepts no new work and shuts down soon. */
   readonly isLeaving: boolean;
-  /** Requests a second that it takes from all VMs together; null if it names no limit. */
+  /** Rate limit over all VMs, in requests per second; null if the server has none. */
   readonly limitPerS: number | null;
 }
--- a/src/domain/forwarding/types/ServerStatus.ts
+++ b/src/domain/forwarding/types/ServerStatus.ts
@@ -1,16 +1,18 @@
 import type { ServerEntry } from './ServerEntry';
 
-/** What this VM believes of a server. */
+/** State of a server as known to this VM. */
 export interface ServerStatus {
   readonly entry: ServerEntry;
-  /** Requests that this VM has there. */
+  /** Requests of this VM on the server. */
   readonly running: number;
-  /** Tokens of their prompts that the server still reads, as far as this VM knows. */
+  /** Prompt tokens of these requests whose prefill has not finished, as far as this VM knows. */
   readonly pendingPrefillTokens: number;
-  /** Runs of this VM whose KV memory is copied there. */
+  /** Runs of this VM whose KV cache is copied to the server. */
   readonly copies: number;
-  /** Requests that the server last told of, those of other VMs among them; 0 if unknown or old. */
+  /**
+   * Requests last reported by the server, including those of other VMs; 0 if unknown or outdated.
+   */
   readonly reported: number;
-  /** True: it failed lately, or fell silent. */
+  /** True if the server failed recently or stopped answering. */
   readonly isSuspected: boolean;
 }
--- a/src/domain/limits/computeTokenBucketLevel/index.ts
+++ b/src/domain/limits/computeTokenBucketLevel/index.ts
@@ -1,31 +1,32 @@
-/** What the level follows from. */
+/** Inputs of the level of a token bucket. */
 export interface TokenBucketOptions {
-  /** When requests were sent, in order; those before the window count no more. */
+  /** Times at which requests were sent, in ascending order; those before the window are ignored. */
   readonly sentAtMs: readonly number[];
-  /** Requests a second. */
+  /** Rate limit in requests per second. */
   readonly limitPerS: number;
   readonly nowMs: number;
 }
 
-/** Requests that were sent within this time count for a limit. */
+/** Only requests that were sent within this window count towards a limit. */
 export const PERMIT_WINDOW_MS = 4000;
 
-/** Part of a second whose requests may come at once. */
+/** Size of a burst, in seconds of the rate limit. */
 const BURST_S = 0.4;
 
 const MS_PER_S = 1000;
 
 /**
- * Computes how many requests a rate limit allows now: the level of a token bucket that was full at the
- * beginning of the window. It is negative while more were sent than the limit allows.
+ * Computes how many requests a rate limit allows now.
  *
- * Any window of up to 4 s then has at most its part of the limit and one burst, also where requests
- * were sent before the limit was known.
+ * The result is the level of a token bucket that was full at the beginning of the window. It is
+ * negative if more requests were sent than the limit allows. Any interval of up to 4 s then has at
+ * most the requests of the rate limit and one burst, even if requests were sent before the limit
+ * was known.
  *
- * @returns requests, at most the size of a burst
+ * @returns number of requests, at most the size of a burst
  *
  * @example
- * computePermitLevel({ sentAtMs: [900], limitPerS: 2, nowMs: 1000 }); // 0.2
+ * computeTokenBucketLevel({ sentAtMs: [900], limitPerS: 2, nowMs: 1000 }); // 0.2
  */
 export const computeTokenBucketLevel = ({
   limitPerS,
@@ -33,14 +34,14 @@
   sentAtMs,
 }: TokenBucketOptions): number => {
   const burst = Math.max(1, limitPerS * BURST_S);
-  const fill = (level: number, durationMs: number): number =>
+  const refill = (level: number, durationMs: number): number =>
     Math.min(burst, level + (Math.max(0, durationMs) * limitPerS) / MS_PER_S);
-  const sinceMs = nowMs - PERMIT_WINDOW_MS;
+  const windowStartMs = nowMs - PERMIT_WINDOW_MS;
   const last = sentAtMs
-    .filter((atMs) => atMs > sinceMs)
-    .reduce(({ atMs, level }, next) => ({ atMs: next, level: fill(level, next - atMs) - 1 }), {
-      atMs: sinceMs,
+    .filter((atMs) => atMs > windowStartMs)
+    .reduce(({ atMs, level }, next) => ({ atMs: next, level: refill(level, next - atMs) - 1 }), {
+      atMs: windowStartMs,
       level: burst,
     });
-  return fill(last.level, nowMs - last.atMs);
+  return refill(last.level, nowMs - last.atMs);
 };
--- a/src/domain/limits/rankLimitOwners/index.ts
+++ b/src/domain/limits/rankLimitOwners/index.ts
@@ -1,27 +1,29 @@
 import { chooseOwners } from '../../membership';
 
-/** A VM that may keep limits. */
+/** A VM that may own rate limits. */
 export interface OwnerCandidate {
   readonly vm: string;
   readonly availabilityZone: string;
 }
 
-/** Owners that are asked, one after the other, while some do not answer. */
+/** Owners that are asked in turn until one answers. */
 const MAX_OWNERS = 8;
 
 /**
- * Ranks the VMs that keep a server's limit: by rendezvous hashing, so that VMs that know the same
- * others agree; the second one is in another availability zone than the first, if there is one.
+ * Ranks the VMs that own the rate limit of a server.
  *
- * @returns at most eight, first owner first
+ * The rank is computed by rendezvous hashing, so that VMs with the same candidates agree. The
+ * second owner is in another availability zone than the first, if possible.
+ *
+ * @returns at most eight VMs, the first owner first
  */
 export const rankLimitOwners = <Candidate extends OwnerCandidate>(
   candidates: readonly Candidate[],
   server: string,
 ): readonly Candidate[] => {
-  const byName = new Map(candidates.map((one) => [one.vm, one]));
-  const ranked = chooseOwners([...byName.keys()], `limit ${server}`, byName.size)
-    .map((vm) => byName.get(vm))
+  const candidatesByVm = new Map(candidates.map((one) => [one.vm, one]));
+  const ranked = chooseOwners([...candidatesByVm.keys()], `limit ${server}`, candidatesByVm.size)
+    .map((vm) => candidatesByVm.get(vm))
     .filter((one) => one !== undefined);
   const [first] = ranked;
   const second =
--- a/src/domain/limits/rankLimitOwners/test.ts
+++ b/src/domain/limits/rankLimitOwners/test.ts
@@ -7,7 +7,7 @@
     availabilityZone: `z${index % 3}`,
   }));
 
-test('VMs that know the same others rank them alike, in whatever order they know them', (t) => {
+test('the rank of the owners does not depend on the order of the candidates', (t) => {
   const vms = buildVms(20);
   t.deepEqual(rankLimitOwners(vms, 'i-1'), rankLimitOwners([...vms].reverse(), 'i-1'));
 });
@@ -20,17 +20,17 @@
   });
 });
 
-test('one that leaves moves only the servers that it kept', (t) => {
+test('the loss of the first owner keeps the next ones in the rank', (t) => {
   const vms = buildVms(20);
   const [first, ...others] = rankLimitOwners(vms, 'i-1');
-  const left = rankLimitOwners(
+  const remaining = rankLimitOwners(
     vms.filter((one) => one !== first),
     'i-1',
   );
-  t.true(others.slice(0, 3).every((one) => left.includes(one)));
+  t.true(others.slice(0, 3).every((one) => remaining.includes(one)));
 });
 
-test('a VM that knows no other keeps all limits itself', (t) => {
+test('a single VM owns all limits', (t) => {
   t.is(rankLimitOwners(buildVms(1), 'i-1').length, 1);
   t.deepEqual(rankLimitOwners([], 'i-1'), []);
 });
--- a/src/domain/limits/types/SharedLimit.ts
+++ b/src/domain/limits/types/SharedLimit.ts
@@ -1,8 +1,8 @@
-/** What one VM tells others of a server's rate limit. */
+/** Rate limit of a server as VMs exchange it. */
 export interface SharedLimit {
   readonly server: string;
-  /** Requests a second from all VMs together; null: the server names no limit any more. */
+  /** Rate limit over all VMs, in requests per second; null if the server dropped its limit. */
   readonly limitPerS: number | null;
-  /** How long ago the server said so, in milliseconds. */
+  /** Time since the server announced the limit, in milliseconds. */
   readonly ageMs: number;
 }
--- a/src/domain/load/computePrefixTrust/index.ts
+++ b/src/domain/load/computePrefixTrust/index.ts
@@ -1,19 +1,19 @@
 /**
- * Trust left in a cached prefix after each missed cache event. A missed event removed one of many
- * prefixes, or all of them; after some ten the entry is more often wrong than right.
+ * Factor on the trust in a cached prefix for each missed cache event. A missed event may have
+ * evicted one of many prefixes or all of them; after about ten, the entry is probably wrong.
  */
 const TRUST_PER_MISSED_EVENT = 0.93;
 
-/** Below this trust a prefix is dropped: it is as likely gone as there. */
+/** Trust below which a prefix is dropped, since it is more likely evicted than cached. */
 export const MIN_PREFIX_TRUST = 0.5;
 
-/** Time after which an entry without any news is half trusted. */
+/** Time in which the trust in an entry without updates halves. */
 const HALF_TRUST_MS = 120_000;
 
 /**
- * Computes how far a prefix that was reported as cached can still be trusted.
+ * Computes the trust that a prefix reported as cached is still in the cache.
  *
- * @param missedEvents - events of that engine known to be missed since
+ * @param missedEvents - cache events of the engine that were missed since the report
  * @param ageMs - time since the prefix was last reported, in milliseconds
  * @returns 0 to 1
  */
--- a/src/domain/load/estimateRunningRequests/index.ts
+++ b/src/domain/load/estimateRunningRequests/index.ts
@@ -1,28 +1,32 @@
-/** What is known of the requests at one backend server. */
+/** Observed requests on one backend server. */
 export interface RequestCounts {
-  /** Requests that this VM has there now. */
+  /** Requests of this VM. */
   readonly own: number;
-  /** Requests that peers last said they have there. */
+  /** Requests that other VMs last reported as theirs. */
   readonly peers: number;
-  /** Requests of others in the newest report, with peers' changes since; null without a report. */
+  /**
+   * Requests of other VMs in the server's latest report, updated by their changes; null without
+   * one.
+   */
   readonly others: number | null;
-  /** Mean of the requests of others over the last reports. */
+  /** Mean of the requests of other VMs over the last reports. */
   readonly meanOthers: number;
-  /** How far the newest figures still hold, 0 to 1 (see `computeFreshness`). */
+  /** Freshness of the latest values, 0 to 1 (see `computeFreshness`). */
   readonly freshness: number;
 }
 
 /**
- * Estimates the requests at a backend server, running and waiting.
+ * Estimates the number of requests on a backend server, running and waiting.
  *
- * Own requests are known. Those of others are as last reported while the report is fresh; requests
- * that end sooner than the next report comes are better told by their mean: taken from the newest
- * report, a burst that is long over would drive work away, and an idle moment would draw all to it.
+ * The requests of this VM are known. Those of other VMs are taken from the latest report while it
+ * is fresh, and from their mean otherwise. Requests may end before the next report comes: with the
+ * latest report alone, a burst that is over would repel work, and an idle moment would attract all
+ * of it.
  *
- * @returns a number of requests, 0 or more
+ * @returns number of requests, 0 or more
  */
-export function estimateRunningRequests(knowledge: RequestCounts): number {
-  const { own, peers, others, meanOthers, freshness } = knowledge;
+export function estimateRunningRequests(counts: RequestCounts): number {
+  const { own, peers, others, meanOthers, freshness } = counts;
   if (others === null) return own + peers;
   const expected = meanOthers + (Math.max(0, others) - meanOthers) * freshness;
   return own + Math.max(expected, peers * freshness);
--- a/src/domain/load/isNewerReport/index.ts
+++ b/src/domain/load/isNewerReport/index.ts
@@ -1,20 +1,20 @@
 import type { LoadReport } from '../../types';
 
 /**
- * By how much a report with a lower sequence must have been taken later to count as one of a
- * restarted server. Above the error of the ages that peers pass on (one exchange, about 1 s).
+ * Least time by which a report with a lower sequence number must be newer to count as that of a
+ * restarted server. Exceeds the error of the ages that peers report (one exchange, about 1 s).
  */
 const RESTART_MARGIN_MS = 1500;
 
 /**
- * Tells whether a report is newer than the one held.
+ * Tells whether a received report is newer than the stored one.
  *
- * The same report may come again, or an older one later, through a peer. A restarted server counts
- * its reports from the start again: a lower sequence is taken if it was sampled clearly later,
- * else the reports of the new process would be ignored until it has sent as many as the old one.
+ * Peers may deliver duplicates and older reports. A restarted server restarts its sequence numbers:
+ * a lower number counts as newer if its report was sampled clearly later. Otherwise the reports of
+ * the new process would be ignored until it has sent as many as the old one.
  *
- * @param report - the report that came
- * @param held - the report held, or null
+ * @param report - the received report
+ * @param held - the stored report, or null
  */
 export function isNewerReport(report: LoadReport, held: LoadReport | null): boolean {
   if (held === null || report.sequence > held.sequence) return true;
--- a/src/domain/load/isNewerReport/test.ts
+++ b/src/domain/load/isNewerReport/test.ts
@@ -18,16 +18,15 @@
   receivedAtMs: 10_000,
 };
 
-test('takes a higher sequence, and leaves a repeated or an older one', (t) => {
+test('a report with a higher sequence number is newer, a duplicate or older one is not', (t) => {
   t.true(isNewerReport(HELD, null));
   t.true(isNewerReport({ ...HELD, sequence: 51 }, HELD));
   t.false(isNewerReport({ ...HELD, receivedAtMs: 20_000 }, HELD));
   t.false(isNewerReport({ ...HELD, sequence: 49, receivedAtMs: 10_500, ageMs: 700 }, HELD));
 });
 
-test('takes the first reports of a restarted server', (t) => {
-  // Symptom: a restarted server looks as busy as before its death.
-  // Sequence: report 50; death; new process; report 1, sampled 5 s later.
-  // Cause: the new process counts from 1, so that the sequence alone says "old".
+test('the first report of a restarted server is newer', (t) => {
+  // Guards against a restarted server that looks as busy as before its crash: after report 50, the
+  // new process counts from 1, so that by the sequence number alone its report looks old.
   t.true(isNewerReport({ ...HELD, sequence: 1, receivedAtMs: 15_000 }, HELD));
 });
--- a/src/domain/load/updateMovingAverage/index.ts
+++ b/src/domain/load/updateMovingAverage/index.ts
@@ -1,7 +1,7 @@
 /**
- * Adds a value to an exponentially weighted moving average.
+ * Updates an exponentially weighted moving average with a new value.
  *
- * @param average - the average so far; 0 means that there is none yet
+ * @param average - the previous average; 0 if there is none
  * @param value - the new value
  * @param weight - weight of the new value, 0 to 1
  */
--- a/src/domain/load/updateUndisturbedEstimate/index.ts
+++ b/src/domain/load/updateUndisturbedEstimate/index.ts
@@ -1,16 +1,19 @@
+/** Weight of a value below the estimate. */
 const DOWN_WEIGHT = 0.4;
 
-/** Lets the estimate grow to a tenfold time within some hundred values, if all values grow. */
+/**
+ * Weight of a value above the estimate; adapts to a tenfold duration within some hundred values.
+ */
 const UP_WEIGHT = 0.03;
 
 /**
- * Adds a value to an estimate of what a duration is when nothing disturbs it.
+ * Updates the estimate of an undisturbed duration with a new sample.
  *
- * Disturbances (a queue that was not known of, a pause of this VM) only ever lengthen a duration,
- * so that a lower value says more than a higher one. A plain mean made the best servers look bad
- * after one burst, and sent work to slower ones.
+ * Disturbances (an unknown queue, a pause of this VM) only lengthen a duration, so that a low
+ * sample says more than a high one. With a plain mean, the best servers looked bad after one burst,
+ * and work went to slower ones.
  *
- * @param estimate - the estimate so far; 0 means that there is none yet
+ * @param estimate - the previous estimate; 0 if there is none
  * @param value - the new duration, in any unit
  */
 export function updateUndisturbedEstimate(estimate: number, value: number): number {
--- a/src/domain/load/updateUndisturbedEstimate/test.ts
+++ b/src/domain/load/updateUndisturbedEstimate/test.ts
@@ -1,10 +1,13 @@
 import test from 'ava';
 import { updateUndisturbedEstimate } from '.';
 
-test('stays near the undisturbed value through a burst, and follows a lasting change', (t) => {
-  const base = [100, 20, 20, 20, 20, 20, 20, 20, 20, 20].reduce(updateUndisturbedEstimate, 0);
-  t.true(base < 25);
-  const burst = [200, 200, 200].reduce(updateUndisturbedEstimate, base);
-  t.true(burst < 40);
-  t.true(Array(200).fill(200).reduce(updateUndisturbedEstimate, base) > 190);
+test('the estimate stays low through a burst of high values, and follows a lasting change', (t) => {
+  const undisturbed = [100, 20, 20, 20, 20, 20, 20, 20, 20, 20].reduce(
+    updateUndisturbedEstimate,
+    0,
+  );
+  t.true(undisturbed < 25);
+  const afterBurst = [200, 200, 200].reduce(updateUndisturbedEstimate, undisturbed);
+  t.true(afterBurst < 40);
+  t.true(Array(200).fill(200).reduce(updateUndisturbedEstimate, undisturbed) > 190);
 });
--- a/src/domain/outlier/types/ServerQuality.ts
+++ b/src/domain/outlier/types/ServerQuality.ts
@@ -1,16 +1,18 @@
-/** How well a backend server has served of late, as this VM saw it. */
+/** Recent quality of a backend server as measured by this VM. */
 export interface ServerQuality {
-  /** Moving average of failed attempts, 0 to 1. */
+  /** Moving average of the failure rate, 0 to 1. */
   readonly failures: number;
-  /** Moving average of its speed relative to comparable servers; 1 is usual. */
+  /** Moving average of the speed relative to comparable servers; 1 is normal. */
   readonly speed: number;
-  /** Monotonic time until which it gets no work, in milliseconds; 0 if it is not ejected. */
+  /**
+   * Monotonic time until which the server gets no work, in milliseconds; 0 if it is not ejected.
+   */
   readonly ejectedUntilMs: number;
-  /** Ejections in a row; each lasts longer than the one before. */
+  /** Ejections in a row; each one lasts longer. */
   readonly ejections: number;
 }
 
-/** A server of which nothing bad is known. */
+/** Quality of a server without observations. */
 export const INITIAL_QUALITY: ServerQuality = {
   failures: 0,
   speed: 1,
--- a/src/domain/retry/checkBreaker/index.ts
+++ b/src/domain/retry/checkBreaker/index.ts
@@ -1,23 +1,25 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { Breaker } from '../types';
 
-/** Leave to make a call: the state while it is out, and whether it is the probe. */
+/** A call that the breaker lets through: the state during the call, and whether it is the probe. */
 export interface AllowedCall {
   readonly breaker: Breaker;
   readonly probe: boolean;
 }
 
-/** The breaker is open. */
+/** Refusal of a call by an open breaker. */
 export interface BreakerRefusal {
   readonly kind: 'circuit-open';
   readonly retryAfterMs: number;
 }
 
 /**
- * Checks whether a call may go out; an open breaker whose time is up lets one through as a probe.
+ * Checks whether a circuit breaker lets a call through.
  *
- * @param nowMs monotonic milliseconds
- * @param probeTimeoutMs time after which a probe without a result no longer holds others back
+ * Once its time is up, an open breaker lets one call through as a probe.
+ *
+ * @param nowMs - monotonic milliseconds
+ * @param probeTimeoutMs - time after which a probe without a result no longer blocks other calls
  */
 export function checkBreaker(
   breaker: Breaker,
--- a/src/domain/retry/computeBackoffMs/index.ts
+++ b/src/domain/retry/computeBackoffMs/index.ts
@@ -1,11 +1,11 @@
 import type { BackoffPolicy } from '../types';
 
 /**
- * Computes the wait before a retry: exponential, with full jitter, so that clients that failed
- * together do not come back together.
+ * Computes the delay before a retry: exponential backoff with full jitter, so that clients that
+ * failed together do not retry together.
  *
- * @param retry number of the retry, from 0
- * @param fraction random, from 0 inclusive to 1 exclusive
+ * @param retry - number of the retry, from 0
+ * @param fraction - random number, from 0 inclusive to 1 exclusive
  * @returns milliseconds, below `min(maxMs, baseMs * 2 ** retry)`
  *
  * @example
--- a/src/domain/retry/types/BackoffPolicy.ts
+++ b/src/domain/retry/types/BackoffPolicy.ts
@@ -1,7 +1,7 @@
-/** How waits between tries grow. */
+/** Growth of the delays between attempts. */
 export interface BackoffPolicy {
-  /** Bound of the wait before the first retry, milliseconds. */
+  /** Upper bound of the delay before the first retry, in milliseconds. */
   readonly baseMs: number;
-  /** Largest bound, milliseconds. */
+  /** Upper bound of all delays, in milliseconds. */
   readonly maxMs: number;
 }
--- a/src/domain/retry/types/Breaker.ts
+++ b/src/domain/retry/types/Breaker.ts
@@ -1,11 +1,11 @@
 /** State of a circuit breaker; times are monotonic milliseconds. */
 export type Breaker =
-  /** Calls go out; `failures` counts those in a row that failed. */
+  /** Calls are let through; `failures` counts consecutive failures. */
   | { readonly kind: 'closed'; readonly failures: number }
-  /** Calls fail at once until `untilMs`; `openings` counts openings in a row. */
+  /** Calls fail at once until `untilMs`; `openings` counts consecutive openings. */
   | { readonly kind: 'open'; readonly untilMs: number; readonly openings: number }
-  /** One call is out as a probe; all others fail at once. */
+  /** One call is running as a probe; all others fail at once. */
   | { readonly kind: 'half-open'; readonly untilMs: number; readonly openings: number };
 
-/** The state a breaker begins with. */
+/** Initial state of a breaker. */
 export const CLOSED_BREAKER: Breaker = { kind: 'closed', failures: 0 };
--- a/src/domain/retry/types/BreakerPolicy.ts
+++ b/src/domain/retry/types/BreakerPolicy.ts
@@ -1,11 +1,11 @@
 import type { BackoffPolicy } from './BackoffPolicy';
 
-/** When a breaker opens, and for how long. */
+/** Conditions under which a breaker opens, and for how long. */
 export interface BreakerPolicy {
-  /** Failures in a row that open it. */
+  /** Consecutive failures that open the breaker. */
   readonly failureThreshold: number;
-  /** How long it stays open; grows with each probe that fails. */
+  /** Time for which the breaker stays open; grows with each failed probe. */
   readonly open: BackoffPolicy;
-  /** A probe that gives no result within this time counts as failed, milliseconds. */
+  /** Time after which a probe without a result counts as failed, in milliseconds. */
   readonly probeTimeoutMs: number;
 }
--- a/src/domain/retry/types/RetryBudget.ts
+++ b/src/domain/retry/types/RetryBudget.ts
@@ -1,12 +1,12 @@
-/** Retries that may still be made. */
+/** Number of retries that are still allowed. */
 export interface RetryBudget {
   readonly tokens: number;
 }
 
-/** How a retry budget fills. */
+/** Rate and size of a retry budget. */
 export interface RetryBudgetPolicy {
-  /** Retries earned by each first try: 0.1 lets retries add at most a tenth to the load. */
+  /** Retries earned by each first attempt: 0.1 limits the load of retries to a tenth. */
   readonly retriesPerRequest: number;
-  /** Most retries that can be saved up. */
+  /** Highest number of retries that can be accumulated. */
   readonly maxTokens: number;
 }
--- a/src/domain/retry/updateBreaker/index.ts
+++ b/src/domain/retry/updateBreaker/index.ts
@@ -6,29 +6,36 @@
   readonly probe: boolean;
   /** Monotonic milliseconds. */
   readonly nowMs: number;
-  /** Random, from 0 inclusive to 1 exclusive: spreads the probes of many clients. */
+  /** Random number, from 0 inclusive to 1 exclusive, which spreads the probes of many clients. */
   readonly fraction: number;
 }
 
-/** Opens for between half and the whole of a time that doubles with each opening in a row. */
-function openBreaker(openings: number, end: CallResult, policy: BreakerPolicy): Breaker {
+/** Opens a breaker for half to all of a time that doubles with each consecutive opening. */
+function openBreaker(openings: number, result: CallResult, policy: BreakerPolicy): Breaker {
   const boundMs = Math.min(policy.open.maxMs, policy.open.baseMs * 2 ** openings);
-  const untilMs = end.nowMs + (boundMs * (1 + end.fraction)) / 2;
+  const untilMs = result.nowMs + (boundMs * (1 + result.fraction)) / 2;
   return { kind: 'open', untilMs, openings: openings + 1 };
 }
 
 /**
- * Gives the breaker after a call ended. Calls that went out before it opened change an open
- * breaker no more: late failures must not put the next probe off, and a late success is older
- * than the failures that opened it.
+ * Updates a breaker with the result of a call.
+ *
+ * Calls that started before the breaker opened do not change it: late failures must not delay the
+ * next probe, and a late success is older than the failures that opened the breaker.
  */
-export function updateBreaker(breaker: Breaker, end: CallResult, policy: BreakerPolicy): Breaker {
+export function updateBreaker(
+  breaker: Breaker,
+  result: CallResult,
+  policy: BreakerPolicy,
+): Breaker {
   if (breaker.kind === 'closed') {
-    const failures = end.failed ? breaker.failures + 1 : 0;
+    const failures = result.failed ? breaker.failures + 1 : 0;
     return failures < policy.failureThreshold
       ? { kind: 'closed', failures }
-      : openBreaker(0, end, policy);
+      : openBreaker(0, result, policy);
   }
-  if (!end.probe) return breaker;
-  return end.failed ? openBreaker(breaker.openings, end, policy) : { kind: 'closed', failures: 0 };
+  if (!result.probe) return breaker;
+  return result.failed
+    ? openBreaker(breaker.openings, result, policy)
+    : { kind: 'closed', failures: 0 };
 }
--- a/src/domain/retry/updateRetryBudget/index.ts
+++ b/src/domain/retry/updateRetryBudget/index.ts
@@ -1,15 +1,18 @@
 import type { RetryBudget, RetryBudgetPolicy } from '../types';
 
-/** What changes a retry budget. */
+/** Event that changes a retry budget. */
 export type RetryBudgetEvent = 'request' | 'retry';
 
+/** Retries that an event takes from the budget; negative for those that it adds. */
 const COST: Readonly<Record<RetryBudgetEvent, (policy: RetryBudgetPolicy) => number>> = {
   request: (policy) => -policy.retriesPerRequest,
   retry: () => 1,
 };
 
 /**
- * Gives the budget after a first try or a retry, or null if there is none left for the retry.
+ * Updates a retry budget after a first attempt or a retry.
+ *
+ * @returns the new budget, or null if none is left for the retry
  *
  * @example
  * updateRetryBudget({ tokens: 1.2 }, 'retry', policy); // about { tokens: 0.2 }
--- a/src/domain/rollouts/_lib/computeBinomialTail/index.ts
+++ b/src/domain/rollouts/_lib/computeBinomialTail/index.ts
@@ -1,12 +1,14 @@
 import { binomialDistribution, cumulativeStdNormalProbability } from 'simple-statistics';
 
-/** Above this the normal approximation is close, and the exact sum is slow. */
+/** Above this, the normal approximation is accurate and the exact sum is slow. */
 const MAX_EXACT_TRIALS = 400;
 
 /**
- * Computes the probability of at least so many successes.
+ * Computes the probability of at least `successes` successes in independent trials.
  *
- * @param chance - of each trial, above 0 and below 1
+ * @param successes - number of successes
+ * @param trials - number of trials
+ * @param chance - probability of success of each trial, above 0 and below 1
  */
 export const computeBinomialTail = (successes: number, trials: number, chance: number): number => {
   if (successes <= 0) return 1;
--- a/src/domain/rollouts/compareVerdicts/index.ts
+++ b/src/domain/rollouts/compareVerdicts/index.ts
@@ -1,6 +1,6 @@
 import { RolloutState, type RolloutVerdict } from '../types';
 
-/** Without the store's word, the more careful verdict stands. */
+/** Of verdicts that are not stored, the more cautious one takes precedence. */
 const RANKS: Readonly<Record<RolloutState, number>> = {
   [RolloutState.InProgress]: 0,
   [RolloutState.Switching]: 1,
@@ -14,9 +14,12 @@
   RANKS[state] + (isStored ? STORED_RANK : 0);
 
 /**
- * Compares two verdicts on one service: a newer order's goes first, then one that the store holds.
+ * Compares two verdicts on a service.
  *
- * @returns above 0 if the left one stands, below 0 if the right one does, else 0
+ * The verdict on a newer order takes precedence, then one that the store holds, then the more
+ * cautious one.
+ *
+ * @returns above 0 if the left one takes precedence, below 0 if the right one does, otherwise 0
  */
 export const compareVerdicts = (
   left: Pick<RolloutVerdict, 'isStored' | 'sequence' | 'state'>,
--- a/src/domain/rollouts/computeTrialAllowance/index.ts
+++ b/src/domain/rollouts/computeTrialAllowance/index.ts
@@ -1,31 +1,35 @@
 import type { TrialBounds } from '../types';
 
-/** What an allowance follows from. */
+/** Inputs of an allowance. */
 export interface TrialAllowanceOptions {
   readonly bounds: TrialBounds;
-  /** The service's requests at this VM since the order. */
+  /** Requests of the service on this VM since the order. */
   readonly requests: number;
   /** VMs that share the bounds. */
   readonly vms: number;
-  /** Since the order, in milliseconds. */
+  /** Time since the order, in milliseconds. */
   readonly ageMs: number;
+  /** Time that the order allows for the roll-out. */
   readonly durationMs: number;
-  /** From 0 inclusive to 1 exclusive, drawn once an order: VMs must not round alike. */
+  /**
+   * Random number from 0 inclusive to 1 exclusive, one for each order: VMs must not round alike.
+   */
   readonly draw: number;
 }
 
-/** Part of the bounds that is used: what is on its way or sent twice counts as well. */
-const USED_PART = 0.4;
+/** Fraction of the bounds that is used: requests in flight and retries count as well. */
+const USED_FRACTION = 0.4;
 
-/** What is free of charge is spread over this part of the time, as all VMs begin at once. */
-const SPREAD_PART = 0.4;
+/** The extra requests are spread over this fraction of the time, since all VMs start at once. */
+const SPREAD_FRACTION = 0.4;
 
-/** Most that one VM takes of what is free: in a small fleet, or where it knows of few others. */
+/** Highest number of extra requests of one VM: in a small fleet, or if it knows few other VMs. */
 const MAX_EXTRA = 4;
 
 /**
- * Computes how many requests a VM may send to a new version in all: its part of bounds that all VMs
- * keep together, without asking each other.
+ * Computes how many requests in total a VM may send to a new version.
+ *
+ * The result is this VM's share of bounds that all VMs keep together without coordination.
  */
 export const computeTrialAllowance = ({
   ageMs,
@@ -35,7 +39,7 @@
   requests,
   vms,
 }: TrialAllowanceOptions): number => {
-  const spread = Math.min(1, ageMs / Math.max(1, durationMs * SPREAD_PART));
+  const spread = Math.min(1, ageMs / Math.max(1, durationMs * SPREAD_FRACTION));
   const extra = Math.min(MAX_EXTRA, bounds.trialExtra / Math.max(1, vms)) * spread;
-  return Math.floor(USED_PART * (bounds.trialRatio * requests + extra) + draw);
+  return Math.floor(USED_FRACTION * (bounds.trialRatio * requests + extra) + draw);
 };
--- a/src/domain/rollouts/computeTrialAllowance/test.ts
+++ b/src/domain/rollouts/computeTrialAllowance/test.ts
@@ -10,16 +10,16 @@
   draw: 0,
 };
 
-test('VMs that do not ask each other stay within half of the bounds together', (t) => {
-  const fleets = [1, 9, 85, 340].map((vms) =>
+test('all VMs together stay within half of the bounds without coordination', (t) => {
+  const totals = [1, 9, 85, 340].map((vms) =>
     Array.from({ length: vms }, (_, index) =>
       computeTrialAllowance({ ...options, vms, requests: 24, draw: (index + 0.5) / vms }),
     ).reduce((sum, one) => sum + one, 0),
   );
-  [1, 9, 85, 340].forEach((vms, at) => t.true((fleets[at] ?? Infinity) <= 0.05 * 24 * vms + 25));
+  [1, 9, 85, 340].forEach((vms, at) => t.true((totals[at] ?? Infinity) <= 0.05 * 24 * vms + 25));
 });
 
-test('what is free of charge is spread over the first part of the time', (t) => {
+test('the extra requests are spread over the first part of the time', (t) => {
   const small = { ...options, vms: 9, draw: 0.5 };
   t.is(computeTrialAllowance({ ...small, ageMs: 0 }), 0);
   t.is(computeTrialAllowance({ ...small, ageMs: 6000 }), 2);
--- a/src/domain/rollouts/decideRollout/index.ts
+++ b/src/domain/rollouts/decideRollout/index.ts
@@ -1,35 +1,36 @@
 import { RolloutState, type VersionJudgement } from '../types';
 
-/** What the next step of a roll-out follows from. */
+/** Progress of a roll-out, from which its next state follows. */
 export interface RolloutProgress {
   readonly state: RolloutState;
-  /** Since the order, in milliseconds. */
+  /** Time since the order, in milliseconds. */
   readonly ageMs: number;
+  /** Time that the order allows for the roll-out. */
   readonly durationMs: number;
-  /** Since all new requests go to the new version; 0 before. */
+  /** Time since all new requests go to the new version; 0 before. */
   readonly switchedMs: number;
   readonly judgement: VersionJudgement;
-  /** False: no server of another version was there since the order. */
+  /** False if the service has had no server of another version since the order. */
   readonly hasEstablished: boolean;
 }
 
-/** Part of the time for which a new version is watched at least: some turn bad later. */
-const WATCH_PART = 0.6;
+/** Fraction of the time for which a new version is observed at least: some turn bad later. */
+const OBSERVED_FRACTION = 0.6;
 
-/** By then each VM has heard that it is to send to the new version, and most lookups have ended. */
+/** Time in which all VMs learn to send to the new version, and most lookups end. */
 export const SWITCH_MS = 2500;
 
-/** Left of the time when a version that is not known to be sound is given up. */
+/** Time left when a version that has not been shown to be sound is given up. */
 const MARGIN_MS = 1000;
 
-/** Servers of another version would have been known by then. */
-const ALONE_MS = 2000;
+/** Time in which a VM learns of servers of other versions. */
+const DISCOVERY_MS = 2000;
 
 /**
  * Decides the next state of a roll-out.
  *
- * A version that was not shown to be sound in time is reverted: completing a bad one can't be undone,
- * as the servers of the old one are stopped.
+ * A version that has not been shown to be sound in time is reverted. Completing a bad version can't
+ * be undone, since the servers of the old version are stopped.
  *
  * @example
  * decideRollout({ ...progress, judgement: { kind: 'bad', route: 'r', reason: '' } }); // 'reverted'
@@ -47,9 +48,9 @@
   if (state === RolloutState.Switching) {
     return switchedMs >= SWITCH_MS ? RolloutState.Completed : state;
   }
-  if (!hasEstablished && ageMs >= ALONE_MS) return RolloutState.Completed;
+  if (!hasEstablished && ageMs >= DISCOVERY_MS) return RolloutState.Completed;
   const lastMs = durationMs - SWITCH_MS - MARGIN_MS;
-  const watchMs = Math.min(durationMs * WATCH_PART, lastMs);
+  const observedMs = Math.min(durationMs * OBSERVED_FRACTION, lastMs);
   if (ageMs > lastMs) return RolloutState.Reverted;
-  return judgement.kind === 'sound' && ageMs >= watchMs ? RolloutState.Switching : state;
+  return judgement.kind === 'sound' && ageMs >= observedMs ? RolloutState.Switching : state;
 };
--- a/src/domain/rollouts/judgeVersion/index.ts
+++ b/src/domain/rollouts/judgeVersion/index.ts
@@ -2,43 +2,45 @@
 import { sumTallies } from '../sumTallies';
 import type { RolloutTallies, RouteTally, VersionJudgement, VersionTally } from '../types';
 
-/** Fewer poor answers are no pattern. */
+/** Fewer poor answers are no evidence. */
 const MIN_POOR = 3;
 
-/** The established version's part of poor answers is known roughly: up to this much more is its. */
+/** Tolerance for the established version's rate of poor answers, which is known only roughly. */
 const TOLERATED_FACTOR = 1.5;
-const TOLERATED_PART = 0.02;
+const TOLERATED_RATE = 0.02;
 
-/** Chance at which a version no worse than the established one is taken for bad, for each look. */
+/** Significance level of each test; a version no worse than the established one rarely fails it. */
 const FALSE_ALARM = 2e-4;
 
-/** A bad version has at least this much more of poor answers. */
-const BAD_PART = 0.25;
+/** A bad version exceeds the established version's rate of poor answers by at least this much. */
+const BAD_EXCESS_RATE = 0.25;
 
-/** Chance at which such a version would have shown as few poor answers. */
-const MISSED = 0.005;
+/** Probability at which a bad version may have as few poor answers as one that is called sound. */
+const MISSED_ALARM = 0.005;
 
-/** Answers of the new version on each route in use, and how many requests make a route one. */
+/** Requests that the new version needs on each route in use. */
 const MIN_ROUTE_REQUESTS = 3;
+
+/** Requests of the established version from which a route is in use, also as a fraction of all. */
 const ROUTE_IN_USE_REQUESTS = 20;
-const ROUTE_IN_USE_PART = 0.05;
+const ROUTE_IN_USE_FRACTION = 0.05;
 
-const MAX_PART = 0.95;
+const MAX_RATE = 0.95;
 
-const computePoorPart = ({ poor, requests }: VersionTally): number => (poor + 1) / (requests + 2);
+const computePoorRate = ({ poor, requests }: VersionTally): number => (poor + 1) / (requests + 2);
 
 const isWorse = ({ candidate, established }: RouteTally): boolean => {
   if (candidate.poor < MIN_POOR) return false;
-  const part = computePoorPart(established) * TOLERATED_FACTOR + TOLERATED_PART;
-  const chance = Math.min(MAX_PART, part);
+  const rate = computePoorRate(established) * TOLERATED_FACTOR + TOLERATED_RATE;
+  const chance = Math.min(MAX_RATE, rate);
   return computeBinomialTail(candidate.poor, candidate.requests, chance) < FALSE_ALARM;
 };
 
-/** True: a bad version would hardly have answered so well. */
+/** Tells whether a bad version is unlikely to have so few poor answers. */
 const isShownSound = ({ candidate, established }: RouteTally): boolean => {
-  const chance = Math.min(MAX_PART, computePoorPart(established) + BAD_PART);
+  const chance = Math.min(MAX_RATE, computePoorRate(established) + BAD_EXCESS_RATE);
   const tail = computeBinomialTail(candidate.poor + 1, candidate.requests, chance);
-  return 1 - tail < MISSED;
+  return 1 - tail < MISSED_ALARM;
 };
 
 const sumRoutes = (tallies: RolloutTallies): RouteTally =>
@@ -48,12 +50,14 @@
   };
 
 /**
- * Judges a new version by how requests fared at it and at the established one over the same time.
+ * Judges a new version by comparing its answers with those of the established one over the same
+ * time.
  *
- * What harms both versions alike (overload, lost servers, a slow network) shows in both tallies and
- * is no evidence. A version may be bad on one route only, so that each is judged by itself as well.
+ * Failures that affect both versions (overload, lost servers, a slow network) show in both tallies
+ * and are no evidence. A version may be bad on one route only, so that each route is judged by
+ * itself as well.
  *
- * @returns `bad` with the route (empty: over all), `sound`, or why neither can be said yet
+ * @returns `bad` with the route (empty: all routes together), `sound`, or why neither is certain
  */
 export const judgeVersion = (tallies: RolloutTallies): VersionJudgement => {
   const total = sumRoutes(tallies);
@@ -63,15 +67,15 @@
     const reason = `${candidate.poor} of ${candidate.requests} poor, established ${established.poor} of ${established.requests}`;
     return { kind: 'bad', route, reason };
   }
-  const leastInUse = Math.max(
+  const minRequestsInUse = Math.max(
     ROUTE_IN_USE_REQUESTS,
-    total.established.requests * ROUTE_IN_USE_PART,
+    total.established.requests * ROUTE_IN_USE_FRACTION,
   );
-  const unseen = [...tallies].find(
+  const untriedRoute = [...tallies].find(
     ([, { candidate, established }]) =>
-      established.requests >= leastInUse && candidate.requests < MIN_ROUTE_REQUESTS,
+      established.requests >= minRequestsInUse && candidate.requests < MIN_ROUTE_REQUESTS,
   );
-  if (unseen) return { kind: 'unknown', reason: `route ${unseen[0]} was hardly tried` };
+  if (untriedRoute) return { kind: 'unknown', reason: `route ${untriedRoute[0]} was hardly tried` };
   if (!isShownSound(total)) return { kind: 'unknown', reason: 'too few answers' };
   return { kind: 'sound' };
 };
--- a/src/domain/rollouts/judgeVersion/test.ts
+++ b/src/domain/rollouts/judgeVersion/test.ts
@@ -9,17 +9,17 @@
   candidate,
 });
 
-test('a version that fails half of its answers is bad after a few of them', (t) => {
+test('a version with half of its answers poor is bad after a few answers', (t) => {
   const judged = judgeVersion(new Map([['r', route(tally(200, 4), tally(12, 6))]]));
   t.is(judged.kind, 'bad');
 });
 
-test('failures that both versions share are no evidence against the new one', (t) => {
+test('failures that affect both versions are no evidence against the new one', (t) => {
   const judged = judgeVersion(new Map([['r', route(tally(200, 100), tally(20, 11))]]));
   t.not(judged.kind, 'bad');
 });
 
-test('a version that is bad on one route only is bad, and the route is told', (t) => {
+test('a version that is bad on one route only is bad, and the route is named', (t) => {
   const judged = judgeVersion(
     new Map([
       ['good', route(tally(2000, 40), tally(80, 2))],
@@ -29,12 +29,12 @@
   t.like(judged, { kind: 'bad', route: 'broken' });
 });
 
-test('a version is sound only once a bad one would hardly have answered so well', (t) => {
+test('a version is sound only once a bad one is unlikely to have so few poor answers', (t) => {
   t.is(judgeVersion(new Map([['r', route(tally(200, 4), tally(5, 0))]])).kind, 'unknown');
   t.is(judgeVersion(new Map([['r', route(tally(200, 4), tally(30, 0))]])).kind, 'sound');
 });
 
-test('a version is not sound while a route in use was hardly tried', (t) => {
+test('a version is not sound while it has too few requests on a route in use', (t) => {
   const judged = judgeVersion(
     new Map([
       ['seen', route(tally(200, 4), tally(60, 1))],
@@ -44,18 +44,18 @@
   t.deepEqual(judged, { kind: 'unknown', reason: 'route unseen was hardly tried' });
 });
 
-test('nothing is said of a version without answers, nor without any request', (t) => {
+test('a version is unknown without any requests, or without any of the established one', (t) => {
   t.is(judgeVersion(new Map()).kind, 'unknown');
   t.is(judgeVersion(new Map([['r', route(tally(0, 0), tally(2, 2))]])).kind, 'unknown');
 });
 
-test('of 2,000 versions as good as the established one, looked at after each answer, at most 10 are taken for bad', (t) => {
+test('of 2,000 versions as good as the established one, judged after each answer, at most 10 are called bad', (t) => {
   let state = 7;
   const draw = (): number => {
     state = (state * 16_807) % 2_147_483_647;
     return state / 2_147_483_647;
   };
-  const isTakenForBad = (): boolean => {
+  const isCalledBad = (): boolean => {
     let poor = 0;
     for (let requests = 1; requests <= 60; requests += 1) {
       if (draw() < 0.14) poor += 1;
@@ -64,6 +64,6 @@
     }
     return false;
   };
-  const bad = Array.from({ length: 2000 }, isTakenForBad).filter(Boolean).length;
+  const bad = Array.from({ length: 2000 }, isCalledBad).filter(Boolean).length;
   t.true(bad <= 10, String(bad));
 });
--- a/src/domain/rollouts/sumTallies/index.ts
+++ b/src/domain/rollouts/sumTallies/index.ts
@@ -8,19 +8,19 @@
 });
 
 /**
- * Adds tallies of several VMs up, route by route.
+ * Sums up the tallies of several VMs for each route.
  *
  * @example
- * addTallies([new Map([['r', tally]]), new Map([['r', tally]])]); // twice the tally of 'r'
+ * sumTallies([new Map([['r', tally]]), new Map([['r', tally]])]); // twice the tally of 'r'
  */
 export const sumTallies = (all: readonly RolloutTallies[]): RolloutTallies => {
   const sums = new Map<string, RouteTally>();
   all.forEach((tallies) =>
     tallies.forEach(({ candidate, established }, route) => {
-      const before = sums.get(route) ?? { established: EMPTY, candidate: EMPTY };
+      const sum = sums.get(route) ?? { established: EMPTY, candidate: EMPTY };
       sums.set(route, {
-        established: add(before.established, established),
-        candidate: add(before.candidate, candidate),
+        established: add(sum.established, established),
+        candidate: add(sum.candidate, candidate),
       });
     }),
   );
--- a/src/domain/rollouts/types/index.ts
+++ b/src/domain/rollouts/types/index.ts
@@ -1,12 +1,12 @@
-/** Where a roll-out stands. */
+/** State of a roll-out. */
 export const RolloutState = {
-  /** A small part of the requests tries the new version. */
+  /** A small fraction of the requests goes to the new version. */
   InProgress: 'in-progress',
-  /** All new requests go to the new version; what runs at the old servers may end. */
+  /** All new requests go to the new version; running ones on the old servers may end. */
   Switching: 'switching',
   /** The old servers are stopped. */
   Completed: 'completed',
-  /** Nothing is sent to the new version any more. */
+  /** No requests are sent to the new version any more. */
   Reverted: 'reverted',
 } as const;
 
@@ -15,49 +15,50 @@
 /** An operator's order to move a service to another version of its servers. */
 export interface RolloutOrder {
   readonly service: string;
-  /** Version that the service is to move to. */
+  /** Version to which the service is to move. */
   readonly to: string;
+  /** Time that the order allows for the roll-out. */
   readonly durationMs: number;
-  /** Grows with each order; a repeated order is a new one. */
+  /** Increases with each order; a repeated order is a new one. */
   readonly sequence: number;
 }
 
-/** What is known of an order's outcome. */
+/** State of an order as known to this VM. */
 export interface RolloutVerdict {
   readonly service: string;
   readonly to: string;
   readonly sequence: number;
   readonly state: RolloutState;
-  /** True: the shared store holds it, so that it is final. */
+  /** True if the shared store holds the verdict, which makes it final. */
   readonly isStored: boolean;
 }
 
-/** How requests fared at servers of one version; only ever added to. */
+/** Counts of requests to servers of one version; they only increase. */
 export interface VersionTally {
   readonly requests: number;
-  /** Of these, failed or far slower than usual. */
+  /** Requests that failed or were far slower than usual. */
   readonly poor: number;
 }
 
-/** Both versions on one route, over the same time. */
+/** Tallies of both versions on one route, over the same time. */
 export interface RouteTally {
   readonly established: VersionTally;
   readonly candidate: VersionTally;
 }
 
-/** By route. */
+/** Tallies by route. */
 export type RolloutTallies = ReadonlyMap<string, RouteTally>;
 
-/** What is believed of a new version. */
+/** Judgement of a new version. */
 export type VersionJudgement =
   | { readonly kind: 'bad'; readonly route: string; readonly reason: string }
   | { readonly kind: 'sound' }
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** Bounds on requests that reach a new version before it is known to be sound. */
+/** Bounds on the requests to a new version before it is known to be sound. */
 export interface TrialBounds {
-  /** Part of the service's requests. */
+  /** Fraction of the service's requests. */
   readonly trialRatio: number;
-  /** Requests on top, over all VMs. */
+  /** Further requests, over all VMs. */
   readonly trialExtra: number;
 }
--- a/src/domain/routing/chooseServer/index.ts
+++ b/src/domain/routing/chooseServer/index.ts
@@ -1,39 +1,41 @@
-/** Servers that may take a demand, as columns: a decision over hundreds stays cheap. */
+/** Candidate servers in columns, which keeps a choice among hundreds cheap. */
 export interface ScoredServers {
-  /** Estimated time to the first token of each, in milliseconds. */
+  /** Estimated time to the first token on each server, in milliseconds. */
   readonly firstTokenMs: readonly number[];
-  /** Requests at each as a part of its slots. */
+  /** Requests on each server as a fraction of its slots. */
   readonly load: readonly number[];
 }
 
 /**
- * Part by which estimates may differ and still count as equal: reports are late by a few hundred
- * milliseconds, so that the estimates are not better than this.
+ * Relative tolerance within which estimates count as equal. The reports are a few hundred
+ * milliseconds old, so that the estimates are not more accurate than this.
  */
-const NEAR_PART = 0.25;
+const RELATIVE_TOLERANCE = 0.25;
 
-/** Least difference that counts, in milliseconds: the noise of a send on a busy VM. */
-const NEAR_MS = 2;
+/** Absolute tolerance in milliseconds: the jitter of sending on a busy VM. */
+const TOLERANCE_MS = 2;
 
-/** Finds the position of the `rank`-th value that is not above the limit, or -1. */
-function findNear(values: readonly number[], limit: number, rank: number): number {
-  let rest = rank;
+/** Finds the position of the `rank`-th value (from 0) that is not above the limit, or -1. */
+function findRankedWithin(values: readonly number[], limit: number, rank: number): number {
+  let remaining = rank;
   return values.findIndex((value) => {
     if (value > limit) return false;
-    rest -= 1;
-    return rest < 0;
+    remaining -= 1;
+    return remaining < 0;
   });
 }
 
 /**
- * Chooses among servers by the best of two drawn from the near-best.
+ * Chooses the less loaded of two random servers among those with nearly the best estimate (power of
+ * two choices).
  *
- * All VMs hold the same late reports: if each took the one best server, all would pile on it.
+ * All VMs hold the same outdated reports: if each took the single best server, all would overload
+ * it.
  *
- * @param servers - servers that may take the demand, in any order
- * @param firstDraw - from 0 inclusive to 1 exclusive
- * @param secondDraw - from 0 inclusive to 1 exclusive
- * @returns position of the choice, or -1 if there is no server
+ * @param servers - candidate servers, in any order
+ * @param firstDraw - random number, from 0 inclusive to 1 exclusive
+ * @param secondDraw - random number, from 0 inclusive to 1 exclusive
+ * @returns position of the chosen server, or -1 if there is none
  */
 export function chooseServer(
   { firstTokenMs, load }: ScoredServers,
@@ -41,10 +43,10 @@
   secondDraw: number,
 ): number {
   const best = firstTokenMs.reduce((least, value) => (value < least ? value : least), Infinity);
-  const limitMs = best + Math.max(NEAR_MS, best * NEAR_PART);
+  const limitMs = best + Math.max(TOLERANCE_MS, best * RELATIVE_TOLERANCE);
   const count = firstTokenMs.reduce((sum, value) => (value <= limitMs ? sum + 1 : sum), 0);
-  const first = findNear(firstTokenMs, limitMs, Math.floor(firstDraw * count));
-  const second = findNear(firstTokenMs, limitMs, Math.floor(secondDraw * count));
+  const first = findRankedWithin(firstTokenMs, limitMs, Math.floor(firstDraw * count));
+  const second = findRankedWithin(firstTokenMs, limitMs, Math.floor(secondDraw * count));
   const firstLoad = load[first] ?? 0;
   const secondLoad = load[second] ?? 0;
   if (firstLoad !== secondLoad) return firstLoad < secondLoad ? first : second;
--- a/src/domain/routing/chooseServer/test.ts
+++ b/src/domain/routing/chooseServer/test.ts
@@ -3,7 +3,7 @@
 
 const SERVERS = { firstTokenMs: [100, 110, 400], load: [0.9, 0.1, 0] };
 
-test('takes the less loaded of two near-best servers and never one that is clearly worse', (t) => {
+test('chooses the less loaded of two near-best servers and never a clearly worse one', (t) => {
   const draws = [0, 0.3, 0.6, 0.99];
   const chosen = draws.flatMap((first) =>
     draws.map((second) => chooseServer(SERVERS, first, second)),
@@ -12,7 +12,7 @@
   t.is(chosen.filter((index) => index === 1).length, 12);
 });
 
-test('there is no choice without servers, and one server is the choice', (t) => {
+test('chooses no server if there are none, and the only one if there is one', (t) => {
   t.is(chooseServer({ firstTokenMs: [], load: [] }, 0.5, 0.5), -1);
   t.is(chooseServer({ firstTokenMs: [400], load: [0] }, 0.99, 0), 0);
 });
--- a/src/domain/routing/computePrefixDigests/index.ts
+++ b/src/domain/routing/computePrefixDigests/index.ts
@@ -1,9 +1,12 @@
 import { createHash } from 'node:crypto';
 
-/** Characters between two cuts; part of the wire format of cache events (docs/ARCHITECTURE.md). */
+/**
+ * Prefix lengths are multiples of this; part of the wire format of cache events
+ * (docs/ARCHITECTURE.md).
+ */
 export const PREFIX_CUT_CHARACTERS = 256;
 
-/** Most digests of one prompt; part of the wire format of cache events. */
+/** Highest number of digests of one prompt; part of the wire format of cache events. */
 export const MAX_PREFIXES = 64;
 
 const DIGEST_HEX_CHARACTERS = 16;
@@ -11,9 +14,9 @@
 /**
  * Computes the digests of a prompt's prefixes, shortest first.
  *
- * Digest i covers the text up to the i-th cut; a rest shorter than a cut has none.
+ * Digest i covers the first i × `PREFIX_CUT_CHARACTERS` characters; a shorter rest has no digest.
  *
- * @param text - the prompt; for a chat its messages joined as `role\ncontent\n`
+ * @param text - the prompt; for a chat the messages joined as `role\ncontent\n`
  * @returns at most `MAX_PREFIXES` strings of 16 hex characters
  */
 export function computePrefixDigests(text: string): readonly string[] {
--- a/src/domain/routing/estimateFirstTokenMs/index.ts
+++ b/src/domain/routing/estimateFirstTokenMs/index.ts
@@ -1,27 +1,27 @@
-/** What the time to the first token at one server depends on. */
+/** Inputs of the estimated time to the first token on one server. */
 export interface FirstTokenInputs {
-  /** Requests at the server, running and waiting. */
+  /** Requests on the server, running and waiting. */
   readonly running: number;
   readonly slots: number;
-  /** Mean time for which one request holds a slot there, in milliseconds. */
+  /** Mean time for which one request holds a slot, in milliseconds. */
   readonly holdMs: number;
-  /** True: the engine serves it before those that wait. */
+  /** True if the engine serves the request before waiting ones. */
   readonly skipsQueue: boolean;
   readonly promptTokens: number;
-  /** Prompt tokens expected to be in its cache. */
+  /** Prompt tokens expected to be in the prefix cache. */
   readonly cachedTokens: number;
   readonly prefillMsPerToken: number;
   /** Round trip to the server's availability zone, in milliseconds. */
   readonly zoneRoundTripMs: number;
-  /** Speed relative to comparable servers; 1 is usual, lower is slower. */
+  /** Speed relative to comparable servers; 1 is normal, lower is slower. */
   readonly speed: number;
 }
 
-/** Slowdown of a prefill by a full batch: it shares the engine with the streams that run. */
+/** Relative slowdown of a prefill by a full batch: it shares the engine with running streams. */
 const BATCH_SLOWDOWN = 1;
 
-/** Floor of the speed, so that a stuck server gives a large number and not infinity. */
-const LOWEST_SPEED = 0.01;
+/** Lower bound of the speed, which keeps the estimate for a stuck server finite. */
+const MIN_SPEED = 0.01;
 
 /**
  * Estimates the time from sending a request to its first token.
@@ -30,11 +30,11 @@
  */
 export function estimateFirstTokenMs(inputs: FirstTokenInputs): number {
   const { running, slots, holdMs, zoneRoundTripMs } = inputs;
-  const excess = running - slots + 1;
-  const turns = inputs.skipsQueue ? Math.min(excess, 1) : excess;
-  const queueMs = excess > 0 ? (turns * holdMs) / slots : 0;
+  const queued = running - slots + 1;
+  const turns = inputs.skipsQueue ? Math.min(queued, 1) : queued;
+  const queueMs = queued > 0 ? (turns * holdMs) / slots : 0;
   const uncached = Math.max(1, inputs.promptTokens - inputs.cachedTokens);
   const slowdown = 1 + BATCH_SLOWDOWN * Math.min(1, running / slots);
   const prefillMs = uncached * inputs.prefillMsPerToken * slowdown;
-  return (queueMs + prefillMs) / Math.max(LOWEST_SPEED, inputs.speed) + zoneRoundTripMs;
+  return (queueMs + prefillMs) / Math.max(MIN_SPEED, inputs.speed) + zoneRoundTripMs;
 }
--- a/src/domain/routing/estimateFirstTokenMs/test.ts
+++ b/src/domain/routing/estimateFirstTokenMs/test.ts
@@ -13,7 +13,7 @@
   speed: 1,
 };
 
-test('grows with the queue, the batch and the distance, and falls with the cached prefix', (t) => {
+test('the estimate grows with queue, batch and slowness, and falls with the cached prefix', (t) => {
   t.is(estimateFirstTokenMs(IDLE), 101);
   t.is(estimateFirstTokenMs({ ...IDLE, cachedTokens: 900 }), 11);
   t.is(estimateFirstTokenMs({ ...IDLE, running: 4 }), 1201);
@@ -22,6 +22,6 @@
   t.is(estimateFirstTokenMs({ ...IDLE, speed: 0.5 }), 201);
 });
 
-test('stays finite for a server that is stuck and a prompt that is cached whole', (t) => {
+test('the estimate is finite for a stuck server and a fully cached prompt', (t) => {
   t.true(Number.isFinite(estimateFirstTokenMs({ ...IDLE, speed: 0, cachedTokens: 2000 })));
 });
--- a/src/domain/routing/filterAllowedServers/test.ts
+++ b/src/domain/routing/filterAllowedServers/test.ts
@@ -62,7 +62,7 @@
   },
 });
 
-test('a rule takes places away from the workspace that it covers only', (t) => {
+test('a placement rule restricts only the workspaces that it names', (t) => {
   const configuration = buildConfiguration([RULE]);
   const listNames = (workspace: string): readonly string[] =>
     filterAllowedServers(configuration, workspace, 'review')
@@ -72,7 +72,7 @@
   t.deepEqual(listNames('other'), ['n', 's']);
 });
 
-test('what is not named is refused', (t) => {
+test('services, workspaces and places that the configuration does not allow are refused', (t) => {
   const refuse = (rules: readonly PlacementRule[], workspace: string, service: string): string =>
     filterAllowedServers(buildConfiguration(rules), workspace, service).match(
       () => 'allowed',
@@ -85,7 +85,7 @@
   t.is(refuse([{ ...RULE, places: ['atlantis'] }], 'acme', 'review'), RefusalCode.NoAllowedPlace);
 });
 
-test('no set of rules ever allows a server outside the places that all of them leave', (t) => {
+test('any set of rules allows only servers in the places that all matching rules allow', (t) => {
   const rules = fc.array(
     fc.record({
       name: fc.constant('r'),
@@ -97,16 +97,16 @@
   );
   const placeOf: Readonly<Record<string, string>> = { n: 'north', s: 'south' };
   fc.assert(
-    fc.property(rules, (drawn) => {
-      const allowed = filterAllowedServers(buildConfiguration(drawn), 'acme', 'review');
+    fc.property(rules, (generated) => {
+      const allowed = filterAllowedServers(buildConfiguration(generated), 'acme', 'review');
       const servers = allowed.map((value) => value.servers).unwrapOr([]);
-      const covering = drawn.filter(
+      const matching = generated.filter(
         ({ workspaces, services }) =>
           (workspaces.length === 0 || workspaces.includes('acme')) &&
           (services.length === 0 || services.includes('review')),
       );
       return servers.every(({ name }) =>
-        covering.every(({ places }) => places.includes(placeOf[name] ?? 'none')),
+        matching.every(({ places }) => places.includes(placeOf[name] ?? 'none')),
       );
     }),
   );
--- a/src/domain/routing/filterBackendServers/test.ts
+++ b/src/domain/routing/filterBackendServers/test.ts
@@ -37,7 +37,7 @@
   ageMs: 0,
   receivedAtMs: 0,
 };
-const findFault = (
+const findExclusionReason = (
   report: Partial<LoadReport> | null,
   health: BackendHealth = 'serving',
   excluded: readonly string[] = [],
@@ -47,19 +47,19 @@
     findReport: () => (report === null ? null : { ...REPORT, ...report }),
   }).filtered[0]?.reason ?? 'ready';
 
-test('a server is ready with the model, version and adapter asked for, or before any report', (t) => {
-  t.is(findFault({}), 'ready');
-  t.is(findFault(null), 'ready');
-  t.is(findFault({ models: [] }), 'model-not-ready');
+test('a server is ready with the requested model, version and adapter, or without a report', (t) => {
+  t.is(findExclusionReason({}), 'ready');
+  t.is(findExclusionReason(null), 'ready');
+  t.is(findExclusionReason({ models: [] }), 'model-not-ready');
   const [model] = REPORT.models;
-  t.is(findFault({ models: [{ ...model!, version: '1' }] }), 'model-not-ready');
-  t.is(findFault({ models: [{ ...model!, adapter: '' }] }), 'model-not-ready');
+  t.is(findExclusionReason({ models: [{ ...model!, version: '1' }] }), 'model-not-ready');
+  t.is(findExclusionReason({ models: [{ ...model!, adapter: '' }] }), 'model-not-ready');
 });
 
-test('a server that is not serving, leaving, on standby or failed before is left out', (t) => {
-  t.is(findFault({}, 'suspected'), 'health-suspected');
-  t.is(findFault(null, 'leaving'), 'health-leaving');
-  t.is(findFault({ leaving: true }), 'says-it-is-leaving');
-  t.is(findFault({ role: 'standby' }), 'standby');
-  t.is(findFault({}, 'serving', ['review-1']), 'failed-this-request');
+test('a server that is not serving, is leaving, on standby or failed the request is excluded', (t) => {
+  t.is(findExclusionReason({}, 'suspected'), 'health-suspected');
+  t.is(findExclusionReason(null, 'leaving'), 'health-leaving');
+  t.is(findExclusionReason({ leaving: true }), 'says-it-is-leaving');
+  t.is(findExclusionReason({ role: 'standby' }), 'standby');
+  t.is(findExclusionReason({}, 'serving', ['review-1']), 'failed-this-request');
 });
--- a/src/domain/routing/types/AllowedServers.ts
+++ b/src/domain/routing/types/AllowedServers.ts
@@ -1,10 +1,13 @@
 import type { BackendServer, FilteredServer, Service } from '../../types';
 
-/** What one configuration version allows to one workspace and service, whatever the health. */
+/**
+ * Servers that a configuration allows for one workspace and service, regardless of their health.
+ */
 export interface AllowedServers {
   readonly service: Service;
-  /** Names of the places in which the work may run, sorted. */
+  /** Sorted names of the places in which the work may run. */
   readonly places: readonly string[];
   readonly servers: readonly BackendServer[];
+  /** Servers that are not allowed, each with a reason. */
   readonly filtered: readonly FilteredServer[];
 }
--- a/src/domain/rows/computeRowVersion/index.ts
+++ b/src/domain/rows/computeRowVersion/index.ts
@@ -1,17 +1,19 @@
-/** Where a change stands in the history of a store. */
+/** Position of a change in the history of a store. */
 export interface RowPosition {
-  /** Grows each time that the store comes back from a copy, which may lack changes. */
+  /** Increases each time the store is restored from a backup, which may lack changes. */
   readonly era: number;
-  /** Number of the change, which goes back with each era; 0: nothing was ever written. */
+  /** Number of the change, which may fall back with a new era; 0 if nothing was ever written. */
   readonly revision: number;
 }
 
-/** Revisions of one era; those of 2^20 eras are exact numbers. */
+/** Revisions of one era; versions of up to 2^20 eras are safe integers. */
 export const REVISIONS_PER_ERA = 2 ** 32;
 
 /**
- * Computes the version of a row, which only grows: a change of a later era is newer than all of those
- * before, whatever its revision. A store without any change has the version 0 in each era.
+ * Computes the version of a row, which only increases.
+ *
+ * A change of a later era is newer than all changes of earlier eras, regardless of its revision. A
+ * store without any change has version 0 in each era.
  *
  * @example
  * computeRowVersion({ era: 0, revision: 7 }); // 7
--- a/src/domain/rows/parseRowVersion/index.ts
+++ b/src/domain/rows/parseRowVersion/index.ts
@@ -1,6 +1,6 @@
 import { REVISIONS_PER_ERA, type RowPosition } from '../computeRowVersion';
 
-/** Parses the version of a row, as `computeRowVersion` gives it. */
+/** Splits a version computed by `computeRowVersion` into era and revision. */
 export const parseRowVersion = (version: number): RowPosition => ({
   era: Math.floor(version / REVISIONS_PER_ERA),
   revision: version % REVISIONS_PER_ERA,
