--- a/src/domain/access/checkServiceAccess/index.ts
+++ b/src/domain/access/checkServiceAccess/index.ts
@@ -9,9 +9,9 @@
 /**
  * Checks that a workspace may use a service of the expected kind.
  *
- * Whether an allowed place has a ready server is for the routing to say.
+ * Does not check whether an allowed place has a ready server; routing does.
  *
- * @returns the service; `unknown-service` also if the name stands for a service of the other kind
+ * @returns the service; `unknown-service` also if the service is of the other kind
  */
 export const checkServiceAccess = (
   configuration: Configuration,
--- a/src/domain/access/findWorkspace/index.ts
+++ b/src/domain/access/findWorkspace/index.ts
@@ -2,13 +2,14 @@
 import { computeKeyDigest } from '../computeKeyDigest';
 
 /**
- * Finds the workspace that a bearer key belongs to.
+ * Finds the workspace to which a bearer key belongs.
  *
- * Only digests are compared: a caller that could measure the comparison learns of a digest that it
- * cannot choose, not of the key.
+ * Only digests are compared, so a timing attack reveals parts of a digest that the caller cannot
+ * choose, and nothing about the key.
  *
- * @param workspaces - all workspaces of the configuration in force
- * @param key - the bearer key; an empty one belongs to no workspace
+ * @param workspaces - all workspaces of the active configuration
+ * @param key - bearer key; an empty key belongs to no workspace
+ * @returns the workspace, or null if there is none
  */
 export const findWorkspace = (workspaces: readonly Workspace[], key: string): Workspace | null => {
   if (key === '') return null;
--- a/src/domain/admission/acquireRetryCredit/index.ts
+++ b/src/domain/admission/acquireRetryCredit/index.ts
@@ -3,24 +3,24 @@
 import type { RetryBudget } from '../types';
 
 /**
- * How far each purpose may draw the budget down. A resume replaces an attempt that died, and a
- * refusal would lose a generation; a retry or a hedge is only sent while there is credit.
+ * Minimum credits after an attempt of each purpose. A resume replaces a failed attempt, and
+ * refusing it would lose a generation, so resumes may overdraw. Retries and hedges need credit.
  */
-const LOWEST_CREDITS: Readonly<Record<DemandPurpose, number>> = {
+const MIN_CREDITS: Readonly<Record<DemandPurpose, number>> = {
   [DemandPurpose.Resume]: -RETRY_BURST,
   [DemandPurpose.Start]: 0,
   [DemandPurpose.Hedge]: 0,
 };
 
 /**
- * Acquires leave for an extra attempt.
+ * Takes the credit for an extra attempt from the budget.
  *
- * @returns the budget without the credit, or null if it is spent
+ * @returns the reduced budget, or null if the budget is exhausted
  */
 export function acquireRetryCredit(
   budget: RetryBudget,
   purpose: DemandPurpose,
 ): RetryBudget | null {
   const credits = budget.credits - 1;
-  return credits < LOWEST_CREDITS[purpose] ? null : { credits };
+  return credits < MIN_CREDITS[purpose] ? null : { credits };
 }
--- a/src/domain/admission/acquireRetryCredit/test.ts
+++ b/src/domain/admission/acquireRetryCredit/test.ts
@@ -13,7 +13,7 @@
   return granted;
 };
 
-test('retries stay under their part of first attempts once the burst is spent', (t) => {
+test('retries are limited to their fraction of first attempts, plus a bounded burst', (t) => {
   let budget = { credits: 0 };
   for (let index = 0; index < 100; index += 1) budget = addRetryCredit(budget, 0.125);
   t.is(countGranted(budget.credits, 'start'), 12);
@@ -21,7 +21,7 @@
   t.is(budget.credits, RETRY_BURST);
 });
 
-test('resumes may overdraw, by a bounded number', (t) => {
+test('resumes may overdraw the budget by a bounded number, hedges may not', (t) => {
   t.is(countGranted(0, 'resume'), RETRY_BURST);
   t.is(countGranted(0, 'hedge'), 0);
 });
--- a/src/domain/admission/compareWaiters/index.ts
+++ b/src/domain/admission/compareWaiters/index.ts
@@ -1,10 +1,10 @@
 import type { Waiter } from '../types';
 
 /**
- * Compares two waiters of a class by who is served first: resumes and retries, then by fair share, then by
- * arrival.
+ * Compares two waiters of a class in the order in which they are served: resumes and retries first,
+ * then by start tag, then by arrival.
  *
- * @returns below 0 if `left` is first
+ * @returns a negative number if `left` is served first
  */
 export function compareWaiters(left: Waiter, right: Waiter): number {
   if (left.comesFirst !== right.comesFirst) return left.comesFirst ? -1 : 1;
--- a/src/domain/admission/computeStartTag/index.ts
+++ b/src/domain/admission/computeStartTag/index.ts
@@ -1,6 +1,6 @@
 import type { FairQueueState } from '../types';
 
-/** A start tag, and the shares with the demand counted in. */
+/** A start tag, and the state of the queue after the demand was added. */
 export interface StartTagResult {
   readonly startTag: number;
   readonly state: FairQueueState;
@@ -9,23 +9,23 @@
 /**
  * Computes the start tag of a demand under start-time fair queueing.
  *
- * Served in the order of the tags, each backlogged workspace gets work in proportion to its weight.
- * A workspace that was idle starts at the present virtual time: it loses nothing, and saves up
- * nothing; what it leaves is borrowed by the others.
+ * When demands are served in the order of their tags, each backlogged workspace gets service in
+ * proportion to its weight. A workspace that was idle starts at the current virtual time: it
+ * keeps its share and accumulates no credit. Other workspaces use the share of an idle one.
  *
- * @param shares - state of the place
+ * @param state - state of the queue
  * @param workspace - name of the workspace
- * @param weight - its weight, above 0
+ * @param weight - weight of the workspace, greater than 0
  * @param cost - expected work of the demand, in tokens
  */
 export function computeStartTag(
-  shares: FairQueueState,
+  state: FairQueueState,
   workspace: string,
   weight: number,
   cost: number,
 ): StartTagResult {
-  const startTag = Math.max(shares.virtualTime, shares.finishTags.get(workspace) ?? 0);
-  const finishTags = new Map(shares.finishTags);
+  const startTag = Math.max(state.virtualTime, state.finishTags.get(workspace) ?? 0);
+  const finishTags = new Map(state.finishTags);
   finishTags.set(workspace, startTag + cost / weight);
-  return { startTag, state: { ...shares, finishTags } };
+  return { startTag, state: { ...state, finishTags } };
 }
--- a/src/domain/admission/findWorkClassPolicy/index.ts
+++ b/src/domain/admission/findWorkClassPolicy/index.ts
@@ -2,16 +2,17 @@
 import type { WorkClassPolicy } from '../types';
 
 /**
- * Part of the slots by which lookups may overfill an engine. They wait there by priority, so that
- * the next free slot is theirs at once; a queue here would learn of it only by a late report.
+ * Fraction of the slots by which lookups may exceed the slots of an engine. The extra lookups wait
+ * at the engine by priority and get the next free slot at once; a queue on this VM would learn of
+ * the free slot only from a delayed load report.
  */
-const LOOKUP_OVERFILL = 0.5;
+const LOOKUP_OVERCOMMIT = 0.5;
 
 const CLASS_POLICIES: Readonly<Record<WorkClass, WorkClassPolicy>> = {
   [WorkClass.Lookup]: {
     enginePriority: 100,
     queueRank: 0,
-    computeLimit: ({ slots }) => slots + Math.ceil(slots * LOOKUP_OVERFILL),
+    computeLimit: ({ slots }) => slots + Math.ceil(slots * LOOKUP_OVERCOMMIT),
     isServedFirst: true,
   },
   [WorkClass.Plain]: {
@@ -28,7 +29,7 @@
   },
 };
 
-/** Finds how a class of work is admitted. */
+/** Finds the admission rules of a class of work. */
 export function findWorkClassPolicy(workClass: WorkClass): WorkClassPolicy {
   return CLASS_POLICIES[workClass];
 }
--- a/src/domain/admission/hasQueueCapacity/index.ts
+++ b/src/domain/admission/hasQueueCapacity/index.ts
@@ -1,22 +1,23 @@
-/** State of a bounded queue as a new demand finds it. */
+/** Occupancy of a bounded queue when a new demand arrives. */
 export interface QueueOccupancy {
   readonly waiting: number;
   readonly waitingOfWorkspace: number;
-  /** Most that may wait. */
+  /** Maximum number of demands in the queue. */
   readonly maxWaiting: number;
   /** Weight of the workspace relative to the mean of all workspaces. */
   readonly relativeWeight: number;
 }
 
-/** Free room that a workspace of mean weight may fill, as a multiple of what is left free. */
+/** Entries that a workspace of mean weight may hold, as a multiple of the free entries. */
 const THRESHOLD_FACTOR = 1;
 
 /**
- * Tells whether a bounded queue takes one more demand of a workspace.
+ * Checks whether a bounded queue accepts another demand of a workspace.
  *
- * A dynamic threshold: a workspace may hold as many places as are still free, by its weight. One
- * alone gets half of the queue, and the room left is there at once for the others. Pushing out
- * waiters instead was ruled out: their refusal would come late.
+ * Uses a dynamic threshold: a workspace may hold as many entries as are still free, scaled by its
+ * weight. A single busy workspace gets half of the queue, and the other half is immediately
+ * available to other workspaces. Evicting queued demands instead was ruled out, since evicted
+ * demands would be refused late.
  */
 export function hasQueueCapacity(state: QueueOccupancy): boolean {
   const free = state.maxWaiting - state.waiting;
--- a/src/domain/admission/hasQueueCapacity/test.ts
+++ b/src/domain/admission/hasQueueCapacity/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { hasQueueCapacity } from '.';
 
-test('a large workspace cannot fill the queue, a small one still finds room', (t) => {
+test('a busy workspace cannot fill the queue, so that others are still admitted', (t) => {
   const full = { waiting: 50, waitingOfWorkspace: 50, maxWaiting: 100, relativeWeight: 1 };
   t.false(hasQueueCapacity(full));
   t.true(hasQueueCapacity({ ...full, waitingOfWorkspace: 0 }));
@@ -9,7 +9,7 @@
   t.true(hasQueueCapacity({ ...full, relativeWeight: 2 }));
 });
 
-test('the bound holds for everyone, also when it is 0', (t) => {
+test('the bound of the queue holds for any weight, also when it is 0', (t) => {
   const state = { waiting: 3, waitingOfWorkspace: 0, maxWaiting: 3, relativeWeight: 10 };
   t.false(hasQueueCapacity(state));
   t.false(hasQueueCapacity({ ...state, waiting: 0, maxWaiting: 0 }));
--- a/src/domain/admission/removeQueuedCost/index.ts
+++ b/src/domain/admission/removeQueuedCost/index.ts
@@ -1,17 +1,17 @@
 import type { FairQueueState } from '../types';
 
 /**
- * Removes the cost of a demand that left the queue unserved.
+ * Removes the cost of a demand that left the queue without being served.
  *
- * Without this a workspace whose callers give up would be put behind for work that it never got.
+ * Otherwise a workspace whose callers cancel would be charged for work that was never done.
  */
 export function removeQueuedCost(
-  shares: FairQueueState,
+  state: FairQueueState,
   workspace: string,
   weight: number,
   cost: number,
 ): FairQueueState {
-  const finishTags = new Map(shares.finishTags);
+  const finishTags = new Map(state.finishTags);
   finishTags.set(workspace, (finishTags.get(workspace) ?? 0) - cost / weight);
-  return { ...shares, finishTags };
+  return { ...state, finishTags };
 }
--- a/src/domain/admission/types/FairQueueState.ts
+++ b/src/domain/admission/types/FairQueueState.ts
@@ -1,7 +1,7 @@
-/** State of weighted fair queueing within a place. */
+/** State of weighted fair queueing for a place. */
 export interface FairQueueState {
-  /** Start tag of the newest served waiter. */
+  /** Start tag of the waiter that was served last. */
   readonly virtualTime: number;
-  /** Virtual time at which each workspace's queued work ends. */
+  /** Finish tag of the last queued demand of each workspace, in virtual time. */
   readonly finishTags: ReadonlyMap<string, number>;
 }
--- a/src/domain/admission/types/RetryBudget.ts
+++ b/src/domain/admission/types/RetryBudget.ts
@@ -1,5 +1,5 @@
-/** Budget from which retries, resumes and hedges draw. */
+/** Budget for extra attempts: retries, resumes and hedges. */
 export interface RetryBudget {
-  /** Extra attempts that may still be made; below 0 after resumes that overdrew it. */
+  /** Remaining extra attempts; negative after resumes that overdrew the budget. */
   readonly credits: number;
 }
--- a/src/domain/admission/types/Waiter.ts
+++ b/src/domain/admission/types/Waiter.ts
@@ -2,8 +2,8 @@
 export interface Waiter {
   readonly id: number;
   readonly workspace: string;
-  /** True: a resume or a retry, which had its turn before. */
+  /** True for a resume or a retry, which has already been served once. */
   readonly comesFirst: boolean;
-  /** Virtual time at which its service would start under weighted fair queueing. */
+  /** Virtual time at which the demand would be served under weighted fair queueing. */
   readonly startTag: number;
 }
--- a/src/domain/admission/types/WorkClassPolicy.ts
+++ b/src/domain/admission/types/WorkClassPolicy.ts
@@ -1,18 +1,18 @@
-/** Room of one backend server for a class of work. */
+/** Slots of one backend server. */
 export interface ServerSlots {
   readonly slots: number;
-  /** Slots kept for lookups; 0 on a server that serves none. */
+  /** Slots reserved for lookups; 0 on a server that serves no lookups. */
   readonly reservedSlots: number;
 }
 
-/** How a class of work is admitted. */
+/** Admission rules of a class of work. */
 export interface WorkClassPolicy {
-  /** Priority at the engines; higher is served first. */
+  /** Priority at the engines; higher values are served first. */
   readonly enginePriority: number;
-  /** Place of the class in a queue; lower is served first. */
+  /** Rank of the class in a queue; lower values are served first. */
   readonly queueRank: number;
-  /** Requests at a server, of all classes, below which one of this class may still be sent. */
-  readonly computeLimit: (room: ServerSlots) => number;
-  /** True: engines serve it before the other classes that wait there. */
+  /** Requests of all classes at a server below which a request of this class may be sent. */
+  readonly computeLimit: (server: ServerSlots) => number;
+  /** True: engines serve the class before all other classes that wait at the engine. */
   readonly isServedFirst: boolean;
 }
--- a/src/domain/claim/buildClaim/index.ts
+++ b/src/domain/claim/buildClaim/index.ts
@@ -1,7 +1,7 @@
 import { ClaimState, type ClaimRow } from '../../types';
 import type { Claimant } from '../types';
 
-/** The parts of a claim that come from the request. */
+/** The fields of a claim that come from the request. */
 export type ClaimedRequest = Pick<
   ClaimRow,
   'workspace' | 'keyDigest' | 'generationId' | 'requestDigest' | 'idempotent'
@@ -10,11 +10,11 @@
 /**
  * Builds the row of a new claim.
  *
- * Its first revision is random. If all rows began at 1, a VM that was paused while its row was
- * removed and claimed anew could meet its own old revision again, and its late update would pass
- * for the new holder's; one would notice an answer of another generation under the key.
+ * The first revision is random. If all rows started at 1, a VM that was paused while its row was
+ * removed and claimed again could find its old revision in the new row. Its late update would then
+ * overwrite the row of the new holder, and the key would return the answer of another generation.
  */
-export function buildClaim(request: ClaimedRequest, seed: Claimant): ClaimRow {
+export function buildClaim(request: ClaimedRequest, claimant: Claimant): ClaimRow {
   const { workspace, keyDigest, generationId, requestDigest, idempotent } = request;
   return {
     workspace,
@@ -22,7 +22,7 @@
     generationId,
     requestDigest,
     idempotent,
-    ...seed,
+    ...claimant,
     backendServer: '',
     streamId: '',
     attempt: 0,
--- a/src/domain/claim/buildTakeoverClaim/index.ts
+++ b/src/domain/claim/buildTakeoverClaim/index.ts
@@ -2,13 +2,14 @@
 import type { Claimant } from '../types';
 
 /**
- * Builds the row of a VM that takes a claim over: the same generation under a claim id of its own.
+ * Builds the row of a VM that takes over a claim: the same generation under a new claim id.
  *
- * The revision grows by a random amount, not by 1. The first holder may be paused while it resolves
- * a lost answer; if the platform removes the row meanwhile, it writes its claim anew and counts on
- * from its old first revision, up to the very one that its successor expects. The successor's
- * update would then replace a row that is not its own; the search in tests/model found it.
+ * The revision increases by a random amount, not by 1. The first holder may be paused while it
+ * resolves a lost response. If the platform removes the row meanwhile, the holder writes its claim
+ * again and increments its old first revision, possibly up to the revision that its successor
+ * expects. An update by the successor would then replace the row of the first holder. The state
+ * space search in tests/model found this case.
  */
-export function buildTakeoverClaim(seen: ClaimRow, seed: Claimant): ClaimRow {
-  return { ...seen, ...seed, revision: seen.revision + seed.revision };
+export function buildTakeoverClaim(seen: ClaimRow, claimant: Claimant): ClaimRow {
+  return { ...seen, ...claimant, revision: seen.revision + claimant.revision };
 }
--- a/src/domain/claim/chooseAcquireStep/index.ts
+++ b/src/domain/claim/chooseAcquireStep/index.ts
@@ -7,7 +7,7 @@
   const { row } = current;
   if (row.claimId === sent.claimId) return { kind: 'done', row };
   if (!isClaimReplaceable(current, nowS)) return { kind: 'lost', row };
-  // A random step up, as in `buildSuccessor`.
+  // The revision increases by a random amount, as in `buildTakeoverClaim`.
   const next = { ...sent, revision: row.revision + sent.revision };
   return { kind: 'write', row: next, expectedRevision: row.revision };
 }
@@ -15,12 +15,13 @@
 /**
  * Chooses the next step of a new claim after a reply.
  *
- * A write whose answer was lost is read back; if its row is not there it is written again under
- * the same claim id, not given up: the lost one may still be on its way, and of two writes with
- * the same id it does not matter which takes effect.
+ * After a lost response the row is read back. If the row does not exist, it is written again under
+ * the same claim id: the lost write may still arrive, and it does not matter which of two writes
+ * with the same id takes effect.
  *
- * @param sent the row last sent
- * @param nowS wall time, seconds since the epoch
+ * @param sent - the row last sent
+ * @param reply - the result of the last step
+ * @param nowS - wall time, in seconds since the epoch
  */
 export function chooseAcquireStep(sent: ClaimRow, reply: ClaimReply, nowS: number): ClaimStep {
   if (reply.kind === 'written') return { kind: 'done', row: sent };
--- a/src/domain/claim/chooseTakeoverStep/index.ts
+++ b/src/domain/claim/chooseTakeoverStep/index.ts
@@ -2,11 +2,14 @@
 import type { ClaimReply, ClaimStep } from '../types';
 
 /**
- * Chooses the next step of a takeover after a reply. It succeeds only on the revision that was
- * seen: a holder that has written since is not dead.
+ * Chooses the next step of a takeover after a reply.
  *
- * @param seen the row of the VM held for dead
- * @param sent the row that takes its place, with a claim id of its own
+ * The takeover succeeds only on the revision that was read: a holder that has written since is
+ * alive.
+ *
+ * @param seen - the row of the holder that is assumed dead
+ * @param sent - the replacing row, with a new claim id
+ * @param reply - the result of the last step
  */
 export function chooseTakeoverStep(seen: ClaimRow, sent: ClaimRow, reply: ClaimReply): ClaimStep {
   if (reply.kind === 'written') return { kind: 'done', row: sent };
--- a/src/domain/claim/chooseUpdateStep/index.ts
+++ b/src/domain/claim/chooseUpdateStep/index.ts
@@ -1,7 +1,7 @@
 import type { ClaimRow } from '../../types';
 import type { ClaimReply, ClaimStep } from '../types';
 
-/** The parts of a claim that its holder changes. */
+/** The fields of a claim that its holder changes. */
 export type ClaimChange = Partial<
   Pick<ClaimRow, 'backendServer' | 'streamId' | 'attempt' | 'state'>
 >;
@@ -10,14 +10,16 @@
   Object.entries(change).every(([field, value]) => row[field as keyof ClaimChange] === value);
 
 /**
- * Chooses the next step of a holder's update after a reply.
+ * Chooses the next step of an update by the holder after a reply.
  *
- * The holder's own earlier update may take effect late, after its answer was lost: the row is then
- * still ours at a revision not expected, and the change is made again on top of it. Under another
- * claim id the row is someone else's: this VM was paused or cut off, and was taken for dead.
+ * An earlier update of the holder may take effect late, after its response was lost. The row then
+ * has the same claim id but an unexpected revision, and the change is applied on top of it. A row
+ * with another claim id belongs to another VM, which took over because this VM was paused or cut
+ * off.
  *
- * @param sent the row last sent
- * @param change what the holder wants changed
+ * @param sent - the row last sent
+ * @param change - the fields to change
+ * @param reply - the result of the last step
  */
 export function chooseUpdateStep(
   sent: ClaimRow,
--- a/src/domain/claim/decodeAnswer/index.ts
+++ b/src/domain/claim/decodeAnswer/index.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import type { StoredAnswer } from '../../types';
 
-/** Content that is no stored answer; says nothing of the content itself. */
+/** Content that is not a valid stored answer; the error does not quote the content. */
 export interface MalformedAnswer {
   readonly kind: 'malformed-answer';
 }
@@ -22,7 +22,7 @@
       tokenCounts.reduce((sum, count) => sum + count, 0) === tokenIds.length,
   );
 
-/** Decodes a stored answer; one whose batches do not add up to its tokens is malformed. */
+/** Decodes a stored answer; malformed if the batches do not add up to the tokens. */
 export function decodeAnswer(content: Uint8Array): Result<StoredAnswer, MalformedAnswer> {
   try {
     return ok(AnswerContent.parse(JSON.parse(new TextDecoder().decode(content))));
--- a/src/domain/claim/decodeClaim/index.ts
+++ b/src/domain/claim/decodeClaim/index.ts
@@ -3,7 +3,7 @@
 import { parseJson } from '../../json';
 import { ClaimState, type ClaimRow } from '../../types';
 
-/** A body that is no claim. */
+/** A body that is not a valid claim. */
 export interface MalformedClaim {
   readonly kind: 'malformed-claim';
   readonly reason: string;
@@ -24,7 +24,7 @@
   state: z.enum(ClaimState),
 });
 
-/** Decodes the body of a claim's row. */
+/** Decodes the body of the row of a claim. */
 export function decodeClaim(body: string, revision: number): Result<ClaimRow, MalformedClaim> {
   const parsed = ClaimBody.safeParse(parseJson(body));
   return parsed.success
--- a/src/domain/claim/encodeClaim/index.ts
+++ b/src/domain/claim/encodeClaim/index.ts
@@ -1,6 +1,6 @@
 import type { ClaimRow } from '../../types';
 
-/** Encodes a claim as the body of its row; the revision stands beside the body. */
+/** Encodes a claim as the body of its row; the revision is stored outside the body. */
 export function encodeClaim({ revision, ...body }: ClaimRow): string {
   return JSON.stringify(body);
 }
--- a/src/domain/claim/isClaimReplaceable/index.ts
+++ b/src/domain/claim/isClaimReplaceable/index.ts
@@ -1,16 +1,16 @@
 import { ClaimState } from '../../types';
 import type { StoredClaim } from '../types';
 
-/** By how much the wall clocks of VMs and platform may differ, in seconds. */
+/** Maximum difference between the wall clocks of the VMs and the platform, in seconds. */
 export const MAX_CLOCK_SKEW_S = 300;
 
 /**
- * Tells whether a row has served its time, so that a new claim may take its place.
+ * Checks whether a row has expired, so that a new claim may replace it.
  *
- * Running and non-idempotent rows never have: a VM whose wall clock jumped ahead would else run
- * work twice. Only the platform removes those.
+ * Running and non-idempotent rows never expire here, since a VM whose wall clock jumped ahead would
+ * otherwise run work twice. Only the platform removes such rows.
  *
- * @param nowS wall time, seconds since the epoch
+ * @param nowS - wall time, in seconds since the epoch
  */
 export function isClaimReplaceable({ row, expiresAtS }: StoredClaim, nowS: number): boolean {
   const ended = row.state !== ClaimState.Running;
--- a/src/domain/claim/types/ClaimStep.ts
+++ b/src/domain/claim/types/ClaimStep.ts
@@ -1,13 +1,13 @@
 import type { ClaimRow } from '../../types';
 
-/** What to do next to bring a change of a claim to its end. */
+/** The next step to complete a change of a claim. */
 export type ClaimStep =
-  /** The row is ours and stands so in the table. */
+  /** The row belongs to this VM and is stored in the table. */
   | { readonly kind: 'done'; readonly row: ClaimRow }
-  /** The row is someone else's, or gone. */
+  /** The row belongs to another VM, or no longer exists. */
   | { readonly kind: 'lost'; readonly row: ClaimRow | null }
   | { readonly kind: 'read' }
-  /** Write `row` if the stored revision is `expectedRevision`, or if there is none for null. */
+  /** Write `row` if the stored revision equals `expectedRevision`; null expects no row. */
   | {
       readonly kind: 'write';
       readonly row: ClaimRow;
--- a/src/domain/configuration/_lib/listAllowedPlaces/index.ts
+++ b/src/domain/configuration/_lib/listAllowedPlaces/index.ts
@@ -1,13 +1,13 @@
 import type { Configuration, PlacementRule, Workspace } from '../../../types';
 
-/** Tells whether a rule covers a workspace's use of a service. */
+/** Checks whether a rule applies to the use of a service by a workspace. */
 export function isCovered(rule: PlacementRule, workspace: string, service: string): boolean {
   const coversWorkspace = rule.workspaces.length === 0 || rule.workspaces.includes(workspace);
   const coversService = rule.services.length === 0 || rule.services.includes(service);
   return coversWorkspace && coversService;
 }
 
-/** Lists the places left to a workspace for a service after every rule. */
+/** Lists the places in which all rules allow a workspace to use a service. */
 export function listAllowedPlaces(
   configuration: Configuration,
   workspace: Workspace,
--- a/src/domain/configuration/_lib/listEngineTargetFaults/index.ts
+++ b/src/domain/configuration/_lib/listEngineTargetFaults/index.ts
@@ -19,9 +19,9 @@
 }
 
 /**
- * Lists engine targets of unknown or plain servers, and servers with two targets.
+ * Lists engine targets for unknown or plain servers, and servers with two targets.
  *
- * The path of these faults names the backend server, since a target stands for one server here.
+ * The path of a fault names the backend server, since a target applies to exactly one server.
  */
 export function listEngineTargetFaults(
   configuration: Configuration,
@@ -35,7 +35,7 @@
     ...targets.flatMap((target) => checkTarget(configuration, target)),
     ...repeated.map(({ backendServer }) => ({
       path: ['engine_targets', backendServer],
-      reason: `"${backendServer}" stands in two engine targets`,
+      reason: `"${backendServer}" appears in two engine targets`,
     })),
   ];
 }
--- a/src/domain/configuration/_lib/listPlaceFaults/index.ts
+++ b/src/domain/configuration/_lib/listPlaceFaults/index.ts
@@ -1,20 +1,20 @@
 import type { Configuration, Place } from '../../../types';
 import type { ConfigurationFault } from '../../types';
 
-function hasZoneElsewhere(place: Place, others: readonly Place[], zone: string): boolean {
+function isZoneInOtherRegion(place: Place, others: readonly Place[], zone: string): boolean {
   return others.some(
     (other) => other.region !== place.region && other.availabilityZones.includes(zone),
   );
 }
 
-/** Lists places whose availability zone stands in two regions; in two places it may stand. */
+/** Lists availability zones that belong to two regions; a zone may belong to two places. */
 export function listPlaceFaults({ places }: Configuration): readonly ConfigurationFault[] {
   return places.flatMap((place) =>
     place.availabilityZones
-      .filter((zone) => hasZoneElsewhere(place, places, zone))
+      .filter((zone) => isZoneInOtherRegion(place, places, zone))
       .map((zone) => ({
         path: ['places', place.name, 'availability_zones'],
-        reason: `availability zone "${zone}" stands in another region elsewhere`,
+        reason: `availability zone "${zone}" also belongs to another region`,
       })),
   );
 }
--- a/src/domain/configuration/_lib/listServerFaults/index.ts
+++ b/src/domain/configuration/_lib/listServerFaults/index.ts
@@ -23,7 +23,7 @@
   if (new Set(kinds).size <= 1) {
     return [];
   }
-  const reason = 'names model and plain services; a backend server is of one kind';
+  const reason = 'names both model and plain services; a backend server serves only one kind';
   return [{ path: ['backend_servers', server.name, 'services'], reason }];
 }
 
@@ -40,7 +40,9 @@
   });
 }
 
-/** Lists backend servers outside every place, of unknown services, or of one URL. */
+/**
+ * Lists backend servers outside all places, with unknown or mixed services, or with a shared URL.
+ */
 export function listServerFaults(configuration: Configuration): readonly ConfigurationFault[] {
   const known = buildNameSet(configuration.services);
   const faults = configuration.backendServers.flatMap((server) => [
--- a/src/domain/configuration/_lib/listServiceFaults/index.ts
+++ b/src/domain/configuration/_lib/listServiceFaults/index.ts
@@ -28,11 +28,11 @@
     .filter(([, value]) => value !== '')
     .map(([key]) => ({
       path: ['services', service.name, key],
-      reason: 'has no meaning for a plain service',
+      reason: 'does not apply to a plain service',
     }));
 }
 
-/** Lists services whose keys do not fit their kind. */
+/** Lists services with keys that do not apply to their kind. */
 export function listServiceFaults({ services }: Configuration): readonly ConfigurationFault[] {
   return services.flatMap((service) => [...checkWorkClass(service), ...checkModelKeys(service)]);
 }
--- a/src/domain/configuration/_lib/listUnknownNames/index.ts
+++ b/src/domain/configuration/_lib/listUnknownNames/index.ts
@@ -1,10 +1,10 @@
 import type { ConfigurationFault } from '../../types';
 
 /**
- * Lists a fault for each name that is not known.
+ * Lists a fault for each unknown name.
  *
  * @param path - key that holds the names
- * @param noun - what is named, for the message
+ * @param noun - kind of the named item, for the message
  */
 export function listUnknownNames(
   path: readonly string[],
@@ -17,7 +17,7 @@
     .map((name) => ({ path, reason: `names the unknown ${noun} "${name}"` }));
 }
 
-/** Collects names for look-up. */
+/** Builds the set of the names of items. */
 export function buildNameSet(items: readonly { readonly name: string }[]): ReadonlySet<string> {
   return new Set(items.map(({ name }) => name));
 }
--- a/src/domain/configuration/_lib/listWorkspaceFaults/index.ts
+++ b/src/domain/configuration/_lib/listWorkspaceFaults/index.ts
@@ -20,7 +20,7 @@
   );
 }
 
-function checkService(
+function checkServicePlacement(
   configuration: Configuration,
   workspace: Workspace,
   service: string,
@@ -79,13 +79,18 @@
     ),
     ...listUnknownNames([...path, 'places'], 'place', workspace.places, buildNameSet(places)),
   ];
-  // Placement can be judged only once all names are known.
+  // Placement can only be checked if all names are known.
   return unknown.length > 0
     ? unknown
-    : workspace.services.flatMap((service) => checkService(configuration, workspace, service));
+    : workspace.services.flatMap((service) =>
+        checkServicePlacement(configuration, workspace, service),
+      );
 }
 
-/** Lists workspaces with unknown names, without an allowed server, or with another's key. */
+/**
+ * Lists faults of workspaces: unknown names, services without an allowed server, and key digests
+ * that another workspace also lists.
+ */
 export function listWorkspaceFaults(configuration: Configuration): readonly ConfigurationFault[] {
   const faults = configuration.workspaces.flatMap((workspace) =>
     checkWorkspace(configuration, workspace),
--- a/src/domain/configuration/checkConfiguration/index.ts
+++ b/src/domain/configuration/checkConfiguration/index.ts
@@ -7,7 +7,7 @@
 import { listWorkspaceFaults } from '../_lib/listWorkspaceFaults';
 import type { ConfigurationFault } from '../types';
 
-/** Checks by part of the configuration, in the order in which operators read it. */
+/** Checks for each part of the configuration, in the order in which faults are reported. */
 const CHECKS = [
   listPlaceFaults,
   listServiceFaults,
@@ -18,9 +18,9 @@
 ] as const;
 
 /**
- * Checks the parts of a configuration against each other: references, placement, key digests.
+ * Checks that the parts of a configuration are consistent: references, placement, key digests.
  *
- * @returns every fault found; empty if there is none
+ * @returns all faults; empty if there are none
  */
 export function checkConfiguration(configuration: Configuration): readonly ConfigurationFault[] {
   return CHECKS.flatMap((listFaults) => listFaults(configuration));
--- a/src/domain/configuration/checkTableReaders/index.ts
+++ b/src/domain/configuration/checkTableReaders/index.ts
@@ -1,7 +1,7 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { TableReaders } from '../types';
 
-/** Too few VMs would learn of a change. */
+/** Too few VMs read the table to accept a change. */
 export interface TooFewReaders extends TableReaders {
   readonly kind: 'too-few-readers';
 }
@@ -9,10 +9,11 @@
 /**
  * Checks whether a change may be accepted: at least half of the listed VMs must read the table.
  *
- * What goes wrong: more than half of the VMs lose the table, hear each other, take it to be down
- * (see `checkFreshness`) and go on, while an operator who still reaches it changes the
- * configuration. Nothing that those VMs see tells them. With this check, a change is accepted only
- * if the VMs that do not read the table are half or fewer, hence cut off.
+ * Without this check, more than half of the VMs could lose contact with the table but not with each
+ * other, assume that the table is down (see `checkFreshness`) and continue, while an operator who
+ * still reaches the table changes the configuration. Those VMs cannot detect the change. With the
+ * check, at most half of the VMs do not read the table when a change is accepted, and these are cut
+ * off.
  */
 export function checkTableReaders(readers: TableReaders): Result<void, TooFewReaders> {
   return readers.vmsReading * 2 >= readers.vmsListed
--- a/src/domain/configuration/checkTableReaders/test.ts
+++ b/src/domain/configuration/checkTableReaders/test.ts
@@ -2,16 +2,16 @@
 import { checkTableReaders } from '.';
 import { checkFreshness, FRESHNESS_LIMIT_MS } from '../checkFreshness';
 
-test('at least half must read; an empty list is no reason to refuse', (t) => {
+test('a change needs at least half of the listed VMs as readers, if any are listed', (t) => {
   t.true(checkTableReaders({ vmsListed: 0, vmsReading: 0 }).isOk());
   t.true(checkTableReaders({ vmsListed: 8, vmsReading: 4 }).isOk());
   t.true(checkTableReaders({ vmsListed: 9, vmsReading: 4 }).isErr());
 });
 
-// Symptom: five of nine VMs serve by version 4 for an hour while version 5 is accepted.
-// Sequence: a partition leaves table, operator and four VMs on one side; the operator applies.
-// Cause: the five hear more than half of the VMs and take the table to be down for all.
-test('no split lets a change be accepted while the other side goes on', (t) => {
+// Guards against five of nine VMs that serve under version 4 while version 5 is accepted: a
+// partition leaves the table, the operator and four VMs on the other side, and the five VMs are in
+// contact with a majority and assume that the table is down for all.
+test('no change is accepted while the other side of a partition continues', (t) => {
   for (let vmsListed = 1; vmsListed <= 12; vmsListed += 1) {
     for (let vmsReading = 0; vmsReading < vmsListed; vmsReading += 1) {
       const otherSide = checkFreshness({
--- a/src/domain/configuration/compareConfigurations/index.ts
+++ b/src/domain/configuration/compareConfigurations/index.ts
@@ -6,7 +6,7 @@
   readonly json: string;
 }
 
-/** Names a list's items by their name, so that an added item does not shift the others. */
+/** Keys list items by name, so that an added item does not change the keys of the others. */
 function readItemName(item: unknown, index: number): string {
   const { name, backendServer } = (item ?? {}) as { name?: string; backendServer?: string };
   return name ?? backendServer ?? String(index);
@@ -36,8 +36,8 @@
 /**
  * Compares two configurations value by value.
  *
- * @param before - null stands for an empty one
- * @returns differences sorted by key; empty if both are equal
+ * @param before - the old configuration, or null for an empty one
+ * @returns the differences, sorted by key; empty if the configurations are equal
  */
 export function compareConfigurations(
   before: Configuration | null,
--- a/src/domain/configuration/decodeConfiguration/index.ts
+++ b/src/domain/configuration/decodeConfiguration/index.ts
@@ -4,7 +4,7 @@
 import { parseJson } from '../../json';
 import { DEFAULT_LIMITS } from '../defaultLimits';
 
-/** Failure of decoding a stored configuration. */
+/** A stored configuration that cannot be decoded. */
 export interface ConfigurationDecodeError {
   readonly kind: 'bad-configuration';
   readonly reason: string;
@@ -12,8 +12,8 @@
 
 const names = z.array(z.string());
 
-// Objects here are not strict: during an upgrade, a newer operator tool may have written keys that
-// this process does not know, and it must still follow the configuration.
+// The objects are not strict: during an upgrade, a newer operator tool may write keys that this
+// process does not know, and the process must still apply the configuration.
 const schema = z.object({
   deployment: z.string(),
   survival: z.enum(SurvivalMode),
@@ -73,9 +73,9 @@
 });
 
 /**
- * Decodes a configuration that `encodeConfiguration` wrote, also one of a newer release.
+ * Decodes a configuration that `encodeConfiguration` of this or a newer release wrote.
  *
- * @returns the configuration, or the keys at fault without their values
+ * @returns the configuration, or the invalid keys without their values
  */
 export function decodeConfiguration(text: string): Result<Configuration, ConfigurationDecodeError> {
   const parsed = schema.safeParse(parseJson(text));
--- a/src/domain/configuration/decodeConfigurationRow/index.ts
+++ b/src/domain/configuration/decodeConfigurationRow/index.ts
@@ -5,7 +5,7 @@
 import { decodeConfiguration, type ConfigurationDecodeError } from '../decodeConfiguration';
 import type { ConfigurationRow } from '../types';
 
-/** Bound on the inflated size, so that a corrupt row cannot fill the memory of every VM. */
+/** Limit on the decompressed size, so that a corrupt row cannot exhaust the memory of the VMs. */
 const MAX_INFLATED_BYTES = 16 * 1024 * 1024;
 
 const schema = z.object({
@@ -16,7 +16,7 @@
   deflated_configuration: z.string(),
 });
 
-function decodeDeflated(text: string): string | null {
+function inflateText(text: string): string | null {
   try {
     const deflated = Buffer.from(text, 'base64');
     return inflateRawSync(deflated, { maxOutputLength: MAX_INFLATED_BYTES }).toString('utf8');
@@ -26,16 +26,16 @@
 }
 
 /**
- * Decodes the body of a version's row.
+ * Decodes the body of the row of a version.
  *
- * @param version - taken from the row's sort key or from the peer's answer
+ * @param version - from the sort key of the row or from the response of the peer
  */
 export function decodeConfigurationRow(
   version: number,
   body: string,
 ): Result<ConfigurationRow, ConfigurationDecodeError> {
   const parsed = schema.safeParse(parseJson(body));
-  const json = parsed.success ? decodeDeflated(parsed.data.deflated_configuration) : null;
+  const json = parsed.success ? inflateText(parsed.data.deflated_configuration) : null;
   if (!parsed.success || json === null) {
     return err({ kind: 'bad-configuration', reason: `row of version ${version} is malformed` });
   }
--- a/src/domain/configuration/defaultLimits.ts
+++ b/src/domain/configuration/defaultLimits.ts
@@ -1,12 +1,11 @@
 import type { Limits } from '../types';
 
 /**
- * Limits in force where the configuration names none.
+ * Limits for all keys that the configuration omits.
  *
- * Sources: a dossier of a few hundred pages of text is under 16 MiB; a quarter of the slots keeps
- * lookups quick at the sizes of both deployments; a tenth of extra attempts is the usual retry
- * budget; callers come back within two minutes of a lost connection, or repeat the request within
- * a day.
+ * A document of a few hundred pages of text is smaller than 16 MiB. A quarter of the slots keeps
+ * lookups fast at the size of both known deployments. A retry budget of a tenth is customary.
+ * Callers reconnect within two minutes of a lost connection, or repeat the request within a day.
  */
 export const DEFAULT_LIMITS: Limits = {
   maxBodyBytes: 16 * 1024 * 1024,
--- a/src/domain/configuration/encodeConfigurationRow/index.ts
+++ b/src/domain/configuration/encodeConfigurationRow/index.ts
@@ -3,10 +3,10 @@
 import type { ConfigurationRow } from '../types';
 
 /**
- * Encodes the body of a version's row, which peers also pass on.
+ * Encodes the body of the row of a version, which peers also forward.
  *
- * The configuration is deflated: at the largest planned size its JSON would pass the 400 KB that
- * the table takes for a row (see docs/decisions/010-configuration.md).
+ * The configuration is compressed, since its JSON at the largest planned size would exceed the
+ * limit of 400 KB for a row of the table (see docs/decisions/010-configuration.md).
  */
 export function encodeConfigurationRow(row: ConfigurationRow): string {
   const deflated = deflateRawSync(encodeConfiguration(row.configuration));
--- a/src/domain/configuration/formatVersionKey/index.ts
+++ b/src/domain/configuration/formatVersionKey/index.ts
@@ -1,4 +1,4 @@
-/** Digits of a version's sort key, so that text order is the order of versions. */
+/** Number of digits of a sort key; zero padding makes text order equal to version order. */
 const VERSION_DIGITS = 10;
 
 /** Formats a version as the sort key of its row. */
--- a/src/domain/configuration/sortByName/index.ts
+++ b/src/domain/configuration/sortByName/index.ts
@@ -1,4 +1,4 @@
-/** Sorts by name in code unit order, which is the same on every machine. */
+/** Sorts items by name in code unit order, which does not depend on the locale. */
 export function sortByName<Item extends { readonly name: string }>(
   items: readonly Item[],
 ): readonly Item[] {
--- a/src/domain/configuration/types/ConfigurationChange.ts
+++ b/src/domain/configuration/types/ConfigurationChange.ts
@@ -2,8 +2,8 @@
 export interface ConfigurationChange {
   /** Dotted key, for example `workspaces.antigua.weight`. */
   readonly key: string;
-  /** JSON of the value before; empty if the key was not there. */
+  /** JSON of the old value; empty if the key is new. */
   readonly before: string;
-  /** JSON of the value after; empty if the key is gone. */
+  /** JSON of the new value; empty if the key was removed. */
   readonly after: string;
 }
--- a/src/domain/configuration/types/ConfigurationFault.ts
+++ b/src/domain/configuration/types/ConfigurationFault.ts
@@ -1,6 +1,6 @@
-/** Something wrong between the parts of a configuration. */
+/** An inconsistency between parts of a configuration. */
 export interface ConfigurationFault {
-  /** Key as operators write it in TOML, for example `workspaces`, `antigua`, `places`. */
+  /** Key in the TOML of the operator, for example `workspaces`, `antigua`, `places`. */
   readonly path: readonly string[];
   readonly reason: string;
 }
--- a/src/domain/configuration/types/FreshnessEvidence.ts
+++ b/src/domain/configuration/types/FreshnessEvidence.ts
@@ -1,11 +1,11 @@
-/** What a VM knows of how current its configuration is. */
+/** Evidence from which a VM decides whether its configuration is up to date. */
 export interface FreshnessEvidence {
-  /** Age of the newest table read by this VM or any VM that it hears; null if none is known. */
+  /** Age of the newest table read by this VM or a VM in contact with it; null if none is known. */
   readonly newestReadAgeMs: number | null;
-  /** VMs heard lately, with this one. */
+  /** Number of VMs from which news arrived recently, including this VM. */
   readonly vmsHeard: number;
-  /** VMs that the platform's list, the registrations or peers name, with this one. */
+  /** Number of VMs named by the platform, the registrations or peers, including this VM. */
   readonly vmsRegistered: number;
-  /** How long a higher version than the one in force here has been known; 0 if none is. */
+  /** Time since a version higher than the one in force became known; 0 if none is known. */
   readonly behindMs: number;
 }
--- a/src/domain/configuration/types/TableReaders.ts
+++ b/src/domain/configuration/types/TableReaders.ts
@@ -1,7 +1,7 @@
-/** How many VMs could learn of a change right now. */
+/** Number of VMs that could currently receive a configuration change. */
 export interface TableReaders {
-  /** Entry VMs of the platform's list. */
+  /** Entry VMs listed by the platform. */
   readonly vmsListed: number;
-  /** Those of them that answer, and have read the table lately. */
+  /** Listed VMs that respond and have read the table recently. */
   readonly vmsReading: number;
 }
--- a/src/domain/cursor/addTokensToChain/index.ts
+++ b/src/domain/cursor/addTokensToChain/index.ts
@@ -1,12 +1,12 @@
 import { createHash } from 'node:crypto';
 
-/** Hex characters kept of each link: 128 bits, enough against an accidental or sought collision. */
+/** Links are truncated to 128 bits, which resists both accidental and deliberate collisions. */
 const CHAIN_CHARACTERS = 32;
 
 /**
- * Extends a generation's chain digest by tokens, one link a token.
+ * Extends the hash chain of a generation by tokens, one link per token.
  *
- * The result depends on the tokens only and not on how they were batched, so that two copies of a
+ * The result depends only on the tokens and not on their batches, so that two copies of a
  * generation can be compared at any offset.
  *
  * @param chain - Digest before the tokens.
--- a/src/domain/cursor/computeInitialChain/index.ts
+++ b/src/domain/cursor/computeInitialChain/index.ts
@@ -3,10 +3,11 @@
 const CHAIN_CHARACTERS = 32;
 
 /**
- * Computes the chain digest of a generation before its first token.
+ * Computes the digest with which the hash chain of a generation starts.
  *
  * @param requestDigest - Digest of the request (see `GenerationRequest`).
- * @param generationId - Id of the generation: two generations of one request differ from offset 0.
+ * @param generationId - Id of the generation, so that two generations of one request differ from
+ *   offset 0.
  * @returns Digest at offset 0.
  */
 export const computeInitialChain = (requestDigest: string, generationId: string): string =>
--- a/src/domain/cursor/signCursor/index.ts
+++ b/src/domain/cursor/signCursor/index.ts
@@ -2,10 +2,10 @@
 import { computeSignature } from '../_lib/computeSignature';
 
 /**
- * Signs a cursor and encodes it as compact text, safe as an SSE event id.
+ * Signs a cursor and encodes it as compact text that is valid as an SSE event id.
  *
  * @param cursor - Position to encode.
- * @param keys - Deployment's cursor keys; the first one signs.
+ * @param keys - Cursor keys of the deployment; the first one signs.
  * @returns `<payload>.<signature>`, both base64url.
  */
 export const signCursor = (cursor: Cursor, keys: readonly [string, ...string[]]): string => {
--- a/src/domain/cursor/verifyCursor/index.ts
+++ b/src/domain/cursor/verifyCursor/index.ts
@@ -4,10 +4,10 @@
 import type { Cursor } from '../../types';
 import { computeSignature } from '../_lib/computeSignature';
 
-/** Why a cursor was not accepted. */
+/** Why a cursor was rejected. */
 export type CursorError = { readonly kind: 'malformed' } | { readonly kind: 'bad-signature' };
 
-/** Longest accepted cursor; own ones stay far below, as all their names are bounded. */
+/** Longest accepted cursor; valid cursors are far shorter, since all names in them are bounded. */
 const MAX_CURSOR_CHARACTERS = 2048;
 
 const cursorFields = z.tuple([
@@ -51,11 +51,11 @@
 };
 
 /**
- * Checks a cursor's signature and decodes it.
+ * Verifies the signature of a cursor and decodes the cursor.
  *
- * @param text - Cursor as the caller gave it back; any text is safe.
- * @param keys - Deployment's cursor keys; any of them may have signed.
- * @returns The cursor, or `bad-signature` (also for an altered one) or `malformed`.
+ * @param text - Cursor as returned by the caller; untrusted.
+ * @param keys - Cursor keys of the deployment; any of them may have signed the cursor.
+ * @returns The cursor, `bad-signature` (also for an altered cursor) or `malformed`.
  */
 export const verifyCursor = (
   text: string,
--- a/src/domain/cursor/verifyCursor/test.ts
+++ b/src/domain/cursor/verifyCursor/test.ts
@@ -14,13 +14,13 @@
   chain: addTokensToChain(computeInitialChain('digest', 'gen_1'), [1, 2, 3]),
 };
 
-test('any of the keys verifies what the first one signed', (t) => {
+test('a cursor is accepted if any of the keys signed it', (t) => {
   const text = signCursor(cursor, ['old']);
   t.deepEqual(verifyCursor(text, ['new', 'old']).unwrapOr(null), cursor);
   t.deepEqual(verifyCursor(text, ['new']), err({ kind: 'bad-signature' }));
 });
 
-test('altered, cut and foreign text is refused', (t) => {
+test('altered, truncated and malformed cursors are rejected', (t) => {
   const text = signCursor(cursor, ['key']);
   const altered = signCursor({ ...cursor, offset: 41 }, ['key']).split('.')[0];
   const bad = [
@@ -34,7 +34,7 @@
   bad.forEach((entry) => t.true(verifyCursor(entry, ['key']).isErr(), entry));
 });
 
-test('the chain depends on the tokens and their order but not on the batches', (t) => {
+test('the chain depends on the tokens and their order but not on their batches', (t) => {
   const start = computeInitialChain('digest', 'gen_1');
   t.is(addTokensToChain(addTokensToChain(start, [1]), [2, 3]), cursor.chain);
   t.not(addTokensToChain(start, [1, 3, 2]), cursor.chain);
--- a/src/domain/generation/_lib/findAttempt/index.ts
+++ b/src/domain/generation/_lib/findAttempt/index.ts
@@ -1,16 +1,16 @@
 import type { Attempt, GenerationState, ReaderId } from '../../types';
 
 /**
- * Finds the attempt that a reader reads, if both are still current.
+ * Finds the attempt with the given number and connection, if both are still current.
  *
- * This is the check that keeps two generations from being mixed: a paused engine that wakes, or a
- * connection that was given up, still sends tokens, and their offsets may well fit. They would show
- * as a change of text in mid-answer. Only attempts listed in the state, over their newest
- * connection, are heard.
+ * This check keeps the tokens of two generations apart. A paused engine that resumes, or an
+ * abandoned connection, still sends tokens whose offsets may fit; delivered, they would change the
+ * text in the middle of an answer. Only the attempts in the state, over their newest connection,
+ * may deliver.
  *
- * @param state - Generation.
- * @param reader - Attempt and connection that something arrived from.
- * @returns The attempt, or null if it is late.
+ * @param state - State of the generation.
+ * @param reader - Attempt and connection from which an input arrived.
+ * @returns The attempt, or null if the input is stale.
  */
 export const findAttempt = (state: GenerationState, reader: ReaderId): Attempt | null =>
   state.attempts.find(
--- a/src/domain/generation/_lib/handleAbandoned/index.ts
+++ b/src/domain/generation/_lib/handleAbandoned/index.ts
@@ -2,19 +2,19 @@
 import { failGeneration } from '../failGeneration';
 
 const MESSAGES = {
-  expired: 'no caller came back for the generation in time',
+  expired: 'no caller reconnected to the generation in time',
   'claim-lost': 'another VM has taken the generation over',
 } as const;
 
 /**
- * Handles the end of this VM's part in a generation.
+ * Ends a generation on this VM without cancelling it at the engine.
  *
- * Another VM may be reading the same engine stream by now: cancelling it would cut that VM's
- * caller. So it is only detached; an engine cancels a stream that nobody reads by itself.
+ * Another VM may already read the same engine stream, and cancelling the stream would cut off that
+ * VM's caller. The attempts are therefore only detached; engines cancel streams without readers.
  *
- * @param state - Generation.
- * @param input - Why.
- * @returns The end here.
+ * @param state - State of the generation.
+ * @param input - The reason.
+ * @returns Failed state, and the effects that detach the attempts.
  */
 export const handleAbandoned = (
   state: GenerationState,
--- a/src/domain/generation/_lib/handleBatch/index.ts
+++ b/src/domain/generation/_lib/handleBatch/index.ts
@@ -7,12 +7,12 @@
   type Transition,
 } from '../../types';
 import { findAttempt } from '../findAttempt';
-import { handleBrokenConnection } from '../handleBrokenConnection';
+import { handleDisconnect } from '../handleDisconnect';
 
-const countUnits = (piece: StreamChunk): number =>
-  'tokenIds' in piece ? piece.tokenIds.length : piece.eventCount;
+const countUnits = (chunk: StreamChunk): number =>
+  'tokenIds' in chunk ? chunk.tokenIds.length : chunk.eventCount;
 
-const buildStreaming = (attempt: Attempt): Attempt => ({
+const buildStreamingAttempt = (attempt: Attempt): Attempt => ({
   ...attempt,
   phase: AttemptPhase.Streaming,
   silence: 'none',
@@ -20,7 +20,7 @@
   hasDelivered: true,
 });
 
-const buildDelivered = (
+const buildDeliveredState = (
   state: GenerationState,
   attempt: Attempt,
   batch: StreamChunk,
@@ -28,7 +28,7 @@
   ...state,
   phase: batch.finishReason === null ? state.phase : 'finished',
   offset: state.offset + countUnits(batch),
-  attempts: batch.finishReason === null ? [buildStreaming(attempt)] : [],
+  attempts: batch.finishReason === null ? [buildStreamingAttempt(attempt)] : [],
   excludedServers: [],
   attemptsWithoutProgress: 0,
   crashes: 0,
@@ -36,11 +36,13 @@
 });
 
 /**
- * Takes a batch: the first attempt to deliver the next token goes on, all others are cancelled.
+ * Handles a batch. The first attempt that delivers the next token continues; all others are
+ * cancelled.
  *
- * @param state - Generation.
- * @param input - Batch and where it came from.
- * @returns The delivery; or the cancellation of a late attempt; or the break of one that skips.
+ * @param state - State of the generation.
+ * @param input - Batch and its source.
+ * @returns The delivery; the cancellation of a stale attempt; or, if the batch does not continue at
+ *   the offset, the same as for a broken connection.
  */
 export const handleBatch = (
   state: GenerationState,
@@ -55,13 +57,12 @@
       effects: isGone ? [{ kind: 'cancel-attempt', attempt: reader.attempt }] : [],
     };
   }
-  if (batch.offset !== state.offset)
-    return handleBrokenConnection(state, { kind: 'broken', reader });
-  // An engine opens a stream with an event without tokens; it is a sign of life only.
+  if (batch.offset !== state.offset) return handleDisconnect(state, { kind: 'broken', reader });
+  // Engines open a stream with an event without tokens, which only shows that they are alive.
   if (countUnits(batch) === 0 && batch.finishReason === null) return { state, effects: [] };
   const others = state.attempts.filter((other) => other !== attempt);
   return {
-    state: buildDelivered(state, attempt, batch),
+    state: buildDeliveredState(state, attempt, batch),
     effects: [
       ...others.map((other) => ({ kind: 'cancel-attempt', attempt: other.attempt }) as const),
       { kind: 'deliver', attempt: attempt.attempt, batch },
--- a/src/domain/generation/_lib/handleCallerAttached/index.ts
+++ b/src/domain/generation/_lib/handleCallerAttached/index.ts
@@ -2,9 +2,9 @@
 import { recoverGeneration } from '../recoverGeneration';
 
 /**
- * Handles a caller that follows the generation from now on; a parked one goes on.
+ * Adds a caller that follows the generation; a parked generation continues.
  *
- * @param state - Generation.
+ * @param state - State of the generation.
  * @returns The next step.
  */
 export const handleCallerAttached = (state: GenerationState): Transition => {
--- a/src/domain/generation/_lib/handleCancelled/index.ts
+++ b/src/domain/generation/_lib/handleCancelled/index.ts
@@ -1,14 +1,14 @@
 import type { GenerationState, Transition } from '../../types';
 import { failGeneration } from '../failGeneration';
 
-/** Status for a request that its caller gave up; nobody is likely to read it. */
+/** Non-standard status (nginx) for a cancelled request; its caller is unlikely to read it. */
 const CLIENT_CLOSED_STATUS = 499;
 
 /**
- * Handles a caller that gave the generation up.
+ * Ends a generation that its caller cancelled.
  *
- * @param state - Generation.
- * @returns The end; all attempts are cancelled.
+ * @param state - State of the generation.
+ * @returns Failed state, and the effects that cancel all attempts.
  */
 export const handleCancelled = (state: GenerationState): Transition =>
   failGeneration(state, {
--- a/src/domain/generation/_lib/handleBrokenConnection/index.ts
+++ b/src/domain/generation/_lib/handleDisconnect/index.ts
@@ -8,20 +8,21 @@
 import { replaceAttempt } from '../replaceAttempt';
 import { resumeAttempt } from '../resumeAttempt';
 
-/** Times in a row that one stream is read again without a token in between. */
-const MAX_FRUITLESS_READS = 3;
+/** Consecutive reads of a stream without a token before the attempt is replaced. */
+const MAX_READS_WITHOUT_PROGRESS = 3;
 
 /**
  * Handles a connection that broke after the request was sent.
  *
- * The stream is read again first, as that costs no token; if it breaks again and again, or another
- * attempt is under way already, the attempt is given up.
+ * The stream is first read again, since that loses no tokens. The attempt is replaced if the
+ * connection breaks repeatedly, if another attempt is already running, or if the engine drops
+ * streams on disconnect.
  *
- * @param state - Generation.
- * @param input - Where it broke.
+ * @param state - State of the generation.
+ * @param input - Attempt and connection that broke.
  * @returns The next step.
  */
-export const handleBrokenConnection = (
+export const handleDisconnect = (
   state: GenerationState,
   input: Extract<GenerationInput, { kind: 'broken' }>,
 ): Transition => {
@@ -29,7 +30,7 @@
   if (!attempt) return { state, effects: [] };
   const isReplaced = attempt.silence !== 'none' && state.attempts.length > 1;
   const isDropped = state.policy.streamRetention === StreamRetention.Dropped;
-  return isReplaced || isDropped || attempt.readsWithoutProgress >= MAX_FRUITLESS_READS
+  return isReplaced || isDropped || attempt.readsWithoutProgress >= MAX_READS_WITHOUT_PROGRESS
     ? replaceAttempt(state, attempt)
     : resumeAttempt(state, attempt);
 };
--- a/src/domain/generation/_lib/handleNotStarted/index.ts
+++ b/src/domain/generation/_lib/handleNotStarted/index.ts
@@ -11,11 +11,11 @@
 import { replaceCrashedAttempt } from '../replaceCrashedAttempt';
 
 /**
- * Handles an engine that refused before it began, or that cannot be connected to.
+ * Handles an engine that did not start the request: it refused, or the connection failed.
  *
- * @param state - Generation.
- * @param input - Which attempt, and whether the connection itself was refused.
- * @returns The next step; evidence against the server if it cannot be connected to.
+ * @param state - State of the generation.
+ * @param input - The attempt, and whether the connection was refused.
+ * @returns The next step; also a suspicion of the server if the connection was refused.
  */
 export const handleNotStarted = (
   state: GenerationState,
@@ -25,10 +25,10 @@
   if (!attempt) return { state, effects: [] };
   const wasNeverSent = attempt.phase === AttemptPhase.Prefill && state.offset === 0;
   const mayHaveStarted = wasNeverSent ? attempt.mayHaveStartedBefore : state.mayHaveStarted;
-  // One that was read again had begun: its engine ended since.
+  // The request had started before the stream was read again, so the engine crashed since.
   const hasCrashed = input.refused && attempt.phase === AttemptPhase.Resuming;
   const replace = hasCrashed ? replaceCrashedAttempt : replaceAttempt;
-  const next = replace({ ...state, mayHaveStarted: mayHaveStarted }, attempt);
+  const next = replace({ ...state, mayHaveStarted }, attempt);
   if (!input.refused) return next;
   const evidence: GenerationEffect = {
     kind: 'suspect-server',
--- a/src/domain/generation/_lib/handleRejected/index.ts
+++ b/src/domain/generation/_lib/handleRejected/index.ts
@@ -3,11 +3,11 @@
 import { findAttempt } from '../findAttempt';
 
 /**
- * Handles an engine that calls the request itself bad: no other engine is asked.
+ * Ends a generation whose request an engine rejected as invalid; no other engine is tried.
  *
- * @param state - Generation.
- * @param input - Status and message of the engine.
- * @returns The end.
+ * @param state - State of the generation.
+ * @param input - Status and message from the engine.
+ * @returns The failure.
  */
 export const handleRejected = (
   state: GenerationState,
--- a/src/domain/generation/_lib/handleSending/index.ts
+++ b/src/domain/generation/_lib/handleSending/index.ts
@@ -8,11 +8,11 @@
 import { updateAttempt } from '../updateAttempt';
 
 /**
- * Handles that an attempt has its slot and is about to be sent.
+ * Records that an attempt has a slot and is about to be sent.
  *
- * @param state - Generation.
- * @param input - Attempt and its server.
- * @returns State with the attempt in prefill; an attempt given up since is cancelled.
+ * @param state - State of the generation.
+ * @param input - Attempt and server.
+ * @returns State with the attempt in prefill; the cancellation of an attempt abandoned meanwhile.
  */
 export const handleSending = (
   state: GenerationState,
@@ -27,6 +27,6 @@
     phase: AttemptPhase.Prefill,
     backendServer: input.backendServer,
   };
-  // Noted before the send: whatever comes back but a refusal, it may have run.
+  // Set before the send: unless the engine refuses, the request may have run.
   return { state: { ...updateAttempt(state, sending), mayHaveStarted: true }, effects: [] };
 };
--- a/src/domain/generation/_lib/handleSilence/index.ts
+++ b/src/domain/generation/_lib/handleSilence/index.ts
@@ -14,25 +14,25 @@
 import { resumeAttempt } from '../resumeAttempt';
 import { updateAttempt } from '../updateAttempt';
 
-/** Attempts that may wait for the next token at once: a silent one and its replacement. */
-const MAX_LIVE_ATTEMPTS = 2;
+/** Parallel attempts per generation: a silent one and its replacement. */
+const MAX_PARALLEL_ATTEMPTS = 2;
 
 /**
- * Times that a stream which nothing else may run is asked for while its engine is silent: about
- * ten seconds, in which a paused engine may come back.
+ * Reads of the stream of a silent engine when no other attempt is allowed: about ten seconds, in
+ * which a paused engine may resume.
  */
 const MAX_SILENT_READS = 20;
 
-const canOpen = ({ policy, attempts, callers }: GenerationState): boolean =>
+const canOpenAnother = ({ policy, attempts, callers }: GenerationState): boolean =>
   policy.idempotent &&
   policy.continuable &&
   (callers > 0 || policy.keyed) &&
   attempts.every((attempt) => attempt.silence !== 'none');
 
-const openBeside = (state: GenerationState, purpose: Attempt['purpose']): Transition => {
+const openParallelAttempt = (state: GenerationState, purpose: Attempt['purpose']): Transition => {
   const dropped = state.attempts.slice(
     0,
-    Math.max(0, state.attempts.length - MAX_LIVE_ATTEMPTS + 1),
+    Math.max(0, state.attempts.length - MAX_PARALLEL_ATTEMPTS + 1),
   );
   const kept = state.attempts.filter((attempt) => !dropped.includes(attempt));
   const opened = openAttempt({ ...state, attempts: kept }, purpose);
@@ -48,14 +48,14 @@
 const handleSuspected = (state: GenerationState): Transition =>
   state.policy.mode === SurvivalMode.Latency &&
   state.policy.streamRetention !== StreamRetention.Dropped &&
-  canOpen(state)
-    ? openBeside(state, 'hedge')
+  canOpenAnother(state)
+    ? openParallelAttempt(state, 'hedge')
     : { state, effects: [] };
 
 const handleConfirmed = (state: GenerationState, attempt: Attempt): Transition => {
-  if (canOpen(state)) return openBeside(state, 'resume');
+  if (canOpenAnother(state)) return openParallelAttempt(state, 'resume');
   const hedge = state.attempts.find((other) => other.phase === AttemptPhase.Opening);
-  // A hedge still queued would wait behind resumes; now that the silence is certain it is one.
+  // A queued hedge waits behind resumes. The failure is now confirmed, so reopen it as a resume.
   if (hedge?.purpose === 'hedge') {
     const attempts = state.attempts.filter((other) => other !== hedge);
     const opened = openAttempt({ ...state, attempts }, 'resume');
@@ -63,18 +63,18 @@
     return { state: opened.state, effects: [cancel, ...opened.effects] };
   }
   if (attempt.readsWithoutProgress >= MAX_SILENT_READS) return replaceAttempt(state, attempt);
-  // Nothing else may run it: the connection may be what is dead, so ask over a new one.
+  // No other attempt is allowed. Only the connection may be dead, so read over a new one.
   return state.attempts.length === 1 ? resumeAttempt(state, attempt) : { state, effects: [] };
 };
 
 /**
  * Handles an attempt that has been silent for longer than its limit.
  *
- * It stays in the state, so that it may still deliver the next token if it wakes first.
+ * The attempt stays in the state, so that it can still deliver the next token if it resumes first.
  *
- * @param state - Generation.
- * @param input - Attempt, and whether the longer limit has passed.
- * @returns Evidence against the server, and a second attempt where mode and policy allow it.
+ * @param state - State of the generation.
+ * @param input - Attempt, and whether the longer limit has passed, which confirms the failure.
+ * @returns A suspicion of the server, and a second attempt where mode and policy allow one.
  */
 export const handleSilence = (
   state: GenerationState,
@@ -85,12 +85,12 @@
   if (!attempt || attempt.silence === level || attempt.silence === 'confirmed') {
     return { state, effects: [] };
   }
-  // A stream that could not even be read again has nothing to say that is worth waiting for.
+  // A stream that delivered nothing after it was reopened is not worth waiting for.
   const isUnread = attempt.phase === AttemptPhase.Resuming && state.policy.idempotent;
-  // Nor is one whose run ends with its connection: it can't be asked again, and must not run on
-  // beside its replacement.
+  // Nor is a stream that the engine drops on disconnect: it can't be read again, and must not run
+  // in parallel with its replacement.
   const isDropped = state.policy.streamRetention === StreamRetention.Dropped;
-  const isHopeless = input.confirmed && (isUnread || isDropped);
+  const mustReplace = input.confirmed && (isUnread || isDropped);
   const marked = updateAttempt(state, { ...attempt, silence: level });
   const evidence: GenerationEffect = {
     kind: 'suspect-server',
@@ -99,7 +99,7 @@
     confirmed: input.confirmed,
   };
   const decide = (): Transition => {
-    if (isHopeless) return replaceAttempt(marked, attempt);
+    if (mustReplace) return replaceAttempt(marked, attempt);
     return input.confirmed
       ? handleConfirmed(marked, { ...attempt, silence: level })
       : handleSuspected(marked);
--- a/src/domain/generation/_lib/handleSlotRefused/index.ts
+++ b/src/domain/generation/_lib/handleSlotRefused/index.ts
@@ -4,22 +4,23 @@
 import { recoverGeneration } from '../recoverGeneration';
 import { removeAttempt } from '../removeAttempt';
 
-/** Wait after a refusal that names none: servers come back and slots free up meanwhile. */
+/** Delay after a refusal without one, in which servers may recover and slots become free. */
 const DEFAULT_RETRY_AFTER_MS = 100;
 
-/** Statuses of refusals that coming back cannot help. */
+/** HTTP status of a refusal after which a retry cannot succeed. */
 const FINAL_STATUS = 403;
+/** HTTP status of a refusal after which a retry may succeed. */
 const RETRYABLE_STATUS = 503;
 
 /**
- * Handles a refusal of the routing.
+ * Handles a refusal by routing.
  *
- * A caller whose generation has not begun is told at once. One that has begun is worth waiting
- * for: the refusal may be a budget or a queue that is full for a moment after a zone was lost.
+ * A generation that has not started fails at once. One that has started is retried, since the cause
+ * may be temporary: a retry budget or a queue that is exhausted after the loss of a zone.
  *
- * @param state - Generation.
+ * @param state - State of the generation.
  * @param input - Attempt and refusal.
- * @returns The end, or a wait for the next attempt.
+ * @returns The failure, or a delayed retry.
  */
 export const handleSlotRefused = (
   state: GenerationState,
@@ -27,16 +28,16 @@
 ): Transition => {
   const attempt = findAttempt(state, input.reader);
   if (!attempt) return { state, effects: [] };
-  const without = removeAttempt(state, attempt);
+  const remaining = removeAttempt(state, attempt);
   const { refusal } = input;
-  const hasBegun = state.mayHaveStarted || state.offset > 0;
+  const hasStarted = state.mayHaveStarted || state.offset > 0;
   const triedOthers = state.excludedServers.length > 0;
   const decide = (): Transition => {
-    if (without.attempts.length === 0 && !hasBegun && !triedOthers) {
+    if (remaining.attempts.length === 0 && !hasStarted && !triedOthers) {
       const status = refusal.retryAfterMs > 0 ? RETRYABLE_STATUS : FINAL_STATUS;
-      return failGeneration(without, { ...refusal, status });
+      return failGeneration(remaining, { ...refusal, status });
     }
-    return recoverGeneration(without, {
+    return recoverGeneration(remaining, {
       retryAfterMs: refusal.retryAfterMs || DEFAULT_RETRY_AFTER_MS,
     });
   };
--- a/src/domain/generation/_lib/handleStreamGone/index.ts
+++ b/src/domain/generation/_lib/handleStreamGone/index.ts
@@ -3,10 +3,10 @@
 import { replaceCrashedAttempt } from '../replaceCrashedAttempt';
 
 /**
- * Handles a stream that its engine no longer has, for example because it was restarted.
+ * Handles a stream that its engine no longer has, for example after a restart.
  *
- * @param state - Generation.
- * @param input - Where it was asked for.
+ * @param state - State of the generation.
+ * @param input - Attempt and connection that requested the stream.
  * @returns The next step.
  */
 export const handleStreamGone = (
--- a/src/domain/generation/_lib/openAttempt/index.ts
+++ b/src/domain/generation/_lib/openAttempt/index.ts
@@ -1,11 +1,11 @@
 import { AttemptPhase, type Attempt, type GenerationState, type Transition } from '../../types';
 
 /**
- * Opens the next attempt, under a higher number than any before it.
+ * Opens the next attempt, numbered higher than all previous ones.
  *
- * @param state - Generation.
- * @param purpose - What the slot is asked for.
- * @returns State with the attempt, and the effect that opens it.
+ * @param state - State of the generation.
+ * @param purpose - What the slot is requested for.
+ * @returns State with the attempt, and the effect that opens the attempt.
  */
 export const openAttempt = (state: GenerationState, purpose: Attempt['purpose']): Transition => {
   const attempt = state.newestAttempt + 1;
--- a/src/domain/generation/_lib/recoverGeneration/index.ts
+++ b/src/domain/generation/_lib/recoverGeneration/index.ts
@@ -3,18 +3,18 @@
 import { openAttempt } from '../openAttempt';
 
 /**
- * Attempts in a row without a token before a generation fails. With the delays between them this
- * gives a zone that lost most of its engines about ten seconds to take the resumes in.
+ * Consecutive attempts without a token before a generation fails. With the delays between them, a
+ * zone that lost most of its engines has about ten seconds to accept the resumed generations.
  */
-const MAX_FRUITLESS_ATTEMPTS = 24;
+const MAX_ATTEMPTS_WITHOUT_PROGRESS = 24;
 
-/** Attempts that follow one another at once; later ones wait. */
+/** Attempts that are made without a delay. */
 const IMMEDIATE_ATTEMPTS = 4;
 
 const RETRY_STEP_MS = 50;
 const MAX_RETRY_DELAY_MS = 1_000;
 
-const LOST = {
+const LOST_GENERATION = {
   code: 'generation_lost',
   status: 502,
   retryAfterMs: 0,
@@ -25,11 +25,11 @@
   effects: [{ kind: 'finish', finishReason: 'length' }],
 });
 
-const waitForRetry = (state: GenerationState, atLeastMs: number): Transition => {
+const waitForRetry = (state: GenerationState, minDelayMs: number): Transition => {
   const steps = state.attemptsWithoutProgress - IMMEDIATE_ATTEMPTS + 1;
-  const ownDelayMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_STEP_MS * Math.max(1, steps));
-  const delayMs = Math.min(MAX_RETRY_DELAY_MS, Math.max(atLeastMs, ownDelayMs));
-  // All servers may be excluded by now: those that failed may serve again after the delay.
+  const backoffMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_STEP_MS * Math.max(1, steps));
+  const delayMs = Math.min(MAX_RETRY_DELAY_MS, Math.max(minDelayMs, backoffMs));
+  // All servers may be excluded by now; those that failed may serve again after the delay.
   return {
     state: { ...state, excludedServers: [] },
     effects: [{ kind: 'retry-later', delayMs }],
@@ -37,11 +37,11 @@
 };
 
 /**
- * Goes on with a generation whose last attempt ended without its finish reason.
+ * Continues a generation whose last attempt ended without a finish reason.
  *
- * @param state - Generation; nothing is done while it has an attempt left.
- * @param options.retryAfterMs - Wait at least so long, if above 0.
- * @returns The next attempt, a wait for it, or the end.
+ * @param state - State of the generation; unchanged while it has other attempts.
+ * @param options.retryAfterMs - Minimum delay before the next attempt, if greater than 0.
+ * @returns The next attempt, a delayed retry, or the end of the generation.
  */
 export const recoverGeneration = (
   state: GenerationState,
@@ -49,33 +49,33 @@
 ): Transition => {
   if (state.attempts.length > 0 || state.phase !== 'running') return { state, effects: [] };
   const { policy } = state;
-  // The engine died between its last token and the finish reason: there is nothing to generate.
+  // The engine failed between the last token and the finish reason: nothing is left to generate.
   if (state.offset >= policy.maxOutputTokens) return finishAtLimit(state);
   if (!policy.continuable) {
     return failGeneration(state, {
-      ...LOST,
+      ...LOST_GENERATION,
       message: 'no copy of the generation is left: send the request and the tokens received',
     });
   }
   if (!policy.idempotent && state.mayHaveStarted) {
     return failGeneration(state, {
-      ...LOST,
-      message: 'the engine was lost, and the request may not be run again',
+      ...LOST_GENERATION,
+      message: 'the engine failed, and the request is not idempotent, so it is not run again',
     });
   }
   if (state.callers === 0 && !policy.keyed) {
     return { state: { ...state, phase: 'parked' }, effects: [] };
   }
   const attemptsWithoutProgress = state.attemptsWithoutProgress + 1;
-  if (attemptsWithoutProgress > MAX_FRUITLESS_ATTEMPTS) {
+  if (attemptsWithoutProgress > MAX_ATTEMPTS_WITHOUT_PROGRESS) {
     return failGeneration(state, {
       code: 'no_engine',
-      message: 'no engine took the generation over; it can be resumed from the last event',
+      message: 'no engine could continue the generation; it can be resumed from the last event',
       status: 503,
       retryAfterMs: MAX_RETRY_DELAY_MS,
     });
   }
-  const next = { ...state, attemptsWithoutProgress: attemptsWithoutProgress };
+  const next = { ...state, attemptsWithoutProgress };
   const mustWait = Boolean(options.retryAfterMs) || attemptsWithoutProgress > IMMEDIATE_ATTEMPTS;
   if (mustWait) return waitForRetry(next, options.retryAfterMs ?? 0);
   return openAttempt(next, state.mayHaveStarted || state.offset > 0 ? 'resume' : 'start');
--- a/src/domain/generation/_lib/removeAttempt/index.ts
+++ b/src/domain/generation/_lib/removeAttempt/index.ts
@@ -1,11 +1,12 @@
 import type { Attempt, GenerationState } from '../../types';
 
 /**
- * Removes an attempt that can deliver nothing more, and excludes its server until the next token.
+ * Removes an attempt that cannot deliver any more tokens, and excludes its server until the next
+ * token.
  *
- * @param state - Generation.
+ * @param state - State of the generation.
  * @param attempt - Attempt to remove.
- * @returns State without it.
+ * @returns State without the attempt.
  */
 export const removeAttempt = (state: GenerationState, attempt: Attempt): GenerationState => ({
   ...state,
--- a/src/domain/generation/_lib/replaceAttempt/index.ts
+++ b/src/domain/generation/_lib/replaceAttempt/index.ts
@@ -3,12 +3,12 @@
 import { removeAttempt } from '../removeAttempt';
 
 /**
- * Gives up one attempt and goes on without it.
+ * Abandons an attempt and continues the generation without it.
  *
- * @param state - Generation.
- * @param attempt - Attempt that can deliver nothing more.
- * @param options.retryAfterMs - Wait at least so long before the next one, if above 0.
- * @returns Its cancellation and the next step.
+ * @param state - State of the generation.
+ * @param attempt - Attempt that cannot deliver any more tokens.
+ * @param options.retryAfterMs - Minimum delay before the next attempt, if greater than 0.
+ * @returns The cancellation of the attempt and the next step.
  */
 export const replaceAttempt = (
   state: GenerationState,
--- a/src/domain/generation/_lib/replaceCrashedAttempt/index.ts
+++ b/src/domain/generation/_lib/replaceCrashedAttempt/index.ts
@@ -2,15 +2,15 @@
 import { failGeneration } from '../failGeneration';
 import { replaceAttempt } from '../replaceAttempt';
 
-/** Engines that may end under a generation before its next token: it may be what ends them. */
+/** Engines that may crash before the next token; beyond this, the request may be the cause. */
 const MAX_CRASHES = 3;
 
 /**
- * Gives up an attempt whose engine ended, and goes on without it.
+ * Abandons an attempt whose engine crashed, and continues the generation on another engine.
  *
- * @param state - Generation.
- * @param attempt - Attempt that was sent, and whose engine is not there or knows nothing of it.
- * @returns The next step; the end, if engine after engine ended without a token.
+ * @param state - State of the generation.
+ * @param attempt - Sent attempt whose engine is gone or no longer knows the stream.
+ * @returns The next step; a failure if `MAX_CRASHES` engines crashed without a token.
  */
 export const replaceCrashedAttempt = (state: GenerationState, attempt: Attempt): Transition => {
   if (attempt.hasDelivered) return replaceAttempt(state, attempt);
--- a/src/domain/generation/_lib/resumeAttempt/index.ts
+++ b/src/domain/generation/_lib/resumeAttempt/index.ts
@@ -2,9 +2,9 @@
 import { updateAttempt } from '../updateAttempt';
 
 /**
- * Reads the stream of an attempt again over a new connection; the old one is no longer heard.
+ * Reads the stream of an attempt again over a new connection; inputs from the old one become stale.
  *
- * @param state - Generation.
+ * @param state - State of the generation.
  * @param attempt - Attempt that has been sent.
  * @returns State with the new connection, and the effect that opens it.
  */
--- a/src/domain/generation/_lib/updateAttempt/index.ts
+++ b/src/domain/generation/_lib/updateAttempt/index.ts
@@ -1,11 +1,11 @@
 import type { Attempt, GenerationState } from '../../types';
 
 /**
- * Replaces an attempt by a changed copy.
+ * Replaces an attempt with a changed copy.
  *
- * @param state - Generation.
+ * @param state - State of the generation.
  * @param changed - Copy with the same attempt number.
- * @returns State with the copy in its place.
+ * @returns New state.
  */
 export const updateAttempt = (state: GenerationState, changed: Attempt): GenerationState => ({
   ...state,
--- a/src/domain/generation/createGenerationState/index.ts
+++ b/src/domain/generation/createGenerationState/index.ts
@@ -1,13 +1,13 @@
 import type { Attempt, GenerationPolicy, GenerationState } from '../types';
 import { AttemptPhase } from '../types';
 
-/** Where a generation begins, if not at its start. */
+/** Initial position of a generation that does not start from the beginning. */
 export interface GenerationStart {
-  /** Tokens held already. */
+  /** Number of tokens already held. */
   readonly offset?: number;
-  /** Number of the newest attempt known of. */
+  /** Number of the newest known attempt. */
   readonly newestAttempt?: number;
-  /** Server whose stream of that attempt is to be read, if any. */
+  /** Server from which the stream of that attempt is to be read, if any. */
   readonly backendServer?: string;
 }
 
@@ -20,16 +20,16 @@
   silence: 'none',
   mayHaveStartedBefore: true,
   readsWithoutProgress: 0,
-  // What it has delivered elsewhere is not known here.
+  // Another VM may have received tokens from the attempt.
   hasDelivered: true,
 });
 
 /**
- * Creates the state of a generation that is new here.
+ * Creates the initial state of a generation on this VM.
  *
- * @param policy - How it may be continued.
- * @param start - Where it begins; by default at 0 with no attempt.
- * @returns State before its first input.
+ * @param policy - Rules for continuing the generation.
+ * @param start - Initial position; by default offset 0 without an attempt.
+ * @returns State before the first input.
  */
 export const createGenerationState = (
   policy: GenerationPolicy,
--- a/src/domain/generation/types/Attempt.ts
+++ b/src/domain/generation/types/Attempt.ts
@@ -1,21 +1,24 @@
-/** Phases of an attempt, in the order in which it passes through them. */
+/** Phases of an attempt, in order. */
 export const AttemptPhase = {
-  /** Waits for a slot; nothing has been sent. */
+  /** The attempt waits for a slot; nothing has been sent. */
   Opening: 'opening',
-  /** Sent; no token has come from it yet. */
+  /** The request has been sent; no token has arrived yet. */
   Prefill: 'prefill',
   Streaming: 'streaming',
-  /** Its connection broke; the same stream is being read again. */
+  /** The connection broke; the same stream is being read over a new one. */
   Resuming: 'resuming',
 } as const;
 
 /** One of the phases of an attempt. */
 export type AttemptPhase = (typeof AttemptPhase)[keyof typeof AttemptPhase];
 
-/** One reading of one attempt: what arrives under an older reading is late and dropped. */
+/**
+ * Identifies one connection over which the stream of an attempt is read. Inputs from an older
+ * connection of the attempt are stale and ignored.
+ */
 export interface ReaderId {
   readonly attempt: number;
-  /** Counts the connections over which the attempt's stream was read. */
+  /** Number of the connection, counted from 0 for each attempt. */
   readonly connection: number;
 }
 
@@ -23,13 +26,13 @@
 export interface Attempt extends ReaderId {
   readonly purpose: 'start' | 'resume' | 'hedge';
   readonly phase: AttemptPhase;
-  /** Empty while it waits for a slot. */
+  /** Empty while the attempt waits for a slot. */
   readonly backendServer: string;
   readonly silence: 'none' | 'suspected' | 'confirmed';
-  /** Whether an engine may have begun to run the generation before this attempt was sent. */
+  /** True: an engine may have started the request before this attempt was sent. */
   readonly mayHaveStartedBefore: boolean;
-  /** Times in a row that its stream was read again without a token. */
+  /** Consecutive reads of the stream that delivered no token. */
   readonly readsWithoutProgress: number;
-  /** True: a token came from it. */
+  /** True: the attempt has delivered a token. */
   readonly hasDelivered: boolean;
 }
--- a/src/domain/generation/types/GenerationEffect.ts
+++ b/src/domain/generation/types/GenerationEffect.ts
@@ -1,7 +1,7 @@
 import type { RunState, StreamChunk, SuspicionCause } from '../../types';
 import type { Attempt, ReaderId } from './Attempt';
 
-/** Why a generation ended without its finish reason. */
+/** Why a generation ended without a finish reason. */
 export interface GenerationFailure {
   readonly code: string;
   readonly message: string;
@@ -10,20 +10,20 @@
   readonly retryAfterMs: number;
 }
 
-/** What is to be done after an input, in order. */
+/** An action that the caller of `updateGeneration` must perform after an input. */
 export type GenerationEffect =
-  /** Get a slot on a server that is not excluded, and go on from the tokens held. */
+  /** Acquire a slot on a server that is not excluded, and continue from the tokens held. */
   | {
       readonly kind: 'open-attempt';
       readonly reader: ReaderId;
       readonly purpose: Attempt['purpose'];
       readonly excludedServers: readonly string[];
     }
-  /** Read the same stream of the same server again from the offset. */
+  /** Read the same stream of the same server again, from the offset. */
   | { readonly kind: 'resume-stream'; readonly reader: ReaderId; readonly offset: number }
-  /** Stop an attempt, also at its engine. */
+  /** Stop an attempt here and at its engine. */
   | { readonly kind: 'cancel-attempt'; readonly attempt: number }
-  /** Stop reading, but let the engine's stream be. */
+  /** Stop reading without cancelling the stream at the engine. */
   | { readonly kind: 'detach-attempt'; readonly attempt: number }
   | { readonly kind: 'deliver'; readonly attempt: number; readonly batch: StreamChunk }
   | { readonly kind: 'retry-later'; readonly delayMs: number }
--- a/src/domain/generation/types/GenerationInput.ts
+++ b/src/domain/generation/types/GenerationInput.ts
@@ -1,15 +1,15 @@
 import type { Refusal, StreamChunk } from '../../types';
 import type { ReaderId } from './Attempt';
 
-/** What can happen to a generation. */
+/** An event that changes the state of a generation. */
 export type GenerationInput =
   | { readonly kind: 'started' }
-  /** A slot is there and the request is about to be sent. */
+  /** A slot was acquired and the request is about to be sent. */
   | { readonly kind: 'sending'; readonly reader: ReaderId; readonly backendServer: string }
   | { readonly kind: 'slot-refused'; readonly reader: ReaderId; readonly refusal: Refusal }
-  /** The claim could not be written before a send that must not happen without it. */
+  /** The claim that the request requires could not be written, so nothing was sent. */
   | { readonly kind: 'claim-refused'; readonly reader: ReaderId; readonly retryAfterMs: number }
-  /** The engine did not begin: `refused` if it could not even be connected to. */
+  /** The engine did not start the request; `refused` if the connection was refused. */
   | { readonly kind: 'not-started'; readonly reader: ReaderId; readonly refused: boolean }
   | {
       readonly kind: 'rejected';
@@ -26,7 +26,7 @@
   | { readonly kind: 'deadline-passed' }
   | { readonly kind: 'caller-attached' }
   | { readonly kind: 'caller-left' }
-  /** The caller gave it up. */
+  /** The caller cancelled the generation. */
   | { readonly kind: 'cancelled' }
-  /** Nobody came back for it, or this VM lost its claim: other VMs may be reading the stream. */
+  /** No caller reconnected, or this VM lost its claim; other VMs may be reading the stream. */
   | { readonly kind: 'abandoned'; readonly reason: 'expired' | 'claim-lost' };
--- a/src/domain/generation/types/GenerationState.ts
+++ b/src/domain/generation/types/GenerationState.ts
@@ -1,50 +1,50 @@
 import type { SurvivalMode } from '../../types';
 import type { Attempt } from './Attempt';
 
-/** What engines do with a stream whose connection ends. */
+/** How engines treat a stream whose connection ends. */
 export const StreamRetention = {
-  /** It is kept for a while and can be read again; another attempt may run beside it. */
+  /** The stream is kept for a while and can be read again; another attempt may run in parallel. */
   Kept: 'kept',
-  /** It is dropped; the next attempt begins only once this one's connection is closed. */
+  /** The stream is dropped; the next attempt starts only after this connection is closed. */
   Dropped: 'dropped',
 } as const;
 
-/** One of the things that engines do with a stream whose connection ends. */
+/** One of the ways in which engines treat a stream whose connection ends. */
 export type StreamRetention = (typeof StreamRetention)[keyof typeof StreamRetention];
 
-/** What decides how a generation may be continued; fixed for its life. */
+/** Rules for continuing a generation after a failure; constant during the generation. */
 export interface GenerationPolicy {
   readonly mode: SurvivalMode;
-  /** False: once an engine may have begun, no other attempt is ever sent. */
+  /** False: once an engine may have started the request, no other attempt is sent. */
   readonly idempotent: boolean;
-  /** True: its answer is kept under a key, so it goes on without a caller. */
+  /** True: the answer is stored under an idempotency key; the generation runs without callers. */
   readonly keyed: boolean;
-  /** True: the request and every token from 0 are held here, so another engine can go on. */
+  /** True: this VM holds the request and all tokens from 0, so another engine can continue. */
   readonly continuable: boolean;
-  /** In the unit of `offset`; infinite where the engine alone knows the end. */
+  /** In the unit of `offset`; infinite where only the engine knows the end. */
   readonly maxOutputTokens: number;
-  /** What an engine does with a stream whose connection ends. */
-  /** Kept, if absent. */
+  /** How engines treat a stream whose connection ends; `Kept` if absent. */
   readonly streamRetention?: StreamRetention;
 }
 
-/** Everything that decides the next step of a generation; its tokens are held elsewhere. */
+/** Input to the next decision about a generation; the tokens are stored elsewhere. */
 export interface GenerationState {
   readonly policy: GenerationPolicy;
   readonly phase: 'running' | 'parked' | 'finished' | 'failed';
-  /** Position: tokens delivered since the start, or the id of the last event delivered. */
+  /** Position: number of tokens delivered since the start, or id of the last delivered event. */
   readonly offset: number;
-  /** Attempts that may deliver the next token; the oldest first. */
+  /** Attempts that may deliver the next token, oldest first. */
   readonly attempts: readonly Attempt[];
-  /** Number of the newest attempt; numbers only grow. */
+  /** Number of the newest attempt; numbers increase monotonically. */
   readonly newestAttempt: number;
-  /** Servers that failed since the last token. */
+  /** Servers that have failed since the last token. */
   readonly excludedServers: readonly string[];
-  /** Attempts in a row that brought no token. */
+  /** Consecutive attempts that delivered no token. */
   readonly attemptsWithoutProgress: number;
-  /** Engines in a row that ended after they got it, and before a token. */
+  /** Consecutive engines that crashed after they received the request and before a token. */
   readonly crashes: number;
-  /** True: an engine may have begun to run it. */
+  /** True: an engine may have started to run the request. */
   readonly mayHaveStarted: boolean;
+  /** Number of callers that follow the generation. */
   readonly callers: number;
 }
--- a/src/domain/generation/types/Transition.ts
+++ b/src/domain/generation/types/Transition.ts
@@ -1,7 +1,7 @@
 import type { GenerationEffect } from './GenerationEffect';
 import type { GenerationState } from './GenerationState';
 
-/** A new state and what is to be done on the way to it. */
+/** A new state and the effects to perform, in order. */
 export interface Transition {
   readonly state: GenerationState;
   readonly effects: readonly GenerationEffect[];
--- a/src/domain/generation/updateGeneration/index.ts
+++ b/src/domain/generation/updateGeneration/index.ts
@@ -2,7 +2,7 @@
 import { failGeneration } from '../_lib/failGeneration';
 import { handleAbandoned } from '../_lib/handleAbandoned';
 import { handleBatch } from '../_lib/handleBatch';
-import { handleBrokenConnection } from '../_lib/handleBrokenConnection';
+import { handleDisconnect } from '../_lib/handleDisconnect';
 import { handleCallerAttached } from '../_lib/handleCallerAttached';
 import { handleCancelled } from '../_lib/handleCancelled';
 import { handleNotStarted } from '../_lib/handleNotStarted';
@@ -26,7 +26,7 @@
     ? { state, effects: [] }
     : openAttempt(state, state.mayHaveStarted || state.offset > 0 ? 'resume' : 'start');
 
-// A generation that is taken over begins with a stream of an engine, which is read on.
+// A generation taken over from another VM starts by reading the existing stream of an engine.
 const startAttempts = (state: GenerationState): Transition =>
   state.attempts.length === 0
     ? recoverGeneration(state)
@@ -55,7 +55,7 @@
     ? { state, effects: [] }
     : failGeneration(state, {
         code: 'deadline_exceeded',
-        message: 'no token came before the deadline',
+        message: 'no token arrived before the deadline',
         status: 504,
         retryAfterMs: 0,
       });
@@ -67,7 +67,7 @@
   'claim-refused': refuseClaim,
   'not-started': handleNotStarted,
   rejected: handleRejected,
-  broken: handleBrokenConnection,
+  broken: handleDisconnect,
   'stream-gone': handleStreamGone,
   batch: handleBatch,
   silent: handleSilence,
@@ -82,30 +82,31 @@
   abandoned: handleAbandoned,
 };
 
-/** Inputs that a generation which has ended, or waits for a caller, still takes. */
-const HEARD_WHEN_IDLE: Readonly<Record<string, readonly GenerationInput['kind'][]>> = {
+/** Inputs that a generation still handles after its end or while it waits for a caller. */
+const INPUTS_BY_INACTIVE_PHASE: Readonly<Record<string, readonly GenerationInput['kind'][]>> = {
   parked: ['batch', 'sending', 'caller-attached', 'caller-left', 'cancelled', 'abandoned'],
   finished: ['batch', 'sending', 'caller-attached', 'caller-left'],
   failed: ['batch', 'sending', 'caller-attached', 'caller-left'],
 };
 
 /**
- * Decides the next step of a generation.
+ * Computes the next state of a generation and the effects to perform. A pure function.
  *
- * Guarantees, whatever the order of inputs: batches are delivered with strictly continuous offsets;
- * after a token of one attempt nothing of an older or parallel attempt is delivered; a
- * non-idempotent generation gets no second attempt once an engine may have begun.
+ * Guarantees for any order of inputs:
+ * - Batches are delivered with contiguous offsets.
+ * - After a token of one attempt, no token of an older or parallel attempt is delivered.
+ * - A non-idempotent generation gets no second attempt once an engine may have started.
  *
- * @param state - Generation; not changed.
- * @param input - What happened.
- * @returns The new state and the effects to run, in order.
+ * @param state - State of the generation; not modified.
+ * @param input - Event that occurred.
+ * @returns The new state and the effects to perform, in order.
  */
 export const updateGeneration = (state: GenerationState, input: GenerationInput): Transition => {
-  const heard = HEARD_WHEN_IDLE[state.phase];
-  if (heard && !heard.includes(input.kind)) return { state, effects: [] };
+  const allowed = INPUTS_BY_INACTIVE_PHASE[state.phase];
+  if (allowed && !allowed.includes(input.kind)) return { state, effects: [] };
   const handle = HANDLERS[input.kind] as (
     current: GenerationState,
-    happened: GenerationInput,
+    received: GenerationInput,
   ) => Transition;
   return handle(state, input);
 };
--- a/src/domain/json/parseJson/index.ts
+++ b/src/domain/json/parseJson/index.ts
@@ -1,4 +1,4 @@
-/** Parses JSON from outside; undefined if it is malformed, which no schema accepts. */
+/** Parses untrusted JSON. Returns undefined, which no schema accepts, if the text is malformed. */
 export function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
--- a/src/domain/lease/decodeLeaseRow/index.ts
+++ b/src/domain/lease/decodeLeaseRow/index.ts
@@ -9,17 +9,17 @@
   duration_ms: z.number().positive(),
 });
 
-/** A lease row that can't be read. */
+/** A lease row that cannot be decoded. */
 export interface LeaseRowError {
   readonly kind: 'malformed-lease';
   readonly reason: string;
 }
 
 /**
- * Decodes a lease from its row.
+ * Decodes the body of a lease row.
  *
- * @param body - as `encodeLeaseRow` writes it
- * @param revision - of the row
+ * @param body - text that `encodeLeaseRow` wrote
+ * @param revision - revision of the row
  * @returns the lease, or `malformed-lease`
  */
 export function decodeLeaseRow(body: string, revision: number): Result<LeaseRow, LeaseRowError> {
--- a/src/domain/lease/isTakeoverDue/index.ts
+++ b/src/domain/lease/isTakeoverDue/index.ts
@@ -1,19 +1,20 @@
 import type { LeaseObservation } from '../types';
 
 /**
- * Tells whether a lease may be taken over: there is none, it was given up, or its revision has not
- * changed for its whole duration and a margin, counted by the own clock since the first sight.
+ * Checks whether a lease may be taken over: there is no lease, the lease was released, or its
+ * revision has not changed for the duration of the lease plus a margin, measured by the clock of
+ * this VM since the first observation.
  *
- * @param sighting - what this VM saw
+ * @param observation - observation by this VM
  * @param nowMs - monotonic time in milliseconds
- * @param marginMs - wait beyond the duration, in milliseconds
+ * @param marginMs - wait after the end of the lease, in milliseconds
  */
 export function isTakeoverDue(
-  sighting: LeaseObservation,
+  observation: LeaseObservation,
   nowMs: number,
   marginMs: number,
 ): boolean {
-  const { row, firstSeenAtMs } = sighting;
+  const { row, firstSeenAtMs } = observation;
   if (row === null || row.holder === '') return true;
   return nowMs - firstSeenAtMs >= row.durationMs + marginMs;
 }
--- a/src/domain/lease/types/HeldLease.ts
+++ b/src/domain/lease/types/HeldLease.ts
@@ -1,6 +1,6 @@
 /** A lease that this process holds. */
 export interface HeldLease {
-  /** Revision of its newest renewal: the fencing token. */
+  /** Revision of the newest renewal; used as the fencing token. */
   readonly revision: number;
   /** Monotonic time just before the newest renewal was sent, in milliseconds. */
   readonly renewedAtMs: number;
--- a/src/domain/lease/types/LeaseObservation.ts
+++ b/src/domain/lease/types/LeaseObservation.ts
@@ -1,9 +1,9 @@
 import type { LeaseRow } from './LeaseRow';
 
-/** A lease row as one VM saw it. */
+/** The newest lease row that this VM has read, and since when its revision is known. */
 export interface LeaseObservation {
-  /** Null: there is no row yet. */
+  /** Null if there is no row yet. */
   readonly row: LeaseRow | null;
-  /** Monotonic time of this VM after the read in which it first saw this revision, in ms. */
+  /** Monotonic time after the first read that returned this revision, in milliseconds. */
   readonly firstSeenAtMs: number;
 }
--- a/src/domain/lease/updateLeaseObservation/index.ts
+++ b/src/domain/lease/updateLeaseObservation/index.ts
@@ -1,13 +1,14 @@
 import type { LeaseRow, LeaseObservation } from '../types';
 
 /**
- * Adds what a read showed to what was seen before.
+ * Updates the observation of a lease after a read.
  *
- * The time of the first sight of a revision stays: from then on the holder has at most the lease's
- * duration left, whatever its clock says. No wall time is compared between VMs.
+ * While the revision does not change, the time of its first observation is kept. From that time the
+ * holder has at most the duration of the lease left, regardless of its clock. No wall times of
+ * different VMs are compared.
  *
- * @param before - the last sighting, or null
- * @param row - the row as read, or null if there is none
+ * @param before - the previous observation, or null
+ * @param row - the row read, or null if there is none
  * @param nowMs - monotonic time after the read, in milliseconds
  */
 export function updateLeaseObservation(
--- a/src/domain/membership/chooseGossipPartners/index.ts
+++ b/src/domain/membership/chooseGossipPartners/index.ts
@@ -1,18 +1,18 @@
 import { chooseOwners } from '../chooseOwners';
 
-/** Up to this many VMs, each pair has a link. */
+/** Maximum number of VMs in a region at which each pair of VMs has a link. */
 export const MAX_FULL_MESH_VMS = 10;
-/** Partners chosen by each VM of a larger region; as many choose it on average. */
+/** Partners that each VM of a larger region chooses; on average as many VMs choose it. */
 export const PARTNERS_PER_VM = 2;
 
-/** A VM that may be chosen for an exchange. */
+/** A VM that may be chosen as a gossip partner. */
 export interface GossipPartnerCandidate {
   readonly vm: string;
-  /** Monotonic time of the last failed call to it, in milliseconds, or null. */
+  /** Monotonic time of the last failed call to the VM, in milliseconds, or null. */
   readonly failedAtMs: number | null;
 }
 
-/** The next names on the ring of sorted names: half of the others, so that each pair meets once. */
+/** Chooses the next half of the ring of sorted names, so that each pair of VMs has one link. */
 function chooseSuccessors(self: string, vms: readonly string[]): readonly string[] {
   const count = Math.ceil(vms.length / 2);
   const sorted = [...vms].sort();
@@ -22,17 +22,18 @@
 }
 
 /**
- * Chooses the VMs with which this one exchanges news in each round.
+ * Chooses the VMs with which this VM exchanges news in each round.
  *
- * The choice is stable: what the partner already has need not be sent again. In a small region each
- * pair of VMs has a link. In a large one the partners are chosen by rendezvous hash, which makes a
- * random graph over all VMs, in which news reaches everyone in about log n / log 3 rounds, as links
- * carry it both ways. A partner that fails is replaced by the next until `backoffMs` has passed.
+ * The choice is stable, so that facts that a partner already has are not sent again. In a small
+ * region each pair of VMs has a link. In a large region the partners are chosen by rendezvous
+ * hashing. This forms a random graph over all VMs, in which news reaches every VM in about log n /
+ * log 3 rounds, since links carry news in both directions. A failed partner is replaced by the next
+ * one until `backoffMs` has passed.
  *
  * @param self - name of this VM
- * @param candidates - VMs of the region, without this one
+ * @param candidates - VMs of the region, without this VM
  * @param options - `nowMs` and `backoffMs` in monotonic milliseconds
- * @returns names of VMs
+ * @returns names of the chosen VMs
  */
 export function chooseGossipPartners(
   self: string,
--- a/src/domain/membership/chooseOwners/index.ts
+++ b/src/domain/membership/chooseOwners/index.ts
@@ -1,12 +1,13 @@
 import { computeRendezvousWeight } from '../computeRendezvousWeight';
 
 /**
- * Chooses the members that own a key, by rendezvous hashing: a member that comes or goes moves only
- * the keys that it owned.
+ * Chooses the members that own a key, by rendezvous hashing.
  *
- * @param members - names of those that may own it, in any order
- * @param key - name of what is owned, for example a backend server to poll
- * @param count - owners wanted, at least 1
+ * A member that joins or leaves moves only the keys that it owns.
+ *
+ * @param members - names of the possible owners, in any order
+ * @param key - key to assign, for example the name of a backend server to poll
+ * @param count - number of owners, at least 1
  * @returns at most `count` members, first owner first; empty if there are no members
  *
  * @example
@@ -18,7 +19,7 @@
   count: number,
 ): readonly string[] =>
   members
-    .map((member) => ({ member, rank: computeRendezvousWeight(key, member) }))
-    .sort((a, b) => b.rank - a.rank || (a.member < b.member ? -1 : 1))
+    .map((member) => ({ member, weight: computeRendezvousWeight(key, member) }))
+    .sort((a, b) => b.weight - a.weight || (a.member < b.member ? -1 : 1))
     .slice(0, count)
     .map(({ member }) => member);
--- a/src/domain/membership/chooseOwners/test.ts
+++ b/src/domain/membership/chooseOwners/test.ts
@@ -13,7 +13,7 @@
   });
 });
 
-test('the order of the list does not matter, and few VMs are enough', (t) => {
+test('the order of the members does not matter, and fewer members than owners are allowed', (t) => {
   t.deepEqual(chooseOwners([...VMS].reverse(), 'a', 2), chooseOwners(VMS, 'a', 2));
   t.deepEqual(chooseOwners(['vm-1'], 'a', 2), ['vm-1']);
   t.deepEqual(chooseOwners([], 'a', 2), []);
--- a/src/domain/membership/chooseRowReader/test.ts
+++ b/src/domain/membership/chooseRowReader/test.ts
@@ -16,7 +16,7 @@
   t.is(chosen.size, 1);
 });
 
-test('a larger VM goes first, wherever it stands', (t) => {
+test('a larger VM is preferred, regardless of the order of the list', (t) => {
   const large = buildVm('vm-large', 'z1', 1.35);
   t.is(chooseRowReader(VMS[0] as RowReaderCandidate, [...without('vm-0'), large]), large);
   t.is(chooseRowReader(large, VMS), large);
@@ -28,14 +28,14 @@
   t.is(chooseRowReader(self, []), self);
 });
 
-test('when the one chosen is gone, all choose the same next one', (t) => {
+test('when the chosen VM is gone, all VMs choose the same successor', (t) => {
   const first = chooseRowReader(VMS[0] as RowReaderCandidate, without('vm-0')).vm;
-  const left = without(first);
-  const next = left.map(
+  const remaining = without(first);
+  const next = remaining.map(
     (self) =>
       chooseRowReader(
         self,
-        left.filter((vm) => vm !== self),
+        remaining.filter((vm) => vm !== self),
       ).vm,
   );
   t.is(new Set(next).size, 1);
--- a/src/domain/membership/computeIncarnationTag/index.ts
+++ b/src/domain/membership/computeIncarnationTag/index.ts
@@ -1,10 +1,10 @@
 const INCARNATION_TAGS = 256;
 
 /**
- * Computes the tag that tells a pulse of this incarnation from one of the last 255.
+ * Computes the tag that distinguishes heartbeats of an incarnation from those of the last 255.
  *
- * @param incarnation - of the process
- * @returns the lowest 8 bits of it
+ * @param incarnation - incarnation of the process
+ * @returns the lowest 8 bits of the incarnation
  */
 export const computeIncarnationTag = (incarnation: number): number =>
   incarnation % INCARNATION_TAGS;
--- a/src/domain/membership/computeNameId/index.ts
+++ b/src/domain/membership/computeNameId/index.ts
@@ -2,10 +2,11 @@
 const FNV_PRIME = 0x01000193;
 
 /**
- * Computes a 32-bit id of a name (FNV-1a over its UTF-16 code units).
+ * Computes the 32-bit id of a name (FNV-1a over its UTF-16 code units).
  *
- * News carries it in place of names that both sides know. With 340 VMs and 600 backend servers two
- * names share an id with a probability of about 1 in 10,000; then the id is taken as unknown.
+ * News carries ids in place of names that both sides know. With 340 VMs and 600 backend servers,
+ * the probability that two names share an id is about 1 in 10,000; a shared id is treated as
+ * unknown.
  *
  * @param name - name of a VM or backend server
  * @returns an integer from 0 to 2^32 - 1
--- a/src/domain/membership/computeRendezvousWeight/index.ts
+++ b/src/domain/membership/computeRendezvousWeight/index.ts
@@ -7,12 +7,12 @@
  * Computes the weight of a member for a key in rendezvous hashing (highest random weight, Thaler
  * and Ravishankar 1998).
  *
- * FNV-1a alone differs little between names that differ in their last letter only; the finalizer of
- * MurmurHash3 spreads that difference over all bits.
+ * FNV-1a alone gives similar values for names that differ only in the last letter; the finalizer of
+ * MurmurHash3 spreads the difference over all bits.
  *
- * @param key - what is to be owned
- * @param member - who may own it
- * @returns an integer from 0 to 2^32 - 1; the highest owns the key
+ * @param key - key to assign
+ * @param member - possible owner of the key
+ * @returns an integer from 0 to 2^32 - 1; the member with the highest weight owns the key
  */
 export const computeRendezvousWeight = (key: string, member: string): number => {
   let hash = computeNameId(`${key}\n${member}`);
--- a/src/domain/membership/convertFactsToReport/index.ts
+++ b/src/domain/membership/convertFactsToReport/index.ts
@@ -4,10 +4,10 @@
 const PERMILLE = 1_000;
 
 /**
- * Joins the two parts of a load report that a peer passed on.
+ * Combines the two parts of a load report that a peer sent.
  *
- * @param state - the part that seldom changes
- * @param load - the part that always does
+ * @param state - fields that seldom change
+ * @param load - fields that change continuously
  * @param nowMs - monotonic time of this VM at receipt, in milliseconds
  */
 export const convertFactsToReport = (
--- a/src/domain/membership/convertReportToFacts/index.ts
+++ b/src/domain/membership/convertReportToFacts/index.ts
@@ -5,9 +5,9 @@
 const PERMILLE = 1_000;
 
 /**
- * Converts a load report to the part that seldom changes and the part that always does.
+ * Splits a load report into the fields that seldom change and the fields that change continuously.
  *
- * @param report - as this VM holds it
+ * @param report - report held by this VM
  * @param nowMs - monotonic time of this VM, in milliseconds
  */
 export const convertReportToFacts = (
--- a/src/domain/membership/decodeRegistration/index.ts
+++ b/src/domain/membership/decodeRegistration/index.ts
@@ -13,16 +13,16 @@
   incarnation: z.number().int().nonnegative(),
 });
 
-/** A registration row that can't be read. */
+/** A registration row that cannot be decoded. */
 export interface RegistrationError {
   readonly kind: 'malformed-registration';
   readonly reason: string;
 }
 
 /**
- * Decodes a VM's registration from the body of its row.
+ * Decodes the registration of a VM from the body of its row.
  *
- * @param body - as `encodeRegistration` writes it
+ * @param body - text that `encodeRegistration` wrote
  * @returns the record, or `malformed-registration` with the reason
  */
 export function decodeRegistration(body: string): Result<PeerRecord, RegistrationError> {
--- a/src/domain/membership/encodeRegistration/index.ts
+++ b/src/domain/membership/encodeRegistration/index.ts
@@ -1,9 +1,9 @@
 import type { PeerRecord } from '../types';
 
 /**
- * Encodes a VM's registration as the body of its row in the table.
+ * Encodes the registration of a VM as the body of its row in the table.
  *
- * @param record - the VM as it tells of itself
+ * @param record - record that the VM publishes about itself
  * @returns JSON text, see docs/ARCHITECTURE.md
  */
 export function encodeRegistration(record: PeerRecord): string {
--- a/src/domain/membership/isLoadUpdateDue/index.ts
+++ b/src/domain/membership/isLoadUpdateDue/index.ts
@@ -1,22 +1,26 @@
 import type { LoadFact } from '../types';
 
-/** A load fact as last passed on. */
+/** A load report as last sent to other VMs. */
 export interface SentLoad {
   readonly fact: LoadFact;
-  /** Monotonic time at which it was passed on, in milliseconds. */
+  /** Monotonic time at which the report was sent, in milliseconds. */
   readonly sentAtMs: number;
 }
 
-const MATERIAL_PART = 0.05;
+/** Change of the running or waiting requests that is worth sending, as a fraction of the slots. */
+const SIGNIFICANT_SLOT_FRACTION = 0.05;
 
 /**
- * Tells whether a load report is worth passing on: the last one passed on is older than `leastMs`,
- * and the load changed by at least one request and 5% of the slots, or it is older than `refreshMs`.
+ * Tells whether a load report is due to be sent to other VMs.
  *
- * @param sent - what was passed on last, or null
- * @param fact - the newest
- * @param options - `slots` of the server; `nowMs`, `leastMs` and `refreshMs` in monotonic
- *   milliseconds
+ * No report is due within `minIntervalMs` of the last one sent. After that, a report is due if the
+ * running or waiting requests changed by at least one request and 5% of the slots, or if the last
+ * one sent is older than `refreshIntervalMs`.
+ *
+ * @param sent - the report last sent, or null
+ * @param fact - the newest report
+ * @param options - `slots` of the server; `nowMs`, `minIntervalMs` and `refreshIntervalMs` in
+ *   monotonic milliseconds
  */
 export const isLoadUpdateDue = (
   sent: SentLoad | null,
@@ -30,7 +34,7 @@
 ): boolean => {
   if (sent === null) return true;
   if (sent.fact.sequence === fact.sequence) return false;
-  const threshold = Math.max(1, options.slots * MATERIAL_PART);
+  const threshold = Math.max(1, options.slots * SIGNIFICANT_SLOT_FRACTION);
   const runningChange = Math.abs(fact.running - sent.fact.running);
   const waitingChange = Math.abs(fact.waiting - sent.fact.waiting);
   const ageMs = options.nowMs - sent.sentAtMs;
--- a/src/domain/membership/mergePeerRecord/index.ts
+++ b/src/domain/membership/mergePeerRecord/index.ts
@@ -1,12 +1,14 @@
 import type { PeerRecord } from '../types';
 
 /**
- * Merges two records of one VM: the higher incarnation wins; within one, leaving is final, so that
- * an older record that comes late can't bring a leaving VM back.
+ * Merges two records of one VM.
  *
- * @param known - the record held, or null
- * @param incoming - the record told
- * @returns the record to hold; `known` itself if nothing changed
+ * The higher incarnation wins. Within an incarnation, leaving is final, so that an older record
+ * that arrives late cannot revert it.
+ *
+ * @param known - the current record, or null
+ * @param incoming - the received record
+ * @returns the record to keep; `known` itself if nothing changed
  */
 export const mergePeerRecord = (known: PeerRecord | null, incoming: PeerRecord): PeerRecord => {
   if (known === null || incoming.incarnation > known.incarnation) return incoming;
--- a/src/domain/membership/types/Fact.ts
+++ b/src/domain/membership/types/Fact.ts
@@ -2,23 +2,24 @@
 import type { LoadFact, ServerStateFact } from './LoadFact';
 import type { PeerRecord } from './PeerRecord';
 
-/** A VM's record; passed on when it changes. */
+/** The record of a VM; sent when it changes. */
 export interface PeerFact {
   readonly kind: 'peer';
   readonly record: PeerRecord;
 }
 
-/** Sign of life of a VM, passed on from VM to VM. */
+/** A heartbeat of a VM, forwarded by other VMs. */
 export interface HeartbeatFact {
   readonly kind: 'pulse';
-  /** `computeNameId` of the VM's name. */
+  /** Id of the VM, from `computeNameId`. */
   readonly id: number;
-  /** Lowest 8 bits of the incarnation that beat. */
+  /** Lowest 8 bits of the incarnation that sent the heartbeat. */
   readonly incarnationTag: number;
+  /** Number of heartbeats of that incarnation so far. */
   readonly beats: number;
 }
 
-/** How many VMs of a region are heard there; stands for their pulses in other regions. */
+/** Number of live VMs in a region; replaces their heartbeats in news to other regions. */
 export interface RegionFact {
   readonly kind: 'region';
   readonly region: string;
@@ -33,27 +34,27 @@
   readonly suspicion: Suspicion;
 }
 
-/** A backend server that leaves. */
+/** A backend server that is shutting down. */
 export interface LeavingFact {
   readonly kind: 'leaving';
   readonly backendServer: string;
 }
 
-/** A backend server that the sender saw serving again. */
+/** A backend server that the sender observed to be serving again. */
 export interface RecoveryFact {
   readonly kind: 'recovery';
   readonly backendServer: string;
 }
 
-/** Attempts that the sender itself has running on a server. */
+/** Number of attempts that the sender itself runs on a backend server. */
 export interface RunningAttemptsFact {
   readonly kind: 'send';
-  /** `computeNameId` of the server's name. */
+  /** Id of the server, from `computeNameId`. */
   readonly id: number;
   readonly running: number;
 }
 
-/** One thing that a VM tells another. */
+/** A piece of information that one VM sends to another. */
 export type Fact =
   | PeerFact
   | HeartbeatFact
--- a/src/domain/membership/types/LoadFact.ts
+++ b/src/domain/membership/types/LoadFact.ts
@@ -1,6 +1,6 @@
 import type { LoadedModel } from '../../types';
 
-/** The part of a load report that seldom changes. */
+/** The fields of a load report that seldom change. */
 export interface ServerStateFact {
   readonly kind: 'server-state';
   readonly backendServer: string;
@@ -11,15 +11,15 @@
   readonly fencingToken: number;
 }
 
-/** The part of a load report that changes all the time. */
+/** The fields of a load report that change continuously. */
 export interface LoadFact {
   readonly kind: 'load';
-  /** `computeNameId` of the server's name. */
+  /** Id of the server, from `computeNameId`. */
   readonly id: number;
   readonly sequence: number;
   readonly running: number;
   readonly waiting: number;
-  /** Part of the cache memory in use, in thousandths. */
+  /** Fraction of the cache memory in use, in thousandths. */
   readonly cacheUsePermille: number;
   readonly tokensPerSecond: number;
   /** Age of the figures when sent, in milliseconds. */
--- a/src/domain/membership/types/News.ts
+++ b/src/domain/membership/types/News.ts
@@ -1,16 +1,16 @@
 import type { Fact } from './Fact';
 import type { PeerRecord } from './PeerRecord';
 
-/** What one VM tells another in one message. */
+/** A gossip message from one VM to another. */
 export interface News {
   readonly sender: PeerRecord;
-  /** Heartbeats of the sender's process so far. */
+  /** Number of heartbeats of the sender's process so far. */
   readonly beats: number;
-  /** The sender's change counter up to which the facts reach. */
+  /** Change counter of the sender up to which the facts are complete. */
   readonly sequence: number;
-  /** The sender's change counter after which the facts start; 0 means that they are complete. */
+  /** Change counter of the sender after which the facts start; 0 for a full set of facts. */
   readonly since: number;
-  /** The receiver's change counter that the sender has taken in; 0 asks for everything. */
+  /** Change counter of the receiver that the sender has processed; 0 requests all facts. */
   readonly acknowledged: number;
   readonly configurationVersion: number;
   /** Age of the newest table read that the sender knows of, in milliseconds, or null. */
@@ -18,11 +18,11 @@
   /** The sender's monotonic clock at sending, in milliseconds. */
   readonly clockMs: number;
   /**
-   * The newest clock value that the sender got from the receiver, 0 if none: this news was written
-   * after the receiver's clock showed it, however long it lay in a buffer since.
+   * The newest `clockMs` that the sender received from the receiver, 0 if none. Proves that this
+   * message was written after that time on the receiver's clock, however long it was buffered.
    */
   readonly echoClockMs: number;
-  /** True: the answer needs no facts. */
+  /** True: the response needs no facts. */
   readonly brief: boolean;
   readonly facts: readonly Fact[];
 }
--- a/src/domain/membership/types/PeerRecord.ts
+++ b/src/domain/membership/types/PeerRecord.ts
@@ -1,7 +1,7 @@
 import type { VmRecord } from '../../types';
 
-/** A VM as it tells of itself. */
+/** The record that a VM publishes about itself. */
 export interface PeerRecord extends VmRecord {
-  /** Grows with each start of the process; the higher one is the living process. */
+  /** Increases with each start of the process; the highest one is the current process. */
   readonly incarnation: number;
 }
--- a/src/domain/order/isModelReplaced/index.ts
+++ b/src/domain/order/isModelReplaced/index.ts
@@ -2,19 +2,23 @@
 import { listMissingModels } from '../listMissingModels';
 import type { EngineState } from '../types';
 
-function listDesired(target: EngineTarget | undefined, model: string): readonly LoadedModel[] {
+function listDesiredVersions(
+  target: EngineTarget | undefined,
+  model: string,
+): readonly LoadedModel[] {
   return (target?.models ?? []).filter((item) => item.model === model);
 }
 
 /**
- * Tells whether a loaded model may be unloaded, because what replaces it serves.
+ * Checks whether a loaded model may be unloaded because its replacement is being served.
  *
- * Its replacement is what the same engine is to hold of the same model (another version or
- * adapter), else what the other engines are to hold of it: then every one of them that serves must
- * have loaded it, and at least one. A model that no engine is to hold needs no replacement.
+ * The replacement is the version or adapter of the model in the target of the same engine. If that
+ * target does not contain the model, the replacement is the one in the targets of other engines:
+ * all of these engines that are serving, and at least one, must have loaded it. A model in no
+ * target needs no replacement.
  *
  * @param surplus - the loaded model
- * @param backendServer - the engine that holds it
+ * @param backendServer - the engine that has the model loaded
  * @param targets - the desired state of all engines
  * @param engines - the actual state of all engines, by name
  */
@@ -24,14 +28,16 @@
   targets: readonly EngineTarget[],
   engines: ReadonlyMap<string, EngineState>,
 ): boolean {
-  const holds = (target: EngineTarget): boolean => {
-    const held = engines.get(target.backendServer)?.models ?? [];
-    return listMissingModels(listDesired(target, surplus.model), held).length === 0;
+  const hasLoaded = (target: EngineTarget): boolean => {
+    const loaded = engines.get(target.backendServer)?.models ?? [];
+    return listMissingModels(listDesiredVersions(target, surplus.model), loaded).length === 0;
   };
-  const successors = targets.filter((target) => listDesired(target, surplus.model).length > 0);
+  const successors = targets.filter(
+    (target) => listDesiredVersions(target, surplus.model).length > 0,
+  );
   if (successors.length === 0) return true;
   const own = successors.find((target) => target.backendServer === backendServer);
-  if (own !== undefined) return holds(own);
+  if (own !== undefined) return hasLoaded(own);
   const serving = successors.filter((target) => engines.get(target.backendServer)?.serving);
-  return serving.length > 0 && serving.every(holds);
+  return serving.length > 0 && serving.every(hasLoaded);
 }
--- a/src/domain/order/listMissingModels/index.ts
+++ b/src/domain/order/listMissingModels/index.ts
@@ -1,7 +1,7 @@
 import type { LoadedModel } from '../../types';
 
 /**
- * Lists the models of one set that another one lacks.
+ * Lists the models of one set that another set lacks.
  *
  * @param wanted - models to look for
  * @param held - models to look in
--- a/src/domain/order/planOrders/index.ts
+++ b/src/domain/order/planOrders/index.ts
@@ -8,7 +8,7 @@
   | { readonly kind: 'wait'; readonly waiting: WaitingEngine }
   | { readonly kind: 'done' };
 
-/** What an engine is to hold for now: the desired set, and what is not yet replaced. */
+/** Intermediate target of an engine: the desired models plus those that are not yet replaced. */
 interface InterimTarget {
   readonly models: readonly LoadedModel[];
   readonly role: string;
@@ -19,8 +19,11 @@
   return listMissingModels(left, right).length === 0 && listMissingModels(right, left).length === 0;
 }
 
-/** The engine had time to load the new version beside the old one, and has not. */
-function isStuckBeside(engine: EngineState, { nowMs, sideBySideTimeoutMs }: OrderOptions): boolean {
+/** Checks whether the engine failed to load the new version beside the old one in time. */
+function hasSideBySideTimedOut(
+  engine: EngineState,
+  { nowMs, sideBySideTimeoutMs }: OrderOptions,
+): boolean {
   const { pending } = engine;
   return pending !== null && nowMs - pending.firstSentAtMs >= sideBySideTimeoutMs;
 }
@@ -35,7 +38,7 @@
       other.backendServer !== backendServer &&
       other.serving &&
       other.models.some((item) => item.model === model) &&
-      // Another engine in the midst of a change may be about to drop the model itself.
+      // An engine with a pending order may be about to unload the model.
       other.pending === null,
   );
 }
@@ -53,24 +56,26 @@
   const name = target.backendServer;
   const surplus = listMissingModels(engine.models, target.models);
   const kept = surplus.filter((item) => {
-    // Once its unloading was ordered it is not asked back, however late the engine's reports are.
+    // A model whose unloading was ordered is not loaded again, however late the reports are.
     if (engine.pending !== null && listMissingModels([item], engine.pending.models).length > 0) {
       return false;
     }
     if (isModelReplaced(item, name, targets, engines)) return false;
-    return !(isStuckBeside(engine, options) && isServedElsewhere(item.model, name, engines));
+    return !(
+      hasSideBySideTimedOut(engine, options) && isServedElsewhere(item.model, name, engines)
+    );
   });
-  // A role may end the serving of all that is loaded: it waits until nothing has to be kept.
+  // A new role may stop the serving of all loaded models, so it waits until none must be kept.
   const role = kept.length === 0 ? target.role : engine.role;
   return { models: [...target.models, ...kept], role, isFinal: kept.length === 0 };
 }
 
 function buildReason(interim: InterimTarget, loads: number): string {
-  if (interim.isFinal) return loads > 0 ? `load ${loads}` : 'unload what is replaced';
-  return `load ${loads} beside what is not yet replaced`;
+  if (interim.isFinal) return loads > 0 ? `load ${loads}` : 'unload replaced models';
+  return `load ${loads} beside models not yet replaced`;
 }
 
-/** Models that engines were ordered to load and do not hold yet. */
+/** Counts the models that other engines were ordered to load and have not loaded yet. */
 function countLoading(engines: ReadonlyMap<string, EngineState>, except: string): number {
   return [...engines.values()]
     .filter(({ backendServer }) => backendServer !== except)
@@ -87,14 +92,14 @@
     readonly targets: readonly EngineTarget[];
     readonly engines: ReadonlyMap<string, EngineState>;
     readonly options: OrderOptions;
-    /** Loads of orders planned in this same turn. */
+    /** Number of model loads in orders already planned in this run. */
     readonly plannedLoads: number;
   },
 ): Step {
   const { engines, options } = state;
   const { backendServer } = target;
   const wait = (reason: string): Step => ({ kind: 'wait', waiting: { backendServer, reason } });
-  if (engine === undefined || !engine.serving) return wait('it does not answer, or is leaving');
+  if (engine === undefined || !engine.serving) return wait('engine does not answer or is leaving');
   const interim = buildInterimTarget(target, engine, state);
   if (isSameSet(interim.models, engine.models) && interim.role === engine.role) {
     return interim.isFinal ? { kind: 'done' } : wait('the replacement does not serve yet');
@@ -107,7 +112,7 @@
   const loading = countLoading(engines, backendServer) + state.plannedLoads;
   const isOverLimit = loading > 0 && loading + loads > options.maxLoads;
   if (loads > 0 && options.loadsBlocked) return wait('the weight store asked to wait');
-  if (loads > 0 && isOverLimit) return wait(`${loading} loads are under way`);
+  if (loads > 0 && isOverLimit) return wait(`${loading} loads in progress`);
   const { models, role } = interim;
   const order = { backendServer, fencingToken: options.fencingToken, models, role };
   return { kind: 'order', planned: { order, reason: buildReason(interim, loads) }, loads };
@@ -116,14 +121,14 @@
 /**
  * Plans the orders that bring engines closer to the desired state.
  *
- * Each order states the whole set for its engine, so that repeating it is harmless. A new version
- * is loaded beside the old one, which is unloaded only when its replacement serves. The number of
- * models that load at once is limited. An engine without a target gets no order.
+ * Each order contains the complete state of its engine and is therefore idempotent. A new version
+ * is loaded beside the old one, which is unloaded only when the replacement is being served. The
+ * number of concurrent model loads is limited. An engine without a target gets no order.
  *
  * @param targets - desired state, from the configuration
  * @param engines - actual state
- * @param options - token, time and limits
- * @returns orders to send now, and engines that wait, with reasons
+ * @param options - fencing token, time and limits
+ * @returns orders to send now, and engines that must wait, with reasons
  */
 export function planOrders(
   targets: readonly EngineTarget[],
--- a/src/domain/order/types/EngineState.ts
+++ b/src/domain/order/types/EngineState.ts
@@ -4,18 +4,18 @@
 export interface PendingOrder {
   readonly models: readonly LoadedModel[];
   readonly role: string;
-  /** Monotonic time of the newest send, in milliseconds. */
+  /** Monotonic time of the most recent send, in milliseconds. */
   readonly sentAtMs: number;
   /** Monotonic time at which this same order was first sent, in milliseconds. */
   readonly firstSentAtMs: number;
 }
 
-/** What the keeper knows of an engine. */
+/** The state of an engine as known to the keeper. */
 export interface EngineState {
   readonly backendServer: string;
-  /** True: it reported its load just now and does not say that it is leaving. */
+  /** True: the engine reported its load recently and is not shutting down. */
   readonly serving: boolean;
-  /** Models loaded, as it last reported. */
+  /** Models that are loaded according to the last report. */
   readonly models: readonly LoadedModel[];
   readonly role: string;
   readonly pending: PendingOrder | null;
--- a/src/domain/order/types/OrderOptions.ts
+++ b/src/domain/order/types/OrderOptions.ts
@@ -1,17 +1,19 @@
-/** Limits and times under which orders are planned; times in milliseconds. */
+/** Limits and times for planning orders; times in milliseconds. */
 export interface OrderOptions {
   readonly fencingToken: number;
   /** Monotonic time. */
   readonly nowMs: number;
-  /** Models that may be loading at once, over all engines: the weight store's share. */
+  /**
+   * Maximum number of concurrent model loads over all engines, to limit load on the weight store.
+   */
   readonly maxLoads: number;
-  /** The same order is sent again after this long: its answer, or the engine's memory, was lost. */
+  /** Interval for resending an unfulfilled order, whose response or effect may have been lost. */
   readonly resendAfterMs: number;
   /**
-   * If a new version did not load beside the old one in this time, the engine has no room for both:
-   * the old one is unloaded first, provided that another engine serves the model.
+   * Timeout for loading a new version beside the old one. After it, the engine is assumed to lack
+   * memory for both, and the old version is unloaded first if another engine serves the model.
    */
   readonly sideBySideTimeoutMs: number;
-  /** True: the weight store asked to wait; no order that loads anything. */
+  /** True: the weight store asked to wait, so no order that loads a model is sent. */
   readonly loadsBlocked: boolean;
 }
--- a/src/domain/order/types/OrderPlan.ts
+++ b/src/domain/order/types/OrderPlan.ts
@@ -6,13 +6,13 @@
   readonly reason: string;
 }
 
-/** An engine that is not as desired and gets no order now. */
+/** An engine that is not in the desired state and gets no order now. */
 export interface WaitingEngine {
   readonly backendServer: string;
   readonly reason: string;
 }
 
-/** What to do to bring the engines to the desired state. */
+/** Orders that bring the engines closer to the desired state, and engines that must wait. */
 export interface OrderPlan {
   readonly orders: readonly PlannedOrder[];
   readonly waiting: readonly WaitingEngine[];
--- a/src/domain/prediction/types/OutputLengthSamples.ts
+++ b/src/domain/prediction/types/OutputLengthSamples.ts
@@ -1,5 +1,5 @@
-/** Output lengths of the newest finished generations of one service and workspace. */
+/** Output lengths of the most recent finished generations of one service and workspace. */
 export interface OutputLengthSamples {
-  /** In tokens, oldest first. */
+  /** Lengths in tokens, oldest first. */
   readonly tokens: readonly number[];
 }
--- a/src/domain/request/_lib/formatCanonicalJson/index.ts
+++ b/src/domain/request/_lib/formatCanonicalJson/index.ts
@@ -1,4 +1,4 @@
-/** Formats a JSON value with the keys of each object sorted, so that equal values give equal text. */
+/** Formats a JSON value with sorted object keys, so that equal values give equal text. */
 export const formatCanonicalJson = (value: unknown): string => {
   if (Array.isArray(value)) return `[${value.map(formatCanonicalJson).join(',')}]`;
   if (typeof value !== 'object' || value === null) return JSON.stringify(value) ?? 'null';
--- a/src/domain/request/buildGenerationRequest/index.ts
+++ b/src/domain/request/buildGenerationRequest/index.ts
@@ -4,7 +4,7 @@
 import { computeRequestDigest } from '../computeRequestDigest';
 import type { ChatBody, CompletionBody, RequestOptions } from '../types';
 
-/** What a generation request is built from; all parts are checked. */
+/** Validated parts from which a generation request is built. */
 export interface GenerationRequestParts {
   readonly requestId: string;
   readonly workspace: string;
@@ -14,12 +14,12 @@
   readonly options: RequestOptions;
 }
 
-/** Builds the request that the generations run, with its digest, prefixes and defaults. */
-export const buildGenerationRequest = (source: GenerationRequestParts): GenerationRequest => {
-  const { body, endpoint, options, service, workspace } = source;
+/** Builds a generation request with its digest, its prefixes and the defaults of the service. */
+export const buildGenerationRequest = (parts: GenerationRequestParts): GenerationRequest => {
+  const { body, endpoint, options, service, workspace } = parts;
   const prompt = extractPromptText(endpoint, body);
   return {
-    requestId: source.requestId,
+    requestId: parts.requestId,
     workspace,
     service: service.name,
     endpoint,
--- a/src/domain/request/computeRequestDigest/index.ts
+++ b/src/domain/request/computeRequestDigest/index.ts
@@ -2,16 +2,16 @@
 import type { Endpoint } from '../../types';
 import { formatCanonicalJson } from '../_lib/formatCanonicalJson';
 
-/** Fields that change how an answer is delivered, not what is generated. */
+/** Fields that affect the delivery of an answer but not its content. */
 const DELIVERY_FIELDS: readonly string[] = ['stream', 'stream_options'];
 
 /**
- * Computes the digest that tells whether a repeat is the same request.
+ * Computes the digest that identifies repeats of the same request.
  *
- * A repeat may ask for the answer streamed or whole: these fields do not count.
+ * A repeat may request the answer streamed or whole, so the digest ignores the delivery fields.
  *
  * @param source - workspace, endpoint and the parsed body
- * @returns SHA-256 as lower-case hex
+ * @returns SHA-256 in lower-case hex
  */
 export const computeRequestDigest = (source: {
   readonly workspace: string;
--- a/src/domain/request/extractPromptText/index.ts
+++ b/src/domain/request/extractPromptText/index.ts
@@ -9,7 +9,7 @@
 };
 
 /**
- * Gives the text of a prompt as prefix digests and estimates count it.
+ * Extracts the text of a prompt for prefix digests and estimates.
  *
  * @returns the prompt of a completion; the messages of a chat, each as `role\ncontent\n`
  */
--- a/src/domain/request/isRetryableCall/index.ts
+++ b/src/domain/request/isRetryableCall/index.ts
@@ -1,12 +1,12 @@
-/** Methods that change nothing, by RFC 9110 section 9.2.1. */
+/** Safe methods of RFC 9110, section 9.2.1. */
 const SAFE_METHODS: readonly string[] = ['GET', 'HEAD', 'OPTIONS', 'TRACE'];
 
 /**
- * Tells whether a call to a plain service may be sent a second time.
+ * Checks whether a call to a plain service may be retried.
  *
- * Each doubt counts against it: a call that bills twice is worse than one that fails.
+ * A call is not retried in case of doubt: a duplicate charge is worse than a failed call.
  *
- * @param call - `serviceIdempotent` as configured, `callerIdempotent` as the header says
+ * @param call - `serviceIdempotent` from the configuration, `callerIdempotent` from the header
  */
 export const isRetryableCall = (call: {
   readonly method: string;
--- a/src/domain/request/parseGenerationBody/index.ts
+++ b/src/domain/request/parseGenerationBody/index.ts
@@ -14,11 +14,11 @@
 } as const;
 
 /**
- * Checks the body of a generation request.
+ * Validates the body of a generation request.
  *
- * @param endpoint - the endpoint it was sent to, or that the caller names on a resume
+ * @param endpoint - the endpoint of the request, or the one that the caller names on a resume
  * @param value - the parsed JSON
- * @returns the body with all its fields, or the first field that is wrong; never quotes its content
+ * @returns the body with all its fields, or the first invalid field, without its content
  */
 export const parseGenerationBody = (
   endpoint: Endpoint,
--- a/src/domain/request/parseRequestId/index.ts
+++ b/src/domain/request/parseRequestId/index.ts
@@ -1,7 +1,7 @@
 /**
- * Takes over a caller's request id.
+ * Parses the request id of a caller.
  *
- * @param value - value of `Jackdaw-Request-Id`, if sent
+ * @param value - value of `Jackdaw-Request-Id`, if present
  * @returns the id, or null if it is not 1 to 64 characters of `[A-Za-z0-9_-]`
  */
 export const parseRequestId = (value: string | undefined): string | null =>
--- a/src/domain/request/parseRequestOptions/index.ts
+++ b/src/domain/request/parseRequestOptions/index.ts
@@ -1,10 +1,10 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { RequestError, RequestOptions } from '../types';
 
-/** Longest accepted key; the digest is what is stored, so this only bounds the header. */
+/** Longest accepted key; limits only the header, since the digest of the key is stored. */
 const MAX_KEY_CHARACTERS = 255;
 
-/** Longest accepted deadline, one day: a longer one is more likely a mistake of units. */
+/** Longest accepted deadline, one day; a longer one is likely a mistake in units. */
 const MAX_TIMEOUT_MS = 86_400_000;
 
 const IDEMPOTENT_BY_VALUE: Readonly<Record<string, boolean>> = {
@@ -14,10 +14,10 @@
 };
 
 /**
- * Parses the headers that say how a request is to be run.
+ * Parses the headers that control how a request is run.
  *
- * @param readHeader - gives the value of a header, or undefined
- * @returns the options, or which header is wrong and why
+ * @param readHeader - returns the value of a header, or undefined
+ * @returns the options, or the invalid header and the reason
  */
 export const parseRequestOptions = (
   readHeader: (name: string) => string | undefined,
--- a/src/domain/request/types/GenerationBody.ts
+++ b/src/domain/request/types/GenerationBody.ts
@@ -16,17 +16,17 @@
   n: z.literal(1, 'only one choice can be generated').nullish(),
 };
 
-/** Body of `POST /v1/chat/completions`; fields not listed are passed on to the engine. */
+/** Body of `POST /v1/chat/completions`; other fields are forwarded to the engine. */
 export const ChatBodySchema = z.looseObject({
   ...SharedShape,
   messages: z.array(MessageSchema).min(1),
 });
 
-/** Body of `POST /v1/completions`; fields not listed are passed on to the engine. */
+/** Body of `POST /v1/completions`; other fields are forwarded to the engine. */
 export const CompletionBodySchema = z.looseObject({ ...SharedShape, prompt: z.string() });
 
-/** A checked body of `POST /v1/chat/completions`. */
+/** A validated body of `POST /v1/chat/completions`. */
 export type ChatBody = z.infer<typeof ChatBodySchema>;
 
-/** A checked body of `POST /v1/completions`. */
+/** A validated body of `POST /v1/completions`. */
 export type CompletionBody = z.infer<typeof CompletionBodySchema>;
--- a/src/domain/request/types/RequestError.ts
+++ b/src/domain/request/types/RequestError.ts
@@ -1,4 +1,4 @@
-/** Why a caller's request is not accepted; nothing of it ran. */
+/** Why a request was rejected before any of it ran. */
 export type RequestError =
   | { readonly kind: 'malformed-json'; readonly message: string }
   | { readonly kind: 'bad-field'; readonly field: string; readonly message: string }
--- a/src/domain/types/BackendHealth.ts
+++ b/src/domain/types/BackendHealth.ts
@@ -1,4 +1,4 @@
-/** Health of a backend server as this VM sees it. */
+/** Health states of a backend server as observed by this VM. */
 export const BackendHealth = {
   Serving: 'serving',
   Suspected: 'suspected',
--- a/src/domain/types/BackendServer.ts
+++ b/src/domain/types/BackendServer.ts
@@ -1,13 +1,13 @@
-/** A backend server: a model engine or a plain service's host. */
+/** A backend server: a model engine or the host of a plain service. */
 export interface BackendServer {
   readonly name: string;
-  /** Base URL by IP number, without a trailing slash. */
+  /** Base URL with an IP address as host, without a trailing slash. */
   readonly url: string;
   readonly region: string;
   readonly availabilityZone: string;
-  /** Names of the services that it may serve. */
+  /** Names of the services that the server may serve. */
   readonly services: readonly string[];
-  /** Requests it runs at once. */
+  /** Number of requests that the server runs concurrently. */
   readonly slots: number;
   /** True: the engine refuses an order with an old fencing token. */
   readonly checksFencing: boolean;
--- a/src/domain/types/CacheEvent.ts
+++ b/src/domain/types/CacheEvent.ts
@@ -1,4 +1,4 @@
-/** A change of an engine's prompt cache. Arrives late, repeated, or not at all. */
+/** A change of an engine's prompt cache. Events may arrive late, repeatedly or not at all. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly kind: 'stored' | 'removed' | 'cleared';
--- a/src/domain/types/Configuration.ts
+++ b/src/domain/types/Configuration.ts
@@ -7,7 +7,7 @@
 import type { SurvivalMode } from './SurvivalMode';
 import type { Workspace } from './Workspace';
 
-/** A whole checked configuration. Lists are sorted by name. */
+/** A complete, validated configuration. Lists are sorted by name. */
 export interface Configuration {
   readonly deployment: string;
   readonly survival: SurvivalMode;
--- a/src/domain/types/Demand.ts
+++ b/src/domain/types/Demand.ts
@@ -1,12 +1,12 @@
 import type { WorkClass } from './WorkClass';
 
-/** Purposes of a slot, in the order in which a queue serves them. */
+/** What a slot is requested for, in the order in which a queue serves the purposes. */
 export const DemandPurpose = { Resume: 'resume', Start: 'start', Hedge: 'hedge' } as const;
 
-/** One of the purposes of a slot. */
+/** One of the purposes of a demand. */
 export type DemandPurpose = (typeof DemandPurpose)[keyof typeof DemandPurpose];
 
-/** What one attempt of a request asks of the routing. */
+/** Request of one attempt to routing for a slot on a backend server. */
 export interface Demand {
   readonly requestId: string;
   readonly workspace: string;
@@ -15,11 +15,11 @@
   readonly purpose: DemandPurpose;
   /** Digests of the prompt's prefixes, shortest first; empty for plain services. */
   readonly prefixes: readonly string[];
-  /** Prompt tokens with those already generated; an estimate is enough. */
+  /** Tokens of the prompt plus the tokens generated so far; an estimate is sufficient. */
   readonly promptTokens: number;
   readonly maxOutputTokens: number;
-  /** Servers not to be chosen: they failed this request before. */
+  /** Servers that failed this request before and must not be chosen. */
   readonly excludedServers: readonly string[];
-  /** Monotonic time by which it must have started, in milliseconds. */
+  /** Monotonic time by which the attempt must have started, in milliseconds. */
   readonly deadlineMs: number;
 }
--- a/src/domain/types/EngineOrder.ts
+++ b/src/domain/types/EngineOrder.ts
@@ -1,6 +1,6 @@
 import type { LoadedModel } from './EngineTarget';
 
-/** An order to an engine: the whole desired set under the lease's fencing token. */
+/** An order to an engine: its complete desired state with the fencing token of the lease. */
 export interface EngineOrder {
   readonly backendServer: string;
   readonly fencingToken: number;
--- a/src/domain/types/EngineTarget.ts
+++ b/src/domain/types/EngineTarget.ts
@@ -1,4 +1,4 @@
-/** What one engine should hold: stated whole, so that repeating the order is harmless. */
+/** Complete desired state of one engine, so that an order to reach it is idempotent. */
 export interface EngineTarget {
   readonly backendServer: string;
   readonly models: readonly LoadedModel[];
@@ -6,7 +6,7 @@
   readonly role: string;
 }
 
-/** A model that an engine holds or should hold. */
+/** A model that an engine has loaded or should load. */
 export interface LoadedModel {
   readonly model: string;
   readonly version: string;
--- a/src/domain/types/GenerationRequest.ts
+++ b/src/domain/types/GenerationRequest.ts
@@ -1,10 +1,10 @@
-/** Which of the two OpenAI endpoints the caller used. */
+/** OpenAI endpoints that start a generation. */
 export const Endpoint = { Chat: 'chat', Completion: 'completion' } as const;
 
 /** One of the endpoints. */
 export type Endpoint = (typeof Endpoint)[keyof typeof Endpoint];
 
-/** A caller's request for a generation, checked. */
+/** A validated request of a caller for a generation. */
 export interface GenerationRequest {
   readonly requestId: string;
   readonly workspace: string;
@@ -17,11 +17,11 @@
   readonly maxOutputTokens: number;
   /** Deadline from arrival to the first token, in milliseconds. */
   readonly timeoutMs: number;
-  /** Body as the caller sent it, parsed; passed on to the engine with its own fields replaced. */
+  /** Parsed body of the caller; engines get it with the fields that this server sets replaced. */
   readonly body: Readonly<Record<string, unknown>>;
-  /** SHA-256 of workspace, endpoint and canonical body: tells whether a repeat is the same request. */
+  /** SHA-256 of workspace, endpoint and canonical body; equal for a repeat of the same request. */
   readonly digest: string;
-  /** Characters of the prompt, for estimates. */
+  /** Length of the prompt in characters, for estimates. */
   readonly promptCharacters: number;
   readonly prefixes: readonly string[];
 }
--- a/src/domain/types/Place.ts
+++ b/src/domain/types/Place.ts
@@ -1,4 +1,4 @@
-/** A named location: the availability zones in which work may be held and run. */
+/** A named set of availability zones in which work may wait and run. */
 export interface Place {
   readonly name: string;
   readonly region: string;
--- a/src/domain/types/Refusal.ts
+++ b/src/domain/types/Refusal.ts
@@ -1,4 +1,4 @@
-/** Codes with which routing refuses a demand. */
+/** Reasons for which routing refuses a demand, as error codes. */
 export const RefusalCode = {
   UnknownService: 'unknown_service',
   ServiceNotAllowed: 'service_not_allowed',
@@ -14,10 +14,10 @@
 /** One of the refusal codes. */
 export type RefusalCode = (typeof RefusalCode)[keyof typeof RefusalCode];
 
-/** Final answer of routing to a demand that it will not serve; given at once. */
+/** Final answer to a demand that routing does not serve. */
 export interface Refusal {
   readonly code: RefusalCode;
   readonly message: string;
-  /** When to come back, in milliseconds; 0 if coming back cannot help. */
+  /** Delay before the caller may retry, in milliseconds; 0 if a retry cannot succeed. */
   readonly retryAfterMs: number;
 }
--- a/src/domain/types/RoutingDecision.ts
+++ b/src/domain/types/RoutingDecision.ts
@@ -1,11 +1,14 @@
-/** A decision about routing or placement, one JSON log line each; never holds text or keys. */
+/**
+ * A decision about routing or placement, logged as one JSON line. Contains no prompt text and no
+ * keys.
+ */
 export interface RoutingDecision {
   readonly kind:
     'route' | 'refuse' | 'queue' | 'resume' | 'suspect' | 'recover' | 'order' | 'hand-over';
   readonly requestId: string;
   readonly workspace: string;
   readonly service: string;
-  /** Servers that passed every filter. */
+  /** Servers that passed all filters. */
   readonly candidates: readonly string[];
   readonly filtered: readonly FilteredServer[];
   /** The chosen backend server, or empty. */
@@ -14,7 +17,7 @@
   readonly configurationVersion: number;
 }
 
-/** A server that a filter removed, with the reason. */
+/** A server that a filter excluded, with the reason. */
 export interface FilteredServer {
   readonly backendServer: string;
   readonly reason: string;
--- a/src/domain/types/ServiceKind.ts
+++ b/src/domain/types/ServiceKind.ts
@@ -1,4 +1,4 @@
-/** Kinds of service: a model behind engines, or a plain HTTP service. */
+/** Kinds of service: a model served by engines, or a plain HTTP service. */
 export const ServiceKind = { Model: 'model', Plain: 'plain' } as const;
 
 /** One of the kinds of service. */
--- a/src/domain/types/Suspicion.ts
+++ b/src/domain/types/Suspicion.ts
@@ -14,10 +14,13 @@
 export interface Suspicion {
   readonly backendServer: string;
   readonly cause: SuspicionCause;
-  /** True: confirmed (reset or refused, or enough silence); false: suspected only. */
+  /**
+   * True: confirmed by a reset or refused connection or by long enough silence; false: suspected
+   * only.
+   */
   readonly confirmed: boolean;
-  /** VM that saw it first. */
+  /** VM that found the evidence first. */
   readonly vm: string;
-  /** Grows with each suspicion and each recovery of one server at one VM; the higher one wins. */
+  /** Increases with each suspicion and recovery of a server at one VM; the highest epoch wins. */
   readonly epoch: number;
 }
--- a/src/domain/types/TokenBatch.ts
+++ b/src/domain/types/TokenBatch.ts
@@ -1,4 +1,4 @@
-/** Tokens as one engine event carried them. */
+/** The tokens of one engine event. */
 export interface TokenBatch {
   /** Offset of the first token, counted from the start of the generation. */
   readonly offset: number;
--- a/src/domain/types/VersionedConfiguration.ts
+++ b/src/domain/types/VersionedConfiguration.ts
@@ -1,6 +1,6 @@
 import type { Configuration } from './Configuration';
 
-/** A configuration as committed in the table: version 1 is the first, 0 means none yet. */
+/** A configuration as committed to the table. The first version is 1; 0 means none. */
 export interface VersionedConfiguration {
   readonly version: number;
   readonly configuration: Configuration;
--- a/src/domain/types/VmRecord.ts
+++ b/src/domain/types/VmRecord.ts
@@ -1,7 +1,7 @@
-/** A VM as the platform's list, or a peer, tells of it. */
+/** A VM as listed by the platform or reported by a peer. */
 export interface VmRecord {
   readonly vm: string;
-  /** Address of its peer interface, `ip:port`. */
+  /** Address of the peer interface, `ip:port`. */
   readonly peerAddress: string;
   readonly region: string;
   readonly availabilityZone: string;
--- a/src/domain/types/Workspace.ts
+++ b/src/domain/types/Workspace.ts
@@ -1,11 +1,11 @@
-/** A workspace: a customer with its keys, its services and the places it may use. */
+/** A customer of the deployment, with its keys, services and allowed places. */
 export interface Workspace {
   readonly name: string;
-  /** SHA-256 of each accepted bearer key, lower-case hex; keys themselves are never stored. */
+  /** SHA-256 of each accepted bearer key in lower-case hex; the keys are never stored. */
   readonly keyDigests: readonly string[];
   readonly services: readonly string[];
-  /** Places in which any of its work may run. */
+  /** Places in which work of the workspace may run. */
   readonly places: readonly string[];
-  /** Share of a busy place relative to other workspaces; above 0. */
+  /** Share of a busy place relative to other workspaces; greater than 0. */
   readonly weight: number;
 }
