--- a/src/application/gossip/_lib/createNewsBatcher/index.ts
+++ b/src/application/gossip/_lib/createNewsBatcher/index.ts
@@ -87,7 +87,7 @@
   };
 
   /** Records items as relayed now; items relayed within the last second keep their time. */
-  const recordPassed = (news: News): void => {
+  const recordRelayed = (news: News): void => {
     dropExpired();
     const nowMs = clock.readMonotonicMs();
     listKeys(news)
@@ -120,12 +120,12 @@
       dropExpired();
       const fresh = filterNew(news);
       if (countNews(fresh) === 0) return;
-      recordPassed(fresh);
+      recordRelayed(fresh);
       const before = pending;
       pending = buildNews((kind) => [...before[kind], ...fresh[kind]]);
       schedule(countNews(fresh) > fresh.members.length ? BATCH_MS : BATCH_MEMBERS_MS);
     },
-    recordRelayed: recordPassed,
+    recordRelayed,
     stop: () => {
       isStopped = true;
       cancelTimer?.();
--- a/src/application/rows/createFollowerPair/index.ts
+++ b/src/application/rows/createFollowerPair/index.ts
@@ -45,7 +45,7 @@
 const SECONDARY_WAIT_MS = 10_000;
 
 /** Ages derived from the same response differ by less than this. */
-const SAME_RESPONSE_MS = 20;
+const SAME_AGE_MS = 20;
 
 /**
  * Creates the followers of two tables of one store. The store's responses for the primary table
@@ -98,9 +98,7 @@
     readOnce: async () => {
       if (!(await primary.readOnce())) return false;
       // The response showed that the secondary table is complete, or the table must be read itself.
-      return (
-        secondary.readAgeMs() <= primary.readAgeMs() + SAME_RESPONSE_MS || secondary.readOnce()
-      );
+      return secondary.readAgeMs() <= primary.readAgeMs() + SAME_AGE_MS || secondary.readOnce();
     },
     readAgeMs: () => Math.max(primary.readAgeMs(), secondary.readAgeMs()),
   };
