--- a/src/application/gossip/createGossip/test.ts
+++ b/src/application/gossip/createGossip/test.ts
@@ -41,7 +41,7 @@
 });
 
 // Guards against a VM that counts VMs long gone and so uses too small a share of the retries: a VM
-// is cut off or removed for good, and whoever was heard of once counts forever.
+// is cut off or removed for good, and a VM heard of once counts forever.
 test('a VM not heard of any more is not counted until it returns', async (t) => {
   const { clock, cut, gossips, stop } = createGossipFleet(NAMES, {});
   gossips.forEach((gossip) => gossip.start());
--- a/src/application/peers/_lib/createFactMerger/index.ts
+++ b/src/application/peers/_lib/createFactMerger/index.ts
@@ -96,8 +96,7 @@
       if (!isFirst && fact.beats <= member.beats) return;
       member.incarnationTag = fact.incarnationTag;
       member.beats = fact.beats;
-      // The first pulse seen may be the last of a dead VM: only an increase proves that it is
-      // alive.
+      // The first pulse seen may be a dead VM's last: only an increase proves that it is alive.
       if (!isFirst && origin.writtenAfterMs !== null) member.heardAtMs = origin.writtenAfterMs;
       factStore.write(`pulse:${member.record.vm}`, fact, origin.vm);
     },
--- a/src/application/rows/createRowFollower/index.ts
+++ b/src/application/rows/createRowFollower/index.ts
@@ -132,8 +132,7 @@
   };
 
   const followOnce = async (): Promise<void> => {
-    // After a failure the call does not wait: a long poll would not show whether the outage is
-    // over.
+    // After a failure the call does not wait: a long poll would not show that the outage ended.
     const waitMs =
       calls.countConsecutiveFailures() > 0 ? 0 : dependencies.readWaitMs(age.readAgeMs());
     const call = calls.startCall('feed', waitMs);
@@ -150,7 +149,7 @@
       const isNew = replica.readVersion() === 0;
       if (mustReadAll || (isNew && !isStoreEmpty)) await readAll();
       else {
-        // While this VM has no rows, it reads the store itself in place of another VM.
+        // A VM without rows does not wait, since it cannot follow another VM yet.
         if (!isNew) await dependencies.waitUntilFollowing();
         if (!abort.signal.aborted) await followOnce();
       }
--- a/src/application/rows/createZoneReplication/index.ts
+++ b/src/application/rows/createZoneReplication/index.ts
@@ -202,7 +202,7 @@
     setSource(reader);
     if (reader.vm === self.vm) {
       if (!isStoreLost()) sources.recordFresh(self.vm);
-      // A VM that has just become the reader still has the store's state from before.
+      // When a VM has just become the reader, its view of the store's reachability is outdated.
       else if (wasReader) recordCutOff();
       return ROLE_CHECK_MS;
     }
