--- a/src/adapters/connect/createGatewayClient/index.ts
+++ b/src/adapters/connect/createGatewayClient/index.ts
@@ -37,17 +37,15 @@
 }
 
 /**
- * A gateway answers within some milliseconds; one that is cut off never does. A configuration of
- * 2,000 routes has 0.5 MB, which a VM of 7 Mbit/s receives in 0.6 s.
+ * A gateway answers within some milliseconds; one that is cut off never does. A configuration of 2,000
+ * routes has 0.5 MB, which a VM of 7 Mbit/s receives in 0.6 s.
  */
 const CALL_TIMEOUT_MS = 1000;
 
 /** A stream waits for this answer, and may ask two more. */
 const RETRY_TIMEOUT_MS = 100;
 
-/**
- * Reports go to the next gateway in line then; a bad version must be known within a second or two.
- */
+/** Reports go to the next gateway in line then; a bad version must be known within a second or two. */
 const REPORT_TIMEOUT_MS = 300;
 
 /** A prompt waits for this answer; sound gateways take some milliseconds. */
--- a/src/adapters/connect/createGatewayHandlers/index.ts
+++ b/src/adapters/connect/createGatewayHandlers/index.ts
@@ -25,9 +25,7 @@
 
 type Methods = typeof GatewayService.method;
 
-/**
- * Handlers of the calls between gateways, by method; a request that makes no sense is thrown back.
- */
+/** Handlers of the calls between gateways, by method; a request that makes no sense is thrown back. */
 export type GatewayHandlers = {
   readonly [Name in keyof Methods]: (
     request: MessageShape<Methods[Name]['input']>,
--- a/src/application/forwarding/_lib/createServerRecords/index.ts
+++ b/src/application/forwarding/_lib/createServerRecords/index.ts
@@ -50,9 +50,7 @@
   const ended = createIncarnationSet();
   /** Servers whose entries went: a copy of the store does not bring them back. */
   const gone = createGoneEntries();
-  /**
-   * Servers that said in an answer that they leave: entries that were written before do not count.
-   */
+  /** Servers that said in an answer that they leave: entries that were written before do not count. */
   const leaving = createIncarnationSet();
 
   const dropGone = (id: string, record: ServerRecord): void => {
@@ -90,8 +88,8 @@
 
   /**
    * A server that starts at the address of another one proves that the other has ended. That is an
-   * entry's word only, which another writer may have written: the other one's runs go on, and its
-   * next entry brings it back.
+   * entry's word only, which another writer may have written: the other one's runs go on, and its next
+   * entry brings it back.
    */
   const addRecord = (entry: ServerEntry): ServerRecord => {
     const record = buildServerRecord(entry);
--- a/src/application/forwarding/types/ServerDirectory.ts
+++ b/src/application/forwarding/types/ServerDirectory.ts
@@ -28,10 +28,7 @@
   /** Its rate limit leaves nothing to this VM for so long: it is not listed meanwhile. */
   recordLimited(id: string, waitMs: number): void;
   isLimited(id: string): boolean;
-  /**
-   * Time until the first server of a service that paused, or reached its limit, takes work; 0 if
-   * none did.
-   */
+  /** Time until the first server of a service that paused, or reached its limit, takes work; 0 if none did. */
   readPauseMs(service: string): number;
   recordSuspicion(id: string, cause: SuspicionCause): void;
   /** The server answered a request under its id. */
@@ -47,8 +44,8 @@
   /** Takes a server that another VM met. */
   applyInferred(entry: ServerEntry): void;
   /**
-   * Servers whose ids are to be asked for: who is at the address of one that failed just now, and
-   * is one without an entry still there?
+   * Servers whose ids are to be asked for: who is at the address of one that failed just now, and is
+   * one without an entry still there?
    */
   listUncertain(): readonly ServerEntry[];
   /** Servers without an entry; those that have not answered for long are forgotten first. */
