--- a/src/application/forwarding/_lib/buildServerStatus/index.ts
+++ b/src/application/forwarding/_lib/buildServerStatus/index.ts
@@ -11,10 +11,10 @@
   return {
     entry: record.entry,
     running: record.running,
-    prefillTokens: record.prefillTokens,
+    pendingPrefillTokens: record.prefillTokens,
     copies: record.copies,
     reported: isFresh ? load.running + load.waiting : 0,
     // One request shows whether it is sound again: the others wait for that elsewhere.
-    isSuspected: record.suspectedUntilMs > nowMs || record.trials > 0,
+    isSuspected: record.suspectedUntilMs > nowMs || record.probeRequests > 0,
   };
 };
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -1,19 +1,19 @@
 import {
   countPromptTokens,
-  chooseReportedServer,
-  countNeededTokens,
-  countReadingRuns,
-  hasCopyRoom,
-  predictFirstEvent,
-  type ReportedChoiceOptions,
+  chooseServerByReport,
+  countNeededKvTokens,
+  countPrefillingRuns,
+  hasMemoryForCopy,
+  predictFirstEventMs,
+  type ServerByReportOptions,
   type ReportedServer,
 } from '../../../../domain/forwarding';
-import type { StreamRun, StreamServers } from '../../types';
-import type { AnsweringServer } from '../askServers';
+import type { StreamRun, StreamPlacement } from '../../types';
+import type { RespondingServer } from '../queryServers';
 import { keepsBackups } from '../keepsBackups';
 
 /** What a request needs of a server. */
-type ReportedNeeds = Pick<ReportedChoiceOptions, 'neededTokens' | 'promptTokens'>;
+type ReportedNeeds = Pick<ServerByReportOptions, 'neededKvTokens' | 'promptTokens'>;
 
 /** What is known of a choice. */
 interface BuildOptions {
@@ -23,48 +23,48 @@
   readonly predictedMs: number;
 }
 
-const addUnread = (run: StreamRun, one: AnsweringServer): ReportedServer => ({
+const addUnread = (run: StreamRun, one: RespondingServer): ReportedServer => ({
   ...one,
-  unreadTokens: run.dependencies.directory.countUnreadTokens(one.entry.id),
+  pendingPrefillTokens: run.dependencies.directory.countPendingPrefillTokens(one.entry.id),
 });
 
 /** True: it has no prompt to read before a new one. */
-const isIdle = ({ report, unreadTokens }: ReportedServer): boolean =>
-  unreadTokens === 0 && report.waiting + countReadingRuns(report) === 0;
+const isIdle = ({ report, pendingPrefillTokens }: ReportedServer): boolean =>
+  pendingPrefillTokens === 0 && report.waiting + countPrefillingRuns(report) === 0;
 
 /** True: the run can begin without others having to end. */
-const hasRoom = ({ report }: ReportedServer, { neededTokens }: ReportedNeeds): boolean =>
-  report.kvTotalTokens === 0 || report.kvUsedTokens + neededTokens <= report.kvTotalTokens;
+const hasRoom = ({ report }: ReportedServer, { neededKvTokens }: ReportedNeeds): boolean =>
+  report.kvTotalTokens === 0 || report.kvUsedTokens + neededKvTokens <= report.kvTotalTokens;
 
 /** The next attempt reads the prompt at the chosen server; another zone's gets the copy. */
 const buildFromPrompt = (
   run: StreamRun,
   chosen: ReportedServer,
   options: BuildOptions,
-): StreamServers => {
+): StreamPlacement => {
   const { hasPrompt, needs, predictedMs, reported } = options;
-  const isPaceKnown = run.paces.readEnginePaces(run.context.service).readingMsPerToken > 0;
+  const isPaceKnown = run.paces.readEnginePaces(run.context.service).prefillMsPerToken > 0;
   const readingMs = isPaceKnown ? predictedMs : run.context.route.latencyGoalMs;
   const others = reported.filter(
     ({ entry, report }) =>
       entry.availabilityZone !== chosen.entry.availabilityZone &&
-      hasCopyRoom(report, needs.neededTokens),
+      hasMemoryForCopy(report, needs.neededKvTokens),
   );
-  const backup = chooseReportedServer(others, { ...needs, preferredZone: null });
+  const backup = chooseServerByReport(others, { ...needs, preferredZone: null });
   return {
     server: chosen.entry,
     copy: null,
-    hasPrompt,
+    isPromptCached: hasPrompt,
     isFree: isIdle(chosen) && hasRoom(chosen, needs),
     estimate: {
       promptTokens: needs.promptTokens,
       waiting: chosen.report.waiting,
-      reading: countReadingRuns(chosen.report),
-      unreadTokens: chosen.unreadTokens,
+      reading: countPrefillingRuns(chosen.report),
+      unreadTokens: chosen.pendingPrefillTokens,
     },
     predictedMs,
     // A prompt that is held needs no reading: its silence is no work.
-    expectedMs: hasPrompt ? 0 : readingMs,
+    expectedFirstEventMs: hasPrompt ? 0 : readingMs,
     backup: keepsBackups(run, chosen.entry) ? (backup?.entry ?? null) : null,
   };
 };
@@ -78,17 +78,17 @@
  */
 export const pickServer = (
   run: StreamRun,
-  answered: readonly AnsweringServer[],
-  holding: AnsweringServer | null,
-): StreamServers | null => {
+  answered: readonly RespondingServer[],
+  holding: RespondingServer | null,
+): StreamPlacement | null => {
   const needs: ReportedNeeds = {
-    neededTokens: countNeededTokens(run.context.request),
+    neededKvTokens: countNeededKvTokens(run.context.request),
     promptTokens: countPromptTokens(run.context.request),
   };
-  const predict = ({ report, unreadTokens }: ReportedServer): number =>
-    predictFirstEvent(report, {
+  const predict = ({ report, pendingPrefillTokens }: ReportedServer): number =>
+    predictFirstEventMs(report, {
       ...needs,
-      unreadTokens,
+      pendingPrefillTokens: pendingPrefillTokens,
       paces: run.paces.readEnginePaces(run.context.service),
       latencyGoalMs: run.context.route.latencyGoalMs,
     });
@@ -97,7 +97,7 @@
   const { availabilityZone: preferredZone } = run.dependencies;
   const chosen = holding
     ? addUnread(run, holding)
-    : chooseReportedServer(reported, { ...needs, preferredZone });
+    : chooseServerByReport(reported, { ...needs, preferredZone });
   if (!chosen) return null;
   const known = { server: chosen, predictedMs: predict(chosen) };
   const { predictedMs, server } =
--- a/src/application/gossip/_lib/createMemberList/index.ts
+++ b/src/application/gossip/_lib/createMemberList/index.ts
@@ -1,4 +1,8 @@
-import { choosePartners, computeNameId, FULL_MESH_VMS } from '../../../../domain/membership';
+import {
+  chooseGossipPartners,
+  computeNameId,
+  MAX_FULL_MESH_VMS,
+} from '../../../../domain/membership';
 import type { Clock } from '../../../ports';
 import type { Knowledge, Member } from '../../types';
 
@@ -94,12 +98,12 @@
     listLive,
     listPartners: () => {
       const live = listLive();
-      if (live.length < FULL_MESH_VMS) return live;
+      if (live.length < MAX_FULL_MESH_VMS) return live;
       const candidates = live.map(({ vm }) => ({ vm, failedAtMs: failedAtMs.get(vm) ?? null }));
       const options = { nowMs: clock.readMonotonicMs(), backoffMs: PARTNER_BACKOFF_MS };
-      const chosen = new Set(choosePartners(self, candidates, options));
+      const chosen = new Set(chooseGossipPartners(self, candidates, options));
       return live.filter(({ vm }) => chosen.has(vm));
     },
-    needsRelay: () => listLive().length >= FULL_MESH_VMS,
+    needsRelay: () => listLive().length >= MAX_FULL_MESH_VMS,
   };
 };
--- a/src/application/peers/_lib/createGossipRounds/index.ts
+++ b/src/application/peers/_lib/createGossipRounds/index.ts
@@ -1,4 +1,4 @@
-import { choosePartners } from '../../../../domain/membership';
+import { chooseGossipPartners } from '../../../../domain/membership';
 import type { Fact, News, PeerRecord } from '../../../../domain/membership';
 import type { Clock, Randomness } from '../../../ports';
 import type { PeerCalls } from '../../types';
@@ -77,7 +77,7 @@
     return chosen === undefined ? [] : [chosen.record.vm];
   };
   const chooseStablePartners = (candidates: readonly Member[]): readonly string[] =>
-    choosePartners(
+    chooseGossipPartners(
       readSelf().vm,
       candidates.map(({ record, failedAtMs }) => ({ vm: record.vm, failedAtMs })),
       { nowMs: clock.readMonotonicMs(), backoffMs: PARTNER_BACKOFF_MS },
--- a/src/application/peers/_lib/createLocalFacts/index.ts
+++ b/src/application/peers/_lib/createLocalFacts/index.ts
@@ -2,7 +2,7 @@
   computeIncarnationTag,
   computeNameId,
   convertReportToFacts,
-  isLoadChanged,
+  isLoadUpdateDue,
 } from '../../../../domain/membership';
 import type { PeerRecord } from '../../../../domain/membership';
 import type { LoadReport } from '../../../../domain/types';
@@ -50,7 +50,7 @@
     const leastMs = serverCount * LOAD_MIN_INTERVAL_MS_PER_SERVER;
     const refreshMs = Math.max(LOAD_REFRESH_MS, leastMs);
     const options = { slots: report.slots, nowMs, leastMs, refreshMs };
-    if (!isLoadChanged(sent, fact, options)) return;
+    if (!isLoadUpdateDue(sent, fact, options)) return;
     if (JSON.stringify(factStore.find(`state:${name}`)) !== JSON.stringify(state)) {
       factStore.write(`state:${name}`, state, readSelf().vm);
     }
--- a/src/application/peers/createPeerExchange/index.ts
+++ b/src/application/peers/createPeerExchange/index.ts
@@ -1,4 +1,4 @@
-import { FULL_MESH_VMS } from '../../../domain/membership';
+import { MAX_FULL_MESH_VMS } from '../../../domain/membership';
 import type { PeerRecord, News } from '../../../domain/membership';
 import type { Clock, HealthRegistry, LoadView, Randomness } from '../../ports';
 import { createFactStore } from '../_lib/createFactStore';
@@ -108,7 +108,7 @@
     versions,
     readNewestReadAgeMs,
     countHeardInRegion: view.countHeardInRegion,
-    isFullMesh: () => view.countMembersInRegion() < FULL_MESH_VMS,
+    isFullMesh: () => view.countMembersInRegion() < MAX_FULL_MESH_VMS,
   });
   const readNews = (news: News): void => {
     // Health changes caused by a peer's news must not be pushed as if this VM had detected them.
--- a/src/application/rows/createRowFollower/index.ts
+++ b/src/application/rows/createRowFollower/index.ts
@@ -222,7 +222,11 @@
       if (replica.readVersion() === 0) return;
       const otherRows = answer.rows.map((row) => row.version);
       const isBehind = (): boolean =>
-        hasMissedRows({ held: replica.readVersion(), newest: answer.version, otherRows });
+        hasMissedRows({
+          held: replica.readVersion(),
+          newest: answer.version,
+          otherRowVersions: otherRows,
+        });
       if (!isBehind()) {
         replica.advanceVersion(answer.version);
         confirmAsOf(asOfMs);
--- a/src/application/rows/createZoneReplication/index.ts
+++ b/src/application/rows/createZoneReplication/index.ts
@@ -1,4 +1,4 @@
-import type { Sharing } from '../../../domain/forwarding';
+import type { StalenessLimits } from '../../../domain/forwarding';
 import { chooseRowReader, type RowReaderCandidate } from '../../../domain/membership';
 import type { Clock, EventLog, Randomness } from '../../ports';
 import { startLoop } from '../../time';
@@ -20,7 +20,7 @@
 export interface ZoneReplicationDependencies {
   readonly self: StoreReaderVm;
   /** Age limits of copied rows; null: every VM follows the store itself. */
-  readonly sharing: Sharing | null;
+  readonly sharing: StalenessLimits | null;
   readonly pair: FollowerPair;
   /** The followers of the pair, by table. */
   readonly followers: ReadonlyMap<string, RowFollower>;
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -5,7 +5,7 @@
 import {
   createForwarder,
   createIdentityWatch,
-  createPromptPlaces,
+  createPromptReservations,
   createRouteTableHolder,
   createServerDirectory,
 } from '../../../../application/forwarding';
@@ -25,9 +25,9 @@
 import { wireRollouts } from '../wireRollouts';
 import type { GatewayOverrides, GatewayParts } from '../../types';
 import {
-  computeBurstPause,
-  computeFollowWait,
-  computeSharing,
+  computeBatchDelayMs,
+  computeLongPollMs,
+  computeStalenessLimits,
   type GatewaySettings,
 } from '../../../../domain/forwarding';
 
@@ -70,8 +70,8 @@
     log,
     handleGone: (id) => {
       client.removeServer(id);
-      limits.drop(id);
-      permits.drop(id);
+      limits.forgetServer(id);
+      permits.forgetServer(id);
     },
     reuseAfterMs: settings.bounds.reuseAfterMs,
     handleSuspected: (id, cause) => {
@@ -108,17 +108,17 @@
     tellOutcome: (outcome) => sendOutcome(outcome),
   });
   // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
-  const shared = computeSharing(settings.bounds);
+  const shared = computeStalenessLimits(settings.bounds);
   let handleAdvance = (): void => undefined;
   const pair = createFollowerPair({
     store,
     clock,
     randomness,
     log,
-    shortWaitMs: computeFollowWait(settings.bounds),
+    shortWaitMs: computeLongPollMs(settings.bounds),
     freshMs: shared?.freshMs ?? Infinity,
     staleMs: shared?.staleMs ?? Infinity,
-    burstPauseMs: computeBurstPause(settings.bounds),
+    burstPauseMs: computeBatchDelayMs(settings.bounds),
     handleUpdate: () => handleAdvance(),
     primary: {
       table: TABLES.operator,
@@ -154,7 +154,7 @@
     log,
     handleSuspicion: ({ server }) => directory.recordSuspicion(server, 'told'),
     handleInferred: (server) => {
-      directory.applyInferred(server);
+      directory.addInferred(server);
       identities.start();
     },
   });
@@ -178,13 +178,13 @@
   handleAdvance = sharing.handleUpdate;
   const { bounds } = settings;
   const { lender, retries } = wireRetries({ bounds, calls, clock, gossip, log });
-  const places = createPromptPlaces({
+  const places = createPromptReservations({
     self: settings.vm,
     listPeers: gossip.listMembers,
     tellPeer: calls.tellPrompt,
     askPeer: calls.reservePrompt,
-    countUnreadTokens: directory.countUnreadTokens,
-    recordToldPrompt: directory.recordToldPrompt,
+    countPendingPrefillTokens: directory.countPendingPrefillTokens,
+    recordPeerPrompt: directory.recordPeerPrompt,
   });
   const forwarder = createForwarder({
     lender,
--- a/standins/model/createModelClient/index.ts
+++ b/standins/model/createModelClient/index.ts
@@ -13,11 +13,11 @@
 
 const HEAD = {
   status: 200,
-  passedHeaders: [],
-  isGenuine: true,
+  forwardedHeaders: [],
+  isVerified: true,
   isFramed: true,
-  isNotRun: false,
-  isOtherServer: false,
+  isNotExecuted: false,
+  isFromOtherServer: false,
   serverId: null,
   load: null,
   isLeaving: false,
--- a/standins/rows/createRowsWorld/index.ts
+++ b/standins/rows/createRowsWorld/index.ts
@@ -9,9 +9,9 @@
 } from '../../../src/application/rows';
 import type { EventLog, SharedRow } from '../../../src/application/ports';
 import {
-  computeBurstPause,
-  computeFollowWait,
-  computeSharing,
+  computeBatchDelayMs,
+  computeLongPollMs,
+  computeStalenessLimits,
   type GatewayBounds,
 } from '../../../src/domain/forwarding';
 import { createFakeClock, createSeededRandomness, QUIET_LOG, type FakeClock } from '../../fakes';
@@ -77,7 +77,7 @@
   const endedAtMs = new Map<string, number>();
   const cutLinks = new Set<string>();
   let linkDelayMs = 0;
-  const shared = computeSharing(bounds);
+  const shared = computeStalenessLimits(bounds);
 
   const isOpen = (from: string, to: string): boolean => !cutLinks.has(`${from} ${to}`);
 
@@ -135,10 +135,10 @@
       clock: vmClock,
       randomness,
       log: log?.(name) ?? QUIET_LOG,
-      shortWaitMs: computeFollowWait(bounds),
+      shortWaitMs: computeLongPollMs(bounds),
       freshMs: shared?.freshMs ?? Infinity,
       staleMs: shared?.staleMs ?? Infinity,
-      burstPauseMs: computeBurstPause(bounds),
+      burstPauseMs: computeBatchDelayMs(bounds),
       handleUpdate: () => handleAdvance(),
       primary: { table: guardTable, handleRows: take(guardTable) },
       secondary: { table: guardedTable, handleRows: take(guardedTable) },
--- a/tests/gateway/serverClient.test.ts
+++ b/tests/gateway/serverClient.test.ts
@@ -22,7 +22,7 @@
     method: 'GET',
     target: '/x',
     host: 'a.example',
-    passedHeaders: ['Host', 'a.example', HEADERS.requestId, 'request-1'],
+    forwardedHeaders: ['Host', 'a.example', HEADERS.requestId, 'request-1'],
     body: Buffer.alloc(0),
     key: null,
     deadlineMs: null,
