--- a/src/application/forwarding/_lib/createServerRecords/index.ts
+++ b/src/application/forwarding/_lib/createServerRecords/index.ts
@@ -90,8 +90,8 @@
 
   /**
    * A server that starts at the address of another one proves that the other has ended. That is an
-   * entry's word only, which another writer may have written: the other one's runs go on, and its
-   * next entry brings it back.
+   * entry's word only, which another writer may have written: the other one's runs go on, and its next
+   * entry brings it back.
    */
   const addRecord = (entry: ServerEntry): ServerRecord => {
     const record = buildServerRecord(entry);
--- a/src/application/forwarding/types/ServerDirectory.ts
+++ b/src/application/forwarding/types/ServerDirectory.ts
@@ -47,8 +47,8 @@
   /** Takes a server that another VM met. */
   addInferred(entry: ServerEntry): void;
   /**
-   * Servers whose ids are to be asked for: who is at the address of one that failed just now, and
-   * is one without an entry still there?
+   * Servers whose ids are to be asked for: who is at the address of one that failed just now, and is
+   * one without an entry still there?
    */
   listUnverified(): readonly ServerEntry[];
   /** Servers without an entry; those that have not answered for long are forgotten first. */
