--- a/src/application/forwarding/_lib/checkStreamStart/index.ts
+++ b/src/application/forwarding/_lib/checkStreamStart/index.ts
@@ -4,14 +4,14 @@
   hasTimeToRead,
   type StreamDecision,
 } from '../../../../domain/forwarding';
-import type { Refusal, StreamRun, StreamServers } from '../../types';
+import type { Refusal, StreamRun, StreamPlacement } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
-import { recordDecision } from '../recordDecision';
+import { logDecision } from '../logDecision';
 
 /** Decides whether a new stream is begun; returns why it is refused, or null. */
-export const checkStreamStart = (run: StreamRun, servers: StreamServers): Refusal | null => {
+export const checkStreamStart = (run: StreamRun, placement: StreamPlacement): Refusal | null => {
   const { context, dependencies, overload } = run;
-  const { hasPrompt, isFree, predictedMs } = servers;
+  const { isPromptCached, isFree, predictedMs } = placement;
   const { latencyGoalMs } = context.route;
   const leftMs = context.deadlineAtMs - dependencies.clock.readMonotonicMs();
   const draw = dependencies.randomness.readFraction();
@@ -19,9 +19,9 @@
   const decide = (): StreamDecision => {
     // Who has part of an answer waits for the rest of it: late is better than refused.
     const hasBegun = context.request.lastEventId !== null;
-    if (predictedMs === null || hasPrompt || hasBegun) {
+    if (predictedMs === null || isPromptCached || hasBegun) {
       const prefillMs = estimateRunPrefill(run).ownMs;
-      const hasTime = hasPrompt || hasTimeToRead({ leftMs, latencyGoalMs, prefillMs });
+      const hasTime = isPromptCached || hasTimeToRead({ leftMs, latencyGoalMs, prefillMs });
       if (hasTime) return { kind: 'send' };
       const reason = 'less time is left than the prompt takes to read';
       const returnMs = computeReturnMs({ waitMs: 0, outageMs: overloadMs, leftMs, draw });
@@ -38,16 +38,16 @@
     });
   };
   const decision = decide();
-  overload.recordChoice(context.service, decision.kind === 'send');
+  overload.recordAdmission(context.service, decision.kind === 'send');
   if (decision.kind === 'send') return null;
   const { reason, returnMs } = decision;
-  recordDecision(
+  logDecision(
     dependencies,
     context,
     'stream refused',
     {
       reason,
-      ...servers.estimate,
+      ...placement.estimate,
       isFree,
       predictedMs: Math.round(predictedMs ?? -1),
       leftMs: Math.round(leftMs),
@@ -55,7 +55,7 @@
       isReturning: context.isReturning,
       returnMs,
     },
-    servers.server,
+    placement.server,
   );
   return { kind: 'not-run', reason, retryAfterMs: returnMs };
 };
--- a/src/application/forwarding/_lib/closeStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/closeStreamAttempt/index.ts
@@ -2,11 +2,11 @@
 
 /** Closes an attempt: its connection ends at once, and with it the run at its server. */
 export const closeStreamAttempt = (run: StreamRun, attempt: number): void => {
-  const open = run.attempts.get(attempt);
-  if (!open) return;
+  const openAttempt = run.attempts.get(attempt);
+  if (!openAttempt) return;
   run.attempts.delete(attempt);
-  open.stopWatch();
-  open.stopCopies();
-  open.abort.abort();
-  open.work.release();
+  openAttempt.stopSilenceWatch();
+  openAttempt.stopCopyWatch();
+  openAttempt.abort.abort();
+  openAttempt.work.release();
 };
--- a/src/application/forwarding/_lib/createIncarnationSet/index.ts
+++ b/src/application/forwarding/_lib/createIncarnationSet/index.ts
@@ -15,11 +15,11 @@
 
 /** Creates a set of starts of servers; it is empty. */
 export const createIncarnationSet = (): IncarnationSet => {
-  const bornMsOf = createBoundedMap<number | null>(MAX_INCARNATIONS);
+  const bornMsById = createBoundedMap<number | null>(MAX_INCARNATIONS);
   return {
-    add: ({ bornMs, id }) => bornMsOf.set(id, bornMs),
+    add: ({ bornMs, id }) => bornMsById.set(id, bornMs),
     has: ({ bornMs, id }) => {
-      const addedMs = bornMsOf.get(id);
+      const addedMs = bornMsById.get(id);
       return addedMs !== undefined && compareIncarnations(addedMs, bornMs) !== 'newer';
     },
   };
--- a/src/application/forwarding/_lib/createServerRecords/index.ts
+++ b/src/application/forwarding/_lib/createServerRecords/index.ts
@@ -2,7 +2,7 @@
 import { compareIncarnations, type ServerEntry } from '../../../../domain/forwarding';
 import type { Clock, EventLog, SharedRow } from '../../../ports';
 import type { RowsInfo } from '../../../rows';
-import { createGoneEntries } from '../createGoneEntries';
+import { createEntryTombstones } from '../createEntryTombstones';
 import { createIncarnationSet } from '../createIncarnationSet';
 import { buildServerRecord, type ServerRecord } from '../buildServerRecord';
 
@@ -21,22 +21,22 @@
   list(): readonly ServerRecord[];
   applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
   /** Ends a server that surely is not there any more: what runs there is lost. */
-  end(id: string): void;
+  endServer(id: string): void;
   /** Forgets a server of which nothing is known to say that it ended. */
-  drop(id: string): void;
+  forgetServer(id: string): void;
   /** Adds a server that has no entry yet; false if it is known, or has ended. */
   addInferred(entry: ServerEntry, source: string): boolean;
   /** The server said in an answer that it takes no new work. */
   recordLeaving(id: string): void;
   /** The server said when it was born; null if it did not. */
-  recordBorn(id: string, bornMs: number | null): void;
+  recordStartTime(id: string, bornMs: number | null): void;
 }
 
 /**
  * Entries that lapsed while the store was down are back within two seconds of its return; until a
  * little later, a missing one is not taken for gone.
  */
-const LAPSED_HOLD_MS = 2200;
+const LAPSED_ENTRY_GRACE_MS = 2200;
 
 /** Creates the records of the backend servers; there are none. */
 export const createServerRecords = ({
@@ -47,16 +47,16 @@
 }: ServerRecordsDependencies): ServerRecords => {
   const records = new Map<string, ServerRecord>();
   /** Servers that surely ended: late entries do not bring them back. */
-  const ended = createIncarnationSet();
+  const endedIncarnations = createIncarnationSet();
   /** Servers whose entries went: a copy of the store does not bring them back. */
-  const gone = createGoneEntries();
+  const tombstones = createEntryTombstones();
   /** Servers that said in an answer that they leave: entries that were written before do not count. */
-  const leaving = createIncarnationSet();
+  const leavingIncarnations = createIncarnationSet();
 
-  const dropGone = (id: string, record: ServerRecord): void => {
+  const removeIfGone = (id: string, record: ServerRecord): void => {
     if (records.get(id) !== record || record.goneAtMs > clock.readMonotonicMs()) return;
     records.delete(id);
-    gone.add(record.entry);
+    tombstones.add(record.entry);
     log.info('server gone', { server: id, service: record.entry.service });
     handleGone(id);
   };
@@ -64,26 +64,27 @@
   /** From now on the server is gone, unless it is already. */
   const removeRecord = (id: string, record: ServerRecord): void => {
     Object.assign(record, { goneAtMs: Math.min(record.goneAtMs, clock.readMonotonicMs()) });
-    dropGone(id, record);
+    removeIfGone(id, record);
   };
 
   /** Ends a server that surely is not there any more: what runs there is lost. */
-  const endRecord = (id: string, record: ServerRecord): void => {
-    ended.add(record.entry);
+  const endIncarnation = (id: string, record: ServerRecord): void => {
+    endedIncarnations.add(record.entry);
     removeRecord(id, record);
-    [...record.voidHandlers].forEach((handleVoid) => handleVoid());
+    [...record.lossHandlers].forEach((handleLoss) => handleLoss());
   };
 
-  const removeEntry = (id: string, info: RowsInfo): void => {
+  const handleEntryRemoved = (id: string, info: RowsInfo): void => {
     const record = records.get(id);
     if (!record || record.goneAtMs !== Infinity) return;
     const nowMs = clock.readMonotonicMs();
-    const endedAtMs = info.outageEndedAtMs;
-    const holdMs = endedAtMs === null ? 0 : Math.max(0, endedAtMs + LAPSED_HOLD_MS - nowMs);
+    const storeBackAtMs = info.outageEndedAtMs;
+    const holdMs =
+      storeBackAtMs === null ? 0 : Math.max(0, storeBackAtMs + LAPSED_ENTRY_GRACE_MS - nowMs);
     record.goneAtMs = nowMs + holdMs;
     if (holdMs > 0) log.info('server entry lapsed in an outage', { server: id, holdMs });
-    if (holdMs === 0) dropGone(id, record);
-    else clock.startTimer(holdMs + 1, () => dropGone(id, record));
+    if (holdMs === 0) removeIfGone(id, record);
+    else clock.startTimer(holdMs + 1, () => removeIfGone(id, record));
   };
 
   /**
@@ -101,45 +102,48 @@
   };
 
   /** The server started again under its id: all that was believed of the one before is void. */
-  const restartRecord = (before: ServerRecord, entry: ServerEntry): void => {
+  const replaceRecord = (previous: ServerRecord, entry: ServerEntry): void => {
     log.warn('server born anew', {
       server: entry.id,
       bornMs: entry.bornMs ?? 0,
-      before: before.entry.bornMs ?? 0,
-      running: before.running,
+      before: previous.entry.bornMs ?? 0,
+      running: previous.running,
     });
     records.set(entry.id, buildServerRecord(entry));
     handleGone(entry.id);
-    [...before.voidHandlers].forEach((handleVoid) => handleVoid());
+    [...previous.lossHandlers].forEach((handleLoss) => handleLoss());
   };
 
   const markLeaving = (entry: ServerEntry): ServerEntry =>
-    leaving.has(entry) ? { ...entry, isLeaving: true } : entry;
+    leavingIncarnations.has(entry) ? { ...entry, isLeaving: true } : entry;
 
   /** True: a copy of the store holds less of the server than is known here. */
-  const isSuperseded = (entry: ServerEntry): boolean => {
+  const isStaleEntry = (entry: ServerEntry): boolean => {
     const known = records.get(entry.id);
-    if (!known) return gone.has(entry);
+    if (!known) return tombstones.has(entry);
     return known.entry.isLeaving && !entry.isLeaving && entry.sequence <= known.entry.sequence;
   };
 
-  const applyEntry = (read: ServerEntry, { isRestored }: RowsInfo): void => {
-    if (isRestored && isSuperseded(read)) {
-      log.info('server entry of a copy ignored', { server: read.id, sequence: read.sequence });
+  const applyEntry = (decoded: ServerEntry, { isRestored }: RowsInfo): void => {
+    if (isRestored && isStaleEntry(decoded)) {
+      log.info('server entry of a copy ignored', {
+        server: decoded.id,
+        sequence: decoded.sequence,
+      });
       return;
     }
-    const entry = markLeaving(read);
+    const entry = markLeaving(decoded);
     const { bornMs, id, isLeaving, service } = entry;
     const known = records.get(id);
     if (!known) {
-      if (ended.has(entry)) return;
+      if (endedIncarnations.has(entry)) return;
       log.info('server known', { server: id, service, zone: entry.availabilityZone, isLeaving });
       addRecord(entry);
       return;
     }
     const order = compareIncarnations(known.entry.bornMs, bornMs);
     if (order === 'older') return;
-    if (order === 'newer') restartRecord(known, entry);
+    if (order === 'newer') replaceRecord(known, entry);
     else {
       if (known.entry.isLeaving !== isLeaving)
         log.info('server leaving', { server: id, isLeaving });
@@ -161,7 +165,7 @@
   };
 
   const addInferred = (entry: ServerEntry, source: string): boolean => {
-    if (records.has(entry.id) || ended.has(entry)) return false;
+    if (records.has(entry.id) || endedIncarnations.has(entry)) return false;
     log.info('server inferred', { server: entry.id, address: entry.address, source });
     Object.assign(addRecord(markLeaving(entry)), {
       isInferred: true,
@@ -175,31 +179,31 @@
     list: () => [...records.values()],
     applyRows: (rows, info) =>
       rows.forEach(({ key, value }) =>
-        value === null ? removeEntry(key, info) : applyValue(key, value, info),
+        value === null ? handleEntryRemoved(key, info) : applyValue(key, value, info),
       ),
-    end: (id) => {
+    endServer: (id) => {
       const record = records.get(id);
-      if (record) endRecord(id, record);
+      if (record) endIncarnation(id, record);
     },
-    drop: (id) => {
+    forgetServer: (id) => {
       records.delete(id);
       handleGone(id);
     },
     addInferred,
     recordLeaving: (id) => {
       const record = records.get(id);
-      if (!record || leaving.has(record.entry)) return;
-      leaving.add(record.entry);
+      if (!record || leavingIncarnations.has(record.entry)) return;
+      leavingIncarnations.add(record.entry);
       log.info('server said that it leaves', { server: id, isLeaving: record.entry.isLeaving });
       record.entry = markLeaving(record.entry);
     },
-    recordBorn: (id, bornMs) => {
+    recordStartTime: (id, bornMs) => {
       const known = records.get(id);
       if (!known || bornMs === null) return;
       const entry = { ...known.entry, bornMs };
       if (compareIncarnations(known.entry.bornMs, bornMs) === 'newer') {
         // The word of the one before is not its own.
-        restartRecord(known, { ...entry, isLeaving: false });
+        replaceRecord(known, { ...entry, isLeaving: false });
       } else if (known.entry.bornMs === null) Object.assign(known, { entry });
     },
   };
--- a/src/application/forwarding/_lib/findPromptHolder/index.ts
+++ b/src/application/forwarding/_lib/findPromptHolder/index.ts
@@ -1,8 +1,8 @@
 import type { StreamRun } from '../../types';
-import type { AnsweringServer } from '../askServers';
+import type { RespondingServer } from '../queryServers';
 
 /** Part of a prompt that must be there for a server to go before less busy ones. */
-const MIN_HELD_PART = 0.5;
+const MIN_CACHED_FRACTION = 0.5;
 
 /**
  * Finds the server that still has the prompt of a stream in memory, which a caller resumes through
@@ -12,20 +12,23 @@
  */
 export const findPromptHolder = async (
   run: StreamRun,
-  candidates: readonly AnsweringServer[],
-): Promise<AnsweringServer | null> => {
-  const last = run.context.request.promptParts.at(-1);
-  if (!last) return null;
+  candidates: readonly RespondingServer[],
+): Promise<RespondingServer | null> => {
+  const lastPart = run.context.request.promptParts.at(-1);
+  if (!lastPart) return null;
   const { client } = run.dependencies;
-  const held = await Promise.all(
-    candidates.map(async (status) => ({
-      status,
-      tokens: (await client.readHeldParts(status.entry)).get(last.id) ?? 0,
+  const cached = await Promise.all(
+    candidates.map(async (server) => ({
+      status: server,
+      tokens: (await client.readHeldParts(server.entry)).get(lastPart.id) ?? 0,
     })),
   );
-  const best = held.reduce((most, one) => (one.tokens > most.tokens ? one : most), {
-    status: null as AnsweringServer | null,
-    tokens: last.tokens * MIN_HELD_PART,
-  });
+  const best = cached.reduce(
+    (most, candidate) => (candidate.tokens > most.tokens ? candidate : most),
+    {
+      status: null as RespondingServer | null,
+      tokens: lastPart.tokens * MIN_CACHED_FRACTION,
+    },
+  );
   return best.status;
 };
--- a/src/application/forwarding/_lib/forwardCall/index.ts
+++ b/src/application/forwarding/_lib/forwardCall/index.ts
@@ -1,42 +1,42 @@
 import { chooseForwardServer, RouteKind } from '../../../../domain/forwarding';
 import type { ForwardContext, ForwardingDependencies, Refusal } from '../../types';
 import { buildQuarantineRefusal } from '../buildQuarantineRefusal';
-import { createCallCrashes } from '../createCallCrashes';
-import { passOverLimited } from '../passOverLimited';
-import { recordDecision } from '../recordDecision';
-import { sendCallAttempt, type WholeAnswer } from '../sendCallAttempt';
+import { createCallCrashTracker } from '../createCallCrashTracker';
+import { skipRateLimited } from '../skipRateLimited';
+import { logDecision } from '../logDecision';
+import { sendCallAttempt, type BufferedResponse } from '../sendCallAttempt';
 
 /** An attempt of a repeatable call is given up after this many latency goals. */
-const ATTEMPT_GOALS = 1.5;
+const ATTEMPT_GOAL_FACTOR = 1.5;
 
 /** Shortest time of an attempt: servers answer some requests in five times the usual time. */
 const MIN_ATTEMPT_MS = 120;
 
 /** Part of the time left that an attempt may take while another one can follow. */
-const ATTEMPT_PART = 0.6;
+const ATTEMPT_TIME_FRACTION = 0.6;
 
 /** Servers that refuse are not asked again and again while the caller waits. */
 const MAX_REFUSALS = 6;
 
 const RETRY_AFTER_MS = 150;
 
-const LIMIT_REASON = 'the rate limit of the servers leaves nothing';
+const RATE_LIMIT_REASON = 'the rate limit of the servers leaves nothing';
 
 const computeAttemptMs = ({ route }: ForwardContext, leftMs: number, isLast: boolean): number => {
   if (route.kind !== RouteKind.Repeatable || isLast) return leftMs;
-  const goalMs = Math.max(MIN_ATTEMPT_MS, route.latencyGoalMs * ATTEMPT_GOALS);
-  return Math.min(goalMs, leftMs * ATTEMPT_PART);
+  const goalMs = Math.max(MIN_ATTEMPT_MS, route.latencyGoalMs * ATTEMPT_GOAL_FACTOR);
+  return Math.min(goalMs, leftMs * ATTEMPT_TIME_FRACTION);
 };
 
-const sendAnswer = ({ reply }: ForwardContext, { body, head }: WholeAnswer): void =>
-  reply.sendWhole(head, body);
+const sendResponse = ({ reply }: ForwardContext, { body, head }: BufferedResponse): void =>
+  reply.sendResponse(head, body);
 
 const refuse = (
   dependencies: ForwardingDependencies,
   context: ForwardContext,
   refusal: Refusal,
 ): string => {
-  recordDecision(dependencies, context, 'call refused', { ...refusal });
+  logDecision(dependencies, context, 'call refused', { ...refusal });
   context.reply.sendRefusal(refusal);
   return refusal.kind;
 };
@@ -49,21 +49,21 @@
   const { deadlineAtMs, reply, route, servers, service } = context;
   const isRepeatable = route.kind === RouteKind.Repeatable;
   const excludedIds = new Set<string>();
-  const crashes = createCallCrashes(dependencies, context);
-  let failedAnswer: WholeAnswer | null = null;
-  let runs = 0;
+  const crashes = createCallCrashTracker(dependencies, context);
+  let failedResponse: BufferedResponse | null = null;
+  let startedAttempts = 0;
   let refusals = 0;
-  let arrivals = 0;
+  let arrivedAttempts = 0;
   let lastReason = 'no server takes work';
 
   for (let attempt = 1; reply.isOpen(); attempt += 1) {
     const leftMs = deadlineAtMs - clock.readMonotonicMs();
     if (leftMs <= 1) {
-      if (failedAnswer) break;
-      const kind = runs === 0 && attempt === 1 ? 'not-run' : 'deadline-passed';
+      if (failedResponse) break;
+      const kind = startedAttempts === 0 && attempt === 1 ? 'not-run' : 'deadline-passed';
       return refuse(dependencies, context, { kind, reason: lastReason, retryAfterMs: 0 });
     }
-    if (crashes.hasCrashedOften() || crashes.readQuarantineMs() > 0) break;
+    if (crashes.hasReachedCrashLimit() || crashes.readQuarantineMs() > 0) break;
     const status = chooseForwardServer(servers.list(), {
       excludedIds,
       avoidedZone: null,
@@ -73,12 +73,12 @@
     if (!status) break;
     const permit = await permits.acquirePermit(status.entry.id);
     if (typeof permit === 'number') {
-      passOverLimited(dependencies, context, status.entry, permit);
+      skipRateLimited(dependencies, context, status.entry, permit);
       excludedIds.add(status.entry.id);
-      lastReason = LIMIT_REASON;
+      lastReason = RATE_LIMIT_REASON;
       continue;
     }
-    const isRepeat = arrivals > 0;
+    const isRepeat = arrivedAttempts > 0;
     if (isRepeat && !(await lender.acquireRetry(service))) {
       permit.release();
       lastReason = `no retry left after: ${lastReason}`;
@@ -91,9 +91,9 @@
       if (isRepeat) retries.releaseRetry(service);
       continue;
     }
-    const isLast = runs + 1 >= route.maxAttempts;
+    const isLast = startedAttempts + 1 >= route.maxAttempts;
     const attemptMs = computeAttemptMs(context, remainingMs, isLast);
-    recordDecision(
+    logDecision(
       dependencies,
       context,
       'call sent',
@@ -108,68 +108,69 @@
     );
     servers.recordSent(status.entry);
     const sentAtMs = clock.readMonotonicMs();
-    const end = await sendCallAttempt(dependencies, context, status.entry, {
+    const result = await sendCallAttempt(dependencies, context, status.entry, {
       leftMs: remainingMs,
       attemptMs,
     });
-    if (end.kind === 'left') return 'left';
+    if (result.kind === 'left') return 'left';
     const tookMs = clock.readMonotonicMs() - sentAtMs;
-    if (end.kind !== 'not-run') {
-      const isFailure = end.kind === 'failed';
+    if (result.kind !== 'not-run') {
+      const isFailure = result.kind === 'failed';
       servers.recordOutcome(status.entry, { isFailure, took: isFailure ? null : tookMs });
     }
-    if (end.kind !== 'not-run' || end.hasArrived) arrivals += 1;
+    if (result.kind !== 'not-run' || result.hasArrived) arrivedAttempts += 1;
     else {
       permit.release();
       if (isRepeat) retries.releaseRetry(service);
     }
-    if (end.kind === 'answered') {
-      crashes.recordAnswer(status.entry);
-      sendAnswer(context, end.answer);
+    if (result.kind === 'answered') {
+      crashes.recordResponse(status.entry);
+      sendResponse(context, result.response);
       return 'answered';
     }
-    lastReason = end.reason;
-    recordDecision(
+    lastReason = result.reason;
+    logDecision(
       dependencies,
       context,
       'call attempt failed',
       {
         attempt,
-        outcome: end.kind,
-        reason: end.reason,
+        outcome: result.kind,
+        reason: result.reason,
         fingerprint: crashes.readFingerprint(),
         tookMs: Math.round(tookMs),
       },
       status.entry,
     );
     excludedIds.add(status.entry.id);
-    if (end.kind === 'not-run') {
+    if (result.kind === 'not-run') {
       refusals += 1;
       if (refusals >= MAX_REFUSALS) break;
     } else {
-      runs += 1;
-      failedAnswer = end.answer ?? failedAnswer;
-      if (end.hasBroken) crashes.recordCrash(status.entry);
-      else if (end.answer) crashes.recordAnswer(status.entry);
-      if (!isRepeatable || runs >= route.maxAttempts) break;
+      startedAttempts += 1;
+      failedResponse = result.response ?? failedResponse;
+      if (result.hasLostConnection) crashes.recordCrash(status.entry);
+      else if (result.response) crashes.recordResponse(status.entry);
+      if (!isRepeatable || startedAttempts >= route.maxAttempts) break;
     }
   }
   if (!reply.isOpen()) return 'left';
-  if (failedAnswer) {
-    sendAnswer(context, failedAnswer);
+  if (failedResponse) {
+    sendResponse(context, failedResponse);
     return 'server-error';
   }
   const quarantineMs = crashes.readQuarantineMs();
   if (quarantineMs > 0) {
-    const refusal = buildQuarantineRefusal({ hasArrived: runs > 0, quarantineMs });
+    const refusal = buildQuarantineRefusal({ hasArrived: startedAttempts > 0, quarantineMs });
     return refuse(dependencies, context, refusal);
   }
   const isLate = clock.readMonotonicMs() >= deadlineAtMs - 1;
-  const kindOfLoss = isLate ? 'deadline-passed' : 'lost';
+  const lossKind = isLate ? 'deadline-passed' : 'lost';
   return refuse(dependencies, context, {
-    kind: runs === 0 ? 'not-run' : kindOfLoss,
+    kind: startedAttempts === 0 ? 'not-run' : lossKind,
     reason: lastReason,
-    retryAfterMs: runs === 0 ? Math.max(RETRY_AFTER_MS, directory.readPauseMs(service)) : 0,
+    retryAfterMs:
+      startedAttempts === 0 ? Math.max(RETRY_AFTER_MS, directory.readShortestPauseMs(service)) : 0,
   });
 };
 
@@ -183,7 +184,7 @@
   context: ForwardContext,
 ): Promise<string> => {
   const outcome = await sendToServers(dependencies, context);
-  recordDecision(dependencies, context, 'call ended', {
+  logDecision(dependencies, context, 'call ended', {
     outcome,
     goalMs: context.route.latencyGoalMs,
   });
--- a/src/application/forwarding/_lib/moveRun/index.ts
+++ b/src/application/forwarding/_lib/migrateRun/index.ts
@@ -7,16 +7,16 @@
 } from '../../../../domain/forwarding';
 import type { CopyError, KvCopy } from '../../../ports';
 import type { HeldCopy, StreamAttempt, StreamRun } from '../../types';
-import { recordDecision } from '../recordDecision';
+import { logDecision } from '../logDecision';
 
 /**
  * Time for the rest of a copy once the run has stopped. It takes 10 ms, and up to 390 ms behind
  * others; what it lacks is read by the next server at eight tokens a millisecond.
  */
-const REST_MS = 60;
+const FINAL_COPY_TIMEOUT_MS = 60;
 
 /** Part of the repeats that moves may use: the rest is for runs that are lost. */
-const MOVES_PART = 0.6;
+const MIGRATION_RETRY_FRACTION = 0.6;
 
 const chooseHolder = (run: StreamRun, source: ServerEntry): ServerEntry | null => {
   const { limits, randomness } = run.dependencies;
@@ -37,22 +37,22 @@
  * Stops a run and copies what is new of it. The run stops at once, while the rest may queue behind
  * other copies: the copy that is there already is enough to go on from.
  */
-const copyRest = (
+const copyRemainder = (
   { context, dependencies }: StreamRun,
   { server }: StreamAttempt,
   holder: ServerEntry,
-  first: KvCopy,
+  firstCopy: KvCopy,
 ): Promise<Result<KvCopy, CopyError>> =>
   new Promise((resolve) => {
     const { client, clock, log } = dependencies;
     const { requestId } = context.request;
-    const cancelTimer = clock.startTimer(REST_MS, () => {
+    const cancelTimer = clock.startTimer(FINAL_COPY_TIMEOUT_MS, () => {
       log.info('rest of a move overdue', { requestId, server: server.id, holder: holder.id });
-      resolve(ok(first));
+      resolve(ok(firstCopy));
     });
-    client.copyRun(server, requestId, holder, { stops: true }).then((rest) => {
+    client.copyRun(server, requestId, holder, { stops: true }).then((remainder) => {
       cancelTimer();
-      resolve(rest);
+      resolve(remainder);
     });
   });
 
@@ -65,7 +65,7 @@
  *
  * @returns whether the run was stopped
  */
-export const moveRun = async (run: StreamRun, attempt: StreamAttempt): Promise<boolean> => {
+export const migrateRun = async (run: StreamRun, attempt: StreamAttempt): Promise<boolean> => {
   const { client, clock, directory, retries } = run.dependencies;
   const { request } = run.context;
   const holder = chooseHolder(run, attempt.server);
@@ -73,13 +73,13 @@
   // Where memory is scarce a copy takes the place of a run, which is read again for it.
   if (!holder || !report || !hasCopyRoom(report, countNeededTokens(request))) return false;
   // Before the run is stopped: one that may not be sent again would stand still.
-  if (!retries.acquireRetry(run.context.service, { part: MOVES_PART })) return false;
+  if (!retries.acquireRetry(run.context.service, { share: MIGRATION_RETRY_FRACTION })) return false;
   const lostHolder = run.copy?.holders[0] ?? '';
   const startedAtMs = clock.readMonotonicMs();
   let stoppedAtMs = Infinity;
-  const record = (outcome: string): void => {
+  const logOutcome = (outcome: string): void => {
     const nowMs = clock.readMonotonicMs();
-    recordDecision(
+    logDecision(
       run.dependencies,
       run.context,
       'run moved',
@@ -96,40 +96,42 @@
   };
   const isCurrent = (): boolean => [...run.attempts.values()].includes(attempt);
 
-  const first = await client.copyRun(attempt.server, request.requestId, holder, { stops: false });
-  if (first.isErr() || !isCurrent()) retries.releaseRetry(run.context.service);
-  if (first.isErr()) {
-    record(first.error.reason);
+  const firstCopy = await client.copyRun(attempt.server, request.requestId, holder, {
+    stops: false,
+  });
+  if (firstCopy.isErr() || !isCurrent()) retries.releaseRetry(run.context.service);
+  if (firstCopy.isErr()) {
+    logOutcome(firstCopy.error.reason);
     return false;
   }
   if (!isCurrent()) {
-    client.dropCopy(attempt.server, first.value.handle);
+    client.dropCopy(attempt.server, firstCopy.value.handle);
     return false;
   }
-  Object.assign(attempt, { isMoving: true });
+  Object.assign(attempt, { isMigrating: true });
   stoppedAtMs = clock.readMonotonicMs();
-  const last = await copyRest(run, attempt, holder, first.value);
+  const finalCopy = await copyRemainder(run, attempt, holder, firstCopy.value);
   if (!isCurrent()) {
-    record('given up meanwhile');
+    logOutcome('given up meanwhile');
     return true;
   }
-  const copy = last.isOk() ? last.value : last.error.kept;
-  record(last.isOk() ? 'moved' : last.error.reason);
+  const copy = finalCopy.isOk() ? finalCopy.value : finalCopy.error.kept;
+  logOutcome(finalCopy.isOk() ? 'moved' : finalCopy.error.reason);
   if (!copy) {
     retries.releaseRetry(run.context.service);
     return false;
   }
   run.copy?.release();
   // The source keeps the memory of a run that it stopped.
-  const holders: HeldCopy['holders'] = last.isOk()
+  const holders: HeldCopy['holders'] = finalCopy.isOk()
     ? [holder.id, attempt.server.id]
     : [attempt.server.id];
   Object.assign(run, {
-    hasRetry: true,
+    hasReservedRetry: true,
     copy: {
       ...copy,
       holders,
-      hasBegun: true,
+      hasData: true,
       release: directory.addCopy(holders[0]),
     },
   });
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -8,24 +8,24 @@
   type ReportedChoiceOptions,
   type ReportedServer,
 } from '../../../../domain/forwarding';
-import type { StreamRun, StreamServers } from '../../types';
-import type { AnsweringServer } from '../askServers';
+import type { StreamRun, StreamPlacement } from '../../types';
+import type { RespondingServer } from '../queryServers';
 import { keepsBackups } from '../keepsBackups';
 
 /** What a request needs of a server. */
-type ReportedNeeds = Pick<ReportedChoiceOptions, 'neededTokens' | 'promptTokens'>;
+type RequestNeeds = Pick<ReportedChoiceOptions, 'neededTokens' | 'promptTokens'>;
 
 /** What is known of a choice. */
-interface BuildOptions {
+interface PlacementOptions {
   readonly reported: readonly ReportedServer[];
-  readonly needs: ReportedNeeds;
-  readonly hasPrompt: boolean;
+  readonly needs: RequestNeeds;
+  readonly isPromptCached: boolean;
   readonly predictedMs: number;
 }
 
-const addUnread = (run: StreamRun, one: AnsweringServer): ReportedServer => ({
+const addPendingTokens = (run: StreamRun, one: RespondingServer): ReportedServer => ({
   ...one,
-  unreadTokens: run.dependencies.directory.countUnreadTokens(one.entry.id),
+  unreadTokens: run.dependencies.directory.countPendingPrefillTokens(one.entry.id),
 });
 
 /** True: it has no prompt to read before a new one. */
@@ -33,16 +33,16 @@
   unreadTokens === 0 && report.waiting + countReadingRuns(report) === 0;
 
 /** True: the run can begin without others having to end. */
-const hasRoom = ({ report }: ReportedServer, { neededTokens }: ReportedNeeds): boolean =>
+const hasRoom = ({ report }: ReportedServer, { neededTokens }: RequestNeeds): boolean =>
   report.kvTotalTokens === 0 || report.kvUsedTokens + neededTokens <= report.kvTotalTokens;
 
 /** The next attempt reads the prompt at the chosen server; another zone's gets the copy. */
-const buildFromPrompt = (
+const buildPlacement = (
   run: StreamRun,
   chosen: ReportedServer,
-  options: BuildOptions,
-): StreamServers => {
-  const { hasPrompt, needs, predictedMs, reported } = options;
+  options: PlacementOptions,
+): StreamPlacement => {
+  const { isPromptCached, needs, predictedMs, reported } = options;
   const isPaceKnown = run.paces.readEnginePaces(run.context.service).readingMsPerToken > 0;
   const readingMs = isPaceKnown ? predictedMs : run.context.route.latencyGoalMs;
   const others = reported.filter(
@@ -54,7 +54,7 @@
   return {
     server: chosen.entry,
     copy: null,
-    hasPrompt,
+    isPromptCached,
     isFree: isIdle(chosen) && hasRoom(chosen, needs),
     estimate: {
       promptTokens: needs.promptTokens,
@@ -64,7 +64,7 @@
     },
     predictedMs,
     // A prompt that is held needs no reading: its silence is no work.
-    expectedMs: hasPrompt ? 0 : readingMs,
+    expectedFirstEventMs: isPromptCached ? 0 : readingMs,
     backup: keepsBackups(run, chosen.entry) ? (backup?.entry ?? null) : null,
   };
 };
@@ -74,14 +74,14 @@
  * of, while they were asked counts. Where all are busy the prediction decides, as what waits there
  * counts, not only how much runs.
  *
- * @param holding - server that has the prompt in memory, which goes before all others
+ * @param promptHolder - server that has the prompt in memory, which goes before all others
  */
 export const pickServer = (
   run: StreamRun,
-  answered: readonly AnsweringServer[],
-  holding: AnsweringServer | null,
-): StreamServers | null => {
-  const needs: ReportedNeeds = {
+  responding: readonly RespondingServer[],
+  promptHolder: RespondingServer | null,
+): StreamPlacement | null => {
+  const needs: RequestNeeds = {
     neededTokens: countNeededTokens(run.context.request),
     promptTokens: countPromptTokens(run.context.request),
   };
@@ -92,19 +92,24 @@
       paces: run.paces.readEnginePaces(run.context.service),
       latencyGoalMs: run.context.route.latencyGoalMs,
     });
-  const reported = answered.map((one) => addUnread(run, one));
-  const hasPrompt = holding !== null;
+  const reported = responding.map((one) => addPendingTokens(run, one));
+  const isPromptCached = promptHolder !== null;
   const { availabilityZone: preferredZone } = run.dependencies;
-  const chosen = holding
-    ? addUnread(run, holding)
+  const chosen = promptHolder
+    ? addPendingTokens(run, promptHolder)
     : chooseReportedServer(reported, { ...needs, preferredZone });
   if (!chosen) return null;
-  const known = { server: chosen, predictedMs: predict(chosen) };
+  const initial = { server: chosen, predictedMs: predict(chosen) };
   const { predictedMs, server } =
-    hasPrompt || isIdle(chosen)
-      ? known
+    isPromptCached || isIdle(chosen)
+      ? initial
       : reported
           .map((one) => ({ server: one, predictedMs: predict(one) }))
-          .reduce((first, one) => (one.predictedMs < first.predictedMs ? one : first), known);
-  return buildFromPrompt(run, server, { reported, needs, hasPrompt, predictedMs });
+          .reduce((best, one) => (one.predictedMs < best.predictedMs ? one : best), initial);
+  return buildPlacement(run, server, {
+    reported,
+    needs,
+    isPromptCached,
+    predictedMs,
+  });
 };
--- a/src/application/forwarding/_lib/startSilenceWatch/index.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/index.ts
@@ -9,54 +9,54 @@
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
-import { hasTrustedCopy } from '../hasTrustedCopy';
-import { recordDecision } from '../recordDecision';
+import { hasHealthyCopy } from '../hasHealthyCopy';
+import { logDecision } from '../logDecision';
 
 /** Part of the longest good pause after which a server is asked whether it lives. */
-const ASK_PART = 0.35;
+const PROBE_GAP_FRACTION = 0.35;
 
 /**
  * How often a server is asked whether it lives while it reads a prompt. It sends nothing meanwhile,
  * for a second and more, so that its silence alone does not tell a lost server from a busy one.
  */
-const ASK_IN_PREFILL_MS = 400;
+const PREFILL_PROBE_INTERVAL_MS = 400;
 
 /** Time between two questions while a server that answers them sends no event. */
-const ASK_AGAIN_MS = 150;
+const PROBE_INTERVAL_MS = 150;
 
 /** Time after which a server that did not answer is asked again. */
-const ASK_MISSED_MS = 50;
+const MISSED_PROBE_RETRY_MS = 50;
 
 /**
  * A question that was given up later than this was so because this process itself stood still or
  * is slow: it is no evidence against the server. Its own limits are 150 ms for the answer and
  * 120 ms for a connection, of which a server that fell silent uses both.
  */
-const STALLED_MS = 600;
+const PROCESS_STALL_MS = 600;
 
-const computeGiveUpMs = (
+const computeSilenceTimeoutMs = (
   run: StreamRun,
-  { expectedMs, hasDelivered }: StreamAttempt,
+  { expectedFirstEventMs, hasDeliveredEvent }: StreamAttempt,
   report: ServerReport | null,
 ): number => {
   const { request, route, service } = run.context;
   const samples = run.paces.listFirstTokens(service);
   const slowest = computePrefillLimitMs(samples, countPromptTokens(request), { serverDead: true });
   return computeEventLimit({
-    hasDelivered,
-    hasCopy: hasTrustedCopy(run),
+    hasDelivered: hasDeliveredEvent,
+    hasCopy: hasHealthyCopy(run),
     isQueued: (report?.waiting ?? 0) > 0,
     gapGoalMs: route.gapGoalMs,
     latencyGoalMs: route.latencyGoalMs,
     slowestPrefillMs: slowest.confirmMs,
-    expectedMs,
+    expectedMs: expectedFirstEventMs,
   });
 };
 
-const computeAskMs = (run: StreamRun, attempt: StreamAttempt): number => {
-  if (!attempt.hasDelivered) return ASK_IN_PREFILL_MS;
+const computeProbeDelayMs = (run: StreamRun, attempt: StreamAttempt): number => {
+  if (!attempt.hasDeliveredEvent) return PREFILL_PROBE_INTERVAL_MS;
   const { suspectMs } = computeSilenceLimitMs(attempt.gaps, { serverDead: false });
-  return Math.min(suspectMs, run.context.route.gapGoalMs * ASK_PART);
+  return Math.min(suspectMs, run.context.route.gapGoalMs * PROBE_GAP_FRACTION);
 };
 
 /**
@@ -73,15 +73,15 @@
   const { client, clock, directory, log } = run.dependencies;
   let isStopped = false;
   let wasLost = false;
-  let misses = 0;
+  let missedProbes = 0;
   /** When the server said first that no request waits there. */
-  let unqueuedAtMs = Infinity;
+  let firstUnqueuedAtMs = Infinity;
 
   const readSilentMs = (): number => clock.readMonotonicMs() - attempt.lastActivityMs;
 
   const giveUp = (cause: string, report: ServerReport | null): void => {
     const silentMs = Math.round(readSilentMs());
-    recordDecision(
+    logDecision(
       run.dependencies,
       run.context,
       'server silent',
@@ -100,26 +100,26 @@
   };
 
   /** Returns when to look again, or null once the server was given up. */
-  const look = async (): Promise<number | null> => {
-    const askMs = computeAskMs(run, attempt);
+  const probeServer = async (): Promise<number | null> => {
+    const probeDelayMs = computeProbeDelayMs(run, attempt);
     const silentMs = readSilentMs();
-    if (silentMs < askMs) return askMs - silentMs;
-    const askedAtMs = attempt.lastActivityMs;
-    const askedMs = clock.readMonotonicMs();
+    if (silentMs < probeDelayMs) return probeDelayMs - silentMs;
+    const activityBeforeMs = attempt.lastActivityMs;
+    const probedAtMs = clock.readMonotonicMs();
     const report = await client.readReport(attempt.server);
-    const tookMs = clock.readMonotonicMs() - askedMs;
-    directory.recordBorn(attempt.server.id, report?.bornMs ?? null);
+    const tookMs = clock.readMonotonicMs() - probedAtMs;
+    directory.recordStartTime(attempt.server.id, report?.bornMs ?? null);
     if (isStopped) return null;
-    if (attempt.lastActivityMs !== askedAtMs) {
-      misses = 0;
-      return ASK_AGAIN_MS;
+    if (attempt.lastActivityMs !== activityBeforeMs) {
+      missedProbes = 0;
+      return PROBE_INTERVAL_MS;
     }
-    if (report?.waiting === 0) unqueuedAtMs = Math.min(unqueuedAtMs, askedMs);
+    if (report?.waiting === 0) firstUnqueuedAtMs = Math.min(firstUnqueuedAtMs, probedAtMs);
     const isLost =
       report !== null &&
       isRunLost(report, run.context.request.requestId, {
-        hasArrived: attempt.hasDelivered,
-        unqueuedMs: Math.max(0, clock.readMonotonicMs() - unqueuedAtMs),
+        hasArrived: attempt.hasDeliveredEvent,
+        unqueuedMs: Math.max(0, clock.readMonotonicMs() - firstUnqueuedAtMs),
         prefill: estimateRunPrefill(run),
       });
     // A report is late: the first one may be older than the run.
@@ -128,12 +128,13 @@
       return null;
     }
     wasLost = isLost;
-    misses = report ? 0 : misses + 1;
-    const isStalled = !report && tookMs > STALLED_MS;
-    const isMissed = misses > (attempt.hasDelivered && hasTrustedCopy(run) ? 0 : 1) && !isStalled;
-    if (!isMissed && readSilentMs() < computeGiveUpMs(run, attempt, report)) {
-      if (!report) return ASK_MISSED_MS;
-      return attempt.hasDelivered || isLost ? ASK_AGAIN_MS : ASK_IN_PREFILL_MS;
+    missedProbes = report ? 0 : missedProbes + 1;
+    const isStalled = !report && tookMs > PROCESS_STALL_MS;
+    const hasMissedTooMany =
+      missedProbes > (attempt.hasDeliveredEvent && hasHealthyCopy(run) ? 0 : 1) && !isStalled;
+    if (!hasMissedTooMany && readSilentMs() < computeSilenceTimeoutMs(run, attempt, report)) {
+      if (!report) return MISSED_PROBE_RETRY_MS;
+      return attempt.hasDeliveredEvent || isLost ? PROBE_INTERVAL_MS : PREFILL_PROBE_INTERVAL_MS;
     }
     giveUp(report ? 'no event' : 'no answer', report);
     return null;
@@ -141,8 +142,8 @@
 
   const stopLoop = startLoop({
     clock,
-    firstDelayMs: computeAskMs(run, attempt),
-    runStep: look,
+    firstDelayMs: computeProbeDelayMs(run, attempt),
+    runStep: probeServer,
     handleFailure: (reason) => {
       log.error('silence watch failed unexpectedly', { reason });
       return null;
--- a/src/application/forwarding/_lib/startSilenceWatch/test.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/test.ts
@@ -6,19 +6,19 @@
 import { startSilenceWatch } from '.';
 
 /** How long a question takes that gets no answer. */
-const MISSED_MS = 150;
+const UNANSWERED_PROBE_MS = 150;
 
 /** A watch on an attempt without an event, whose server answers no question. */
-const setUp = (questionMs: number) => {
+const setUp = (probeMs: number) => {
   const clock = createFakeClock();
   const inputs: GenerationInput[] = [];
-  let asked = 0;
+  let probes = 0;
   const attempt = {
     server: { id: 'i-1', availabilityZone: 'z1' },
     lastActivityMs: 0,
     gaps: NO_GAPS,
-    hasDelivered: false,
-    expectedMs: 0,
+    hasDeliveredEvent: false,
+    expectedFirstEventMs: 0,
   } as unknown as StreamAttempt;
   const run = {
     context: {
@@ -33,32 +33,32 @@
     dispatch: (input: GenerationInput) => inputs.push(input),
     dependencies: {
       clock,
-      directory: { recordBorn: () => undefined },
+      directory: { recordStartTime: () => undefined },
       log: QUIET_LOG,
       client: {
         readReport: () => {
-          asked += 1;
+          probes += 1;
           return new Promise((resolve) => {
-            clock.startTimer(questionMs, () => resolve(null));
+            clock.startTimer(probeMs, () => resolve(null));
           });
         },
       },
     },
   } as unknown as StreamRun;
   const stop = startSilenceWatch(run, attempt, { attempt: 1, connection: 0 });
-  return { clock, inputs, stop, countAsked: () => asked };
+  return { clock, inputs, stop, countProbes: () => probes };
 };
 
 // Symptom: a VM that is slow for a moment reads prompts anew that its servers had nearly read.
 // Sequence: one question to a server gets its answer late.
 // Cause: a single missed answer counts as a lost server, also before the first event.
 test('before the first event a server is given up only after two questions without an answer', async (t) => {
-  const { clock, countAsked, inputs, stop } = setUp(MISSED_MS);
+  const { clock, countProbes, inputs, stop } = setUp(UNANSWERED_PROBE_MS);
   await clock.advanceAsync(560);
-  t.is(countAsked(), 1);
+  t.is(countProbes(), 1);
   t.is(inputs.length, 0);
   await clock.advanceAsync(250);
-  t.is(countAsked(), 2);
+  t.is(countProbes(), 2);
   t.deepEqual(inputs, [{ kind: 'silent', reader: { attempt: 1, connection: 0 }, confirmed: true }]);
   stop();
 });
@@ -67,9 +67,9 @@
 // Sequence: the process stands still; the limits of its questions pass meanwhile.
 // Cause: time in which this process read nothing counts as silence of the server.
 test('a question that took far longer than its limit is no evidence', async (t) => {
-  const { clock, countAsked, inputs, stop } = setUp(700);
+  const { clock, countProbes, inputs, stop } = setUp(700);
   await clock.advanceAsync(2700);
-  t.true(countAsked() >= 3);
+  t.true(countProbes() >= 3);
   t.is(inputs.length, 0);
   stop();
 });
--- a/src/application/forwarding/createCrashHistory/index.ts
+++ b/src/application/forwarding/createCrashHistory/index.ts
@@ -13,7 +13,7 @@
   /** True: this incarnation of a server answered this VM after that time, so that it did not end. */
   readonly hasAnsweredSince: (server: string, atMs: number) => boolean;
   /** Tells other VMs of an outcome that showed here. */
-  readonly tellOutcome: (outcome: SharedOutcome) => void;
+  readonly publishOutcome: (outcome: SharedOutcome) => void;
   /** Called where the crash that puts a request into quarantine showed here. */
   readonly handleQuarantine: (fingerprint: string) => void;
 }
@@ -45,19 +45,19 @@
 const QUARANTINE_MS = 600_000;
 
 /** Outcomes are forgotten after this time: a request that crashes again meanwhile is back at once. */
-export const CRASHES_KEPT_MS = 3_600_000;
+export const CRASH_RETENTION_MS = 3_600_000;
 
 /** Requests and outcomes of each that are remembered. */
 const MAX_REQUESTS = 1000;
-const MAX_OUTCOMES = 8;
+const MAX_OUTCOMES_PER_REQUEST = 8;
 
 /** Outcomes that one message carries: 80 bytes each. */
-const MAX_LISTED = 40;
+const MAX_OUTCOMES_PER_MESSAGE = 40;
 
 const readNewestMs = (outcomes: readonly RunOutcome[]): number =>
   Math.max(-Infinity, ...outcomes.map(({ atMs }) => atMs));
 
-const isSame = (left: Omit<RunOutcome, 'atMs'>, right: Omit<RunOutcome, 'atMs'>): boolean =>
+const isSameOutcome = (left: Omit<RunOutcome, 'atMs'>, right: Omit<RunOutcome, 'atMs'>): boolean =>
   left.server === right.server && left.hasCrashed === right.hasCrashed;
 
 /**
@@ -71,60 +71,64 @@
   handleQuarantine,
   hasAnsweredSince,
   log,
-  tellOutcome,
+  publishOutcome,
 }: CrashHistoryDependencies): CrashHistory => {
   /** By fingerprint; the one that was heard of last comes last. */
-  const outcomesOf = new Map<string, readonly RunOutcome[]>();
-  const listenersOf = new Map<string, Set<() => void>>();
+  const outcomesByFingerprint = new Map<string, readonly RunOutcome[]>();
+  const listenersByFingerprint = new Map<string, Set<() => void>>();
 
   const listCrashes = (fingerprint: string): readonly RunOutcome[] => {
-    const outcomes = outcomesOf.get(fingerprint) ?? [];
-    const answeredMs = readNewestMs(outcomes.filter(({ hasCrashed }) => !hasCrashed));
+    const outcomes = outcomesByFingerprint.get(fingerprint) ?? [];
+    const lastSuccessMs = readNewestMs(outcomes.filter(({ hasCrashed }) => !hasCrashed));
     return outcomes.filter(
       ({ atMs, hasCrashed, server }) =>
-        hasCrashed && atMs > answeredMs && !hasAnsweredSince(server, atMs),
+        hasCrashed && atMs > lastSuccessMs && !hasAnsweredSince(server, atMs),
     );
   };
 
   const readQuarantineMs = (fingerprint: string): number => {
-    if (!outcomesOf.has(fingerprint)) return 0;
+    if (!outcomesByFingerprint.has(fingerprint)) return 0;
     const crashes = listCrashes(fingerprint);
     if (countCrashes(crashes) < MAX_CRASHES) return 0;
     return Math.max(0, readNewestMs(crashes) + QUARANTINE_MS - clock.readMonotonicMs());
   };
 
-  const dropOld = (): void => {
-    const sinceMs = clock.readMonotonicMs() - CRASHES_KEPT_MS;
-    outcomesOf.forEach((outcomes, fingerprint) => {
+  const removeOldOutcomes = (): void => {
+    const sinceMs = clock.readMonotonicMs() - CRASH_RETENTION_MS;
+    outcomesByFingerprint.forEach((outcomes, fingerprint) => {
       const kept = outcomes.filter(({ atMs }) => atMs > sinceMs);
-      if (kept.length === 0) outcomesOf.delete(fingerprint);
-      else if (kept.length < outcomes.length) outcomesOf.set(fingerprint, kept);
+      if (kept.length === 0) outcomesByFingerprint.delete(fingerprint);
+      else if (kept.length < outcomes.length) outcomesByFingerprint.set(fingerprint, kept);
     });
-    const surplus = outcomesOf.size - MAX_REQUESTS;
-    [...outcomesOf.keys()].slice(0, Math.max(0, surplus)).forEach((one) => outcomesOf.delete(one));
+    const surplus = outcomesByFingerprint.size - MAX_REQUESTS;
+    [...outcomesByFingerprint.keys()]
+      .slice(0, Math.max(0, surplus))
+      .forEach((one) => outcomesByFingerprint.delete(one));
   };
 
   /** Adds an outcome; false if it is known. */
-  const add = (outcome: RunOutcome): boolean => {
+  const addOutcome = (outcome: RunOutcome): boolean => {
     const { fingerprint } = outcome;
-    const known = outcomesOf.get(fingerprint) ?? [];
-    const before = known.find((one) => isSame(one, outcome));
-    if (before?.hasCrashed || (before && before.atMs >= outcome.atMs)) return false;
-    const others = known.filter((one) => one !== before);
-    outcomesOf.delete(fingerprint);
-    outcomesOf.set(
+    const known = outcomesByFingerprint.get(fingerprint) ?? [];
+    const previous = known.find((one) => isSameOutcome(one, outcome));
+    if (previous?.hasCrashed || (previous && previous.atMs >= outcome.atMs)) return false;
+    const others = known.filter((one) => one !== previous);
+    outcomesByFingerprint.delete(fingerprint);
+    outcomesByFingerprint.set(
       fingerprint,
-      [...others, outcome].sort((left, right) => left.atMs - right.atMs).slice(-MAX_OUTCOMES),
+      [...others, outcome]
+        .sort((left, right) => left.atMs - right.atMs)
+        .slice(-MAX_OUTCOMES_PER_REQUEST),
     );
-    dropOld();
+    removeOldOutcomes();
     return true;
   };
 
   /** Adds an outcome, and tells those that wait for the verdict; true if it was news. */
-  const take = (outcome: RunOutcome, source: 'own' | 'told'): boolean => {
+  const recordNewOutcome = (outcome: RunOutcome, source: 'own' | 'told'): boolean => {
     const { fingerprint } = outcome;
     const wasQuarantined = readQuarantineMs(fingerprint) > 0;
-    if (!add(outcome)) return false;
+    if (!addOutcome(outcome)) return false;
     const isQuarantined = readQuarantineMs(fingerprint) > 0;
     log.info(outcome.hasCrashed ? 'request crashed a server' : 'suspected request answered', {
       requestId: outcome.requestId,
@@ -136,7 +140,7 @@
       isQuarantined,
     });
     if (isQuarantined && !wasQuarantined) {
-      [...(listenersOf.get(fingerprint) ?? [])].forEach((listener) => listener());
+      [...(listenersByFingerprint.get(fingerprint) ?? [])].forEach((listener) => listener());
       if (source === 'own') handleQuarantine(fingerprint);
     }
     return true;
@@ -144,34 +148,34 @@
 
   return {
     recordOutcome: (outcome) => {
-      if (take({ ...outcome, atMs: clock.readMonotonicMs() }, 'own')) {
-        tellOutcome({ ...outcome, ageMs: 0 });
+      if (recordNewOutcome({ ...outcome, atMs: clock.readMonotonicMs() }, 'own')) {
+        publishOutcome({ ...outcome, ageMs: 0 });
       }
     },
     mergeOutcome: ({ ageMs, ...outcome }) => {
-      if (ageMs >= CRASHES_KEPT_MS) return false;
-      return take({ ...outcome, atMs: clock.readMonotonicMs() - ageMs }, 'told');
+      if (ageMs >= CRASH_RETENTION_MS) return false;
+      return recordNewOutcome({ ...outcome, atMs: clock.readMonotonicMs() - ageMs }, 'told');
     },
-    isEmpty: () => outcomesOf.size === 0,
+    isEmpty: () => outcomesByFingerprint.size === 0,
     isSuspected: (fingerprint) =>
-      outcomesOf.has(fingerprint) && listCrashes(fingerprint).length > 0,
+      outcomesByFingerprint.has(fingerprint) && listCrashes(fingerprint).length > 0,
     readQuarantineMs,
     addListener: (fingerprint, listener) => {
-      const listeners = listenersOf.get(fingerprint) ?? new Set();
-      listenersOf.set(fingerprint, listeners.add(listener));
+      const listeners = listenersByFingerprint.get(fingerprint) ?? new Set();
+      listenersByFingerprint.set(fingerprint, listeners.add(listener));
       return () => {
         listeners.delete(listener);
-        if (listeners.size === 0 && listenersOf.get(fingerprint) === listeners) {
-          listenersOf.delete(fingerprint);
+        if (listeners.size === 0 && listenersByFingerprint.get(fingerprint) === listeners) {
+          listenersByFingerprint.delete(fingerprint);
         }
       };
     },
     listOutcomes: () => {
       const nowMs = clock.readMonotonicMs();
-      return [...outcomesOf.values()]
+      return [...outcomesByFingerprint.values()]
         .flat()
         .sort((left, right) => right.atMs - left.atMs)
-        .slice(0, MAX_LISTED)
+        .slice(0, MAX_OUTCOMES_PER_MESSAGE)
         .map(({ atMs, ...outcome }) => ({ ...outcome, ageMs: nowMs - atMs }));
     },
     findQuarantine: (fingerprint) => {
--- a/src/application/forwarding/createCrashHistory/test.ts
+++ b/src/application/forwarding/createCrashHistory/test.ts
@@ -6,13 +6,13 @@
 const setUp = () => {
   const clock = createFakeClock();
   const alive = new Set<string>();
-  const told: SharedOutcome[] = [];
+  const published: SharedOutcome[] = [];
   const quarantined: string[] = [];
   const history = createCrashHistory({
     clock,
     log: QUIET_LOG,
     hasAnsweredSince: (server) => alive.has(server),
-    tellOutcome: (outcome) => told.push(outcome),
+    publishOutcome: (outcome) => published.push(outcome),
     handleQuarantine: (fingerprint) => quarantined.push(fingerprint),
   });
   const crash = (server: string, requestId = 'r-1', fingerprint = 'f'): void =>
@@ -20,7 +20,7 @@
   const answer = (server: string): void =>
     history.recordOutcome({ fingerprint: 'f', requestId: 'r-9', server, hasCrashed: false });
   const crashThree = (): void => ['i-1', 'i-2', 'i-3'].forEach((server) => crash(server));
-  return { alive, answer, clock, crash, crashThree, history, quarantined, told };
+  return { alive, answer, clock, crash, crashThree, history, quarantined, told: published };
 };
 
 test('the third server that ends under a request puts it into quarantine', (t) => {
--- a/src/application/forwarding/createCrashProbe/index.ts
+++ b/src/application/forwarding/createCrashProbe/index.ts
@@ -45,14 +45,14 @@
   randomness,
   tables,
 }: CrashProbeDependencies): CrashProbe => {
-  const isThere = async (server: ServerEntry): Promise<boolean> => {
+  const isAlive = async (server: ServerEntry): Promise<boolean> => {
     const healthPath = tables.readCurrent()?.services.get(server.service)?.healthPath;
     if (healthPath === undefined) return false;
     const identity = await client.readIdentity(server, healthPath);
     return identity?.id === server.id;
   };
 
-  const findOther = (service: string, excludedId: string): ServerEntry | null =>
+  const findControlServer = (service: string, excludedId: string): ServerEntry | null =>
     chooseForwardServer(directory.listServing(service), {
       excludedIds: new Set([excludedId]),
       avoidedZone: null,
@@ -61,20 +61,20 @@
     })?.entry ?? null;
 
   /** One server of each service, where it has another one than this. */
-  const listOthers = ({ id }: ServerEntry): readonly ServerEntry[] =>
+  const listControlServers = ({ id }: ServerEntry): readonly ServerEntry[] =>
     [...(tables.readCurrent()?.services.keys() ?? [])]
-      .map((service) => findOther(service, id))
+      .map((service) => findControlServer(service, id))
       .filter((other) => other !== null);
 
   const probe = async (
     run: Pick<RunOutcome, 'fingerprint' | 'requestId'>,
     server: ServerEntry,
   ): Promise<void> => {
-    const [isServerThere, othersThere] = await Promise.all([
-      isThere(server),
-      Promise.all(listOthers(server).map(isThere)),
+    const [isServerThere, controlsAlive] = await Promise.all([
+      isAlive(server),
+      Promise.all(listControlServers(server).map(isAlive)),
     ]);
-    const isOtherThere = othersThere.includes(true);
+    const isOtherThere = controlsAlive.includes(true);
     if (!isServerThere && isOtherThere) {
       crashes.recordOutcome({ ...run, server: formatIncarnation(server), hasCrashed: true });
       return;
--- a/src/application/forwarding/createForwarder/index.ts
+++ b/src/application/forwarding/createForwarder/index.ts
@@ -9,7 +9,7 @@
   type ForwardedRequest,
 } from '../../../domain/forwarding';
 import { createPaceHistory } from '../../_lib/createPaceHistory';
-import { createOverloadWatch } from '../_lib/createOverloadWatch';
+import { createOverloadTracker } from '../_lib/createOverloadTracker';
 import { forwardCall } from '../_lib/forwardCall';
 import { forwardStream } from '../_lib/forwardStream';
 import type { CallerReply, ForwardContext, ForwardingDependencies, Refusal } from '../types';
@@ -29,13 +29,13 @@
  * When to come back to a VM that knows no configuration yet, at least. It has one within 0.1 s of its
  * start unless the store is away; told 0.5 s, callers came back once, were refused again and gave up.
  */
-const NO_CONFIGURATION_MS = 2000;
+const NO_CONFIGURATION_RETRY_MS = 2000;
 
 /** Time without a configuration, against the time that it is expected to last. */
 const OUTAGE_FACTOR = 2;
 
 /** Refused streams are told to come back after a goal, less the spread of the returns. */
-const SHORTEST_RETURN_PART = 0.9;
+const SHORTEST_RETURN_FRACTION = 0.9;
 
 /** When to come back, to another VM, from one that is leaving. */
 const LEAVING_RETRY_MS = 50;
@@ -43,7 +43,7 @@
 /** Creates the forwarder of this VM. */
 export const createForwarder = (dependencies: ForwardingDependencies): Forwarder => {
   const { clock, log, meter, randomness, retries, rollouts, tables } = dependencies;
-  const shared = { paces: createPaceHistory(), overload: createOverloadWatch(clock) };
+  const shared = { paces: createPaceHistory(), overload: createOverloadTracker(clock) };
   const startedAtMs = clock.readMonotonicMs();
   /** By route: the longest time that a caller waited. */
   const longestWaitMs = new Map<string, number>();
@@ -66,7 +66,7 @@
     if (!table) {
       const reason = 'no configuration is known yet';
       const retryAfterMs = computeReturnMs({
-        waitMs: NO_CONFIGURATION_MS,
+        waitMs: NO_CONFIGURATION_RETRY_MS,
         outageMs: (clock.readMonotonicMs() - startedAtMs) * OUTAGE_FACTOR,
         leftMs: request.deadlineMs ?? Infinity,
         draw: randomness.readFraction(),
@@ -97,7 +97,7 @@
       isReturning: isReturning({
         deadlineMs: request.deadlineMs,
         longestMs,
-        shortestReturnMs: route.latencyGoalMs * SHORTEST_RETURN_PART,
+        shortestReturnMs: route.latencyGoalMs * SHORTEST_RETURN_FRACTION,
       }),
       servers: rollouts.openRequest({ service, route: route.name }),
       reply,
@@ -132,7 +132,7 @@
       } catch (error) {
         const reason = error instanceof Error ? error.message : 'unknown';
         log.error('request failed unexpectedly', { requestId: request.requestId, reason });
-        if (reply.hasBegun()) reply.breakOff();
+        if (reply.hasSentHead()) reply.destroy();
         else reply.sendRefusal({ kind: 'lost', reason: 'internal error', retryAfterMs: 0 });
       } finally {
         running -= 1;
--- a/src/application/forwarding/createIdentityWatch/index.ts
+++ b/src/application/forwarding/createIdentityWatch/index.ts
@@ -9,7 +9,7 @@
   readonly clock: Clock;
   readonly directory: Pick<
     ServerDirectory,
-    'countInferred' | 'listUncertain' | 'recordAlive' | 'recordLeaving' | 'recordReplaced'
+    'listUnverified' | 'pruneInferred' | 'recordAlive' | 'recordLeaving' | 'recordReplaced'
   >;
   readonly log: EventLog;
   readonly tables: Pick<RouteTableHolder, 'readCurrent'>;
@@ -26,10 +26,10 @@
  * Time between two questions to one address. A server that crashed is back after a second or so, and
  * its address says whose it is for two: five questions find it.
  */
-const ASK_MS = 350;
+const CHECK_INTERVAL_MS = 350;
 
 /** Time between two looks at servers without an entry: a third of the time that they count unseen. */
-const ASK_INFERRED_MS = 2000;
+const INFERRED_CHECK_INTERVAL_MS = 2000;
 
 /**
  * Creates the watch over servers that failed: a server that starts again has a new id, which stands
@@ -48,10 +48,10 @@
 }: IdentityWatchDependencies): IdentityWatch => {
   let stopLoop: (() => void) | null = null;
 
-  const ask = async (): Promise<void> => {
+  const checkIdentities = async (): Promise<void> => {
     const services = tables.readCurrent()?.services;
     await Promise.all(
-      directory.listUncertain().map(async (server) => {
+      directory.listUnverified().map(async (server) => {
         const healthPath = services?.get(server.service)?.healthPath;
         if (healthPath === undefined) return;
         const identity = await client.readIdentity(server, healthPath);
@@ -74,17 +74,17 @@
       if (stopLoop) return;
       stopLoop = startLoop({
         clock,
-        firstDelayMs: ASK_MS,
+        firstDelayMs: CHECK_INTERVAL_MS,
         runStep: async () => {
-          await ask();
-          if (directory.listUncertain().length > 0) return ASK_MS;
-          if (directory.countInferred() > 0) return ASK_INFERRED_MS;
+          await checkIdentities();
+          if (directory.listUnverified().length > 0) return CHECK_INTERVAL_MS;
+          if (directory.pruneInferred() > 0) return INFERRED_CHECK_INTERVAL_MS;
           stopLoop = null;
           return null;
         },
         handleFailure: (reason) => {
           log.error('asking for ids failed unexpectedly', { reason });
-          return ASK_MS;
+          return CHECK_INTERVAL_MS;
         },
       });
     },
--- a/src/application/forwarding/createQuarantineRows/index.ts
+++ b/src/application/forwarding/createQuarantineRows/index.ts
@@ -11,7 +11,7 @@
   readonly clock: Clock;
   readonly log: EventLog;
   /** Rows of requests that crashed nothing for this long are removed. */
-  readonly keptMs: number;
+  readonly retentionMs: number;
 }
 
 /** Keeps quarantines in the shared store, for processes that all end at the same moment. */
@@ -26,20 +26,20 @@
 }
 
 /** By then a server that only reset a connection has answered something else. */
-const CONFIRM_MS = 500;
+const CONFIRM_DELAY_MS = 500;
 
 /** Time between two tries of a call that failed. */
 const RETRY_MS = 1000;
-const MAX_TRIES = 30;
+const MAX_ATTEMPTS = 30;
 
 /** Rows removed at a time: the rest waits for the next start of a VM. */
-const MAX_REMOVED = 100;
+const MAX_REMOVED_ROWS = 100;
 
 /** Creates what keeps quarantines in a table of the shared store. */
 export const createQuarantineRows = ({
   clock,
   crashes,
-  keptMs,
+  retentionMs,
   log,
   store,
   table,
@@ -48,7 +48,7 @@
   const written = new Set<string>();
 
   /** Repeats a call until it works; `runOnce` returns why it did not, or null. */
-  const startTries = (
+  const startWithRetries = (
     call: string,
     firstDelayMs: number,
     runOnce: () => Promise<string | null>,
@@ -57,7 +57,7 @@
     const handleFailure = (reason: string): number | null => {
       tries += 1;
       log.warn('quarantine rows failed', { call, reason, tries });
-      return tries < MAX_TRIES ? RETRY_MS : null;
+      return tries < MAX_ATTEMPTS ? RETRY_MS : null;
     };
     const stop = startLoop({
       clock,
@@ -74,7 +74,7 @@
   };
 
   /** Takes a row; false if it is too old to be kept. */
-  const takeRow = ({ key, value }: SharedRow): boolean => {
+  const mergeRow = ({ key, value }: SharedRow): boolean => {
     const read = decodeQuarantine(key, value ?? Buffer.alloc(0));
     if (read.isErr()) {
       log.warn('quarantine row refused', { fingerprint: key, reason: read.error });
@@ -82,7 +82,7 @@
     }
     const { lastCrashAtMs, servers } = read.value;
     const ageMs = Math.max(0, clock.readWallMs() - lastCrashAtMs);
-    if (ageMs >= keptMs) return false;
+    if (ageMs >= retentionMs) return false;
     servers.forEach((server) =>
       crashes.mergeOutcome({
         fingerprint: key,
@@ -95,20 +95,20 @@
     return true;
   };
 
-  const readAll = async (): Promise<string | null> => {
+  const readQuarantines = async (): Promise<string | null> => {
     const read = await store.readRows(table);
     if (read.isErr()) return read.error.kind;
     const old = read.value.rows
-      .filter((row) => !takeRow(row))
+      .filter((row) => !mergeRow(row))
       .map(({ key }) => key)
-      .slice(0, MAX_REMOVED);
+      .slice(0, MAX_REMOVED_ROWS);
     log.info('quarantine rows read', { rows: read.value.rows.length, removed: old.length });
     if (old.length === 0) return null;
     const removed = await store.changeRows({ table, writes: [], removed: old });
     return removed.isErr() ? removed.error.kind : null;
   };
 
-  const write = async (fingerprint: string): Promise<string | null> => {
+  const writeQuarantine = async (fingerprint: string): Promise<string | null> => {
     const quarantine = crashes.findQuarantine(fingerprint);
     if (!quarantine) {
       written.delete(fingerprint);
@@ -129,10 +129,13 @@
   };
 
   return {
-    startRead: () => startTries('read', 0, readAll),
-    startWrite: (fingerprint) => startTries('write', CONFIRM_MS, () => write(fingerprint)),
+    startRead: () => startWithRetries('read', 0, readQuarantines),
+    startWrite: (fingerprint) =>
+      startWithRetries('write', CONFIRM_DELAY_MS, () => writeQuarantine(fingerprint)),
     startRewrite: () =>
-      written.forEach((fingerprint) => startTries('rewrite', 0, () => write(fingerprint))),
+      written.forEach((fingerprint) =>
+        startWithRetries('rewrite', 0, () => writeQuarantine(fingerprint)),
+      ),
     stop: () => stops.forEach((stop) => stop()),
   };
 };
--- a/src/application/forwarding/createQuarantineRows/test.ts
+++ b/src/application/forwarding/createQuarantineRows/test.ts
@@ -4,7 +4,7 @@
 import { decodeQuarantine, type SharedOutcome } from '../../../domain/forwarding';
 import { createQuarantineRows } from '.';
 
-const KEPT_MS = 3_600_000;
+const RETENTION_MS = 3_600_000;
 
 const setUp = () => {
   const clock = createFakeClock();
@@ -23,7 +23,7 @@
     },
     clock,
     log: QUIET_LOG,
-    keptMs: KEPT_MS,
+    retentionMs: RETENTION_MS,
   });
   const readKeys = async (): Promise<readonly string[]> => {
     const read = store.readRows('t');
@@ -71,7 +71,7 @@
 test('a new process takes over what is young, and removes what is old', async (t) => {
   const { clock, merged, readKeys, rows, write } = setUp();
   write('young', 5000);
-  write('old', KEPT_MS);
+  write('old', RETENTION_MS);
   rows.startRead();
   await clock.advanceAsync(100);
   t.deepEqual(
--- a/src/application/forwarding/createRetryAllowance/index.ts
+++ b/src/application/forwarding/createRetryBudget/index.ts
@@ -1,22 +1,22 @@
 import type { Clock } from '../../ports';
 
 /** Bounds of the sends beyond the first of each request, over all VMs. */
-export interface RetryBounds {
+export interface RetryBudgetBounds {
   readonly retryRatio: number;
   readonly retryWindowMs: number;
   readonly retryExtra: number;
 }
 
 /** What an allowance needs. */
-export interface RetryAllowanceDependencies {
-  readonly bounds: RetryBounds;
+export interface RetryBudgetDependencies {
+  readonly bounds: RetryBudgetBounds;
   readonly clock: Clock;
   /** VMs that share the bounds. */
   readonly countVms: () => number;
 }
 
 /** Says which sends beyond the first of each request may be made. */
-export interface RetryAllowance {
+export interface RetryBudget {
   recordRequest(service: string): void;
   /**
    * Takes one send beyond the first, if it is within the bounds.
@@ -26,23 +26,23 @@
    */
   acquireRetry(
     service: string,
-    options?: { readonly part?: number; readonly least?: number },
+    options?: { readonly share?: number; readonly minimum?: number },
   ): boolean;
   /** Gives one back that did not reach a server. */
   releaseRetry(service: string): void;
 }
 
 /** Steps in which a window slides. */
-const STEPS = 10;
+const WINDOW_BUCKETS = 10;
 
 /**
  * Part of the bounds that is used: VMs know of one another with a delay, and a send that is counted
  * here at the end of a window may arrive in the next one.
  */
-const USED_PART = 0.9;
+const USED_FRACTION = 0.9;
 
 /** Requests and repeats of one service, by step of the window. */
-interface Counts {
+interface BucketCounts {
   readonly requests: number[];
   readonly retries: number[];
 }
@@ -53,57 +53,57 @@
  * Creates the allowance of this VM: its part of the bounds that all VMs keep together, in a window
  * that slides.
  */
-export const createRetryAllowance = ({
+export const createRetryBudget = ({
   bounds,
   clock,
   countVms,
-}: RetryAllowanceDependencies): RetryAllowance => {
-  const stepMs = bounds.retryWindowMs / STEPS;
-  const byService = new Map<string, Counts>();
-  let step = Math.floor(clock.readMonotonicMs() / stepMs);
+}: RetryBudgetDependencies): RetryBudget => {
+  const bucketMs = bounds.retryWindowMs / WINDOW_BUCKETS;
+  const countsByService = new Map<string, BucketCounts>();
+  let newestBucket = Math.floor(clock.readMonotonicMs() / bucketMs);
 
-  const slide = (): number => {
-    const now = Math.floor(clock.readMonotonicMs() / stepMs);
-    const passed = Math.min(STEPS, now - step);
-    for (let index = 1; index <= passed; index += 1) {
-      const cleared = (now - passed + index) % STEPS;
-      byService.forEach(({ requests, retries }) => {
-        requests.fill(0, cleared, cleared + 1);
-        retries.fill(0, cleared, cleared + 1);
+  const advanceWindow = (): number => {
+    const currentBucket = Math.floor(clock.readMonotonicMs() / bucketMs);
+    const passedBuckets = Math.min(WINDOW_BUCKETS, currentBucket - newestBucket);
+    for (let index = 1; index <= passedBuckets; index += 1) {
+      const clearedIndex = (currentBucket - passedBuckets + index) % WINDOW_BUCKETS;
+      countsByService.forEach(({ requests, retries }) => {
+        requests.fill(0, clearedIndex, clearedIndex + 1);
+        retries.fill(0, clearedIndex, clearedIndex + 1);
       });
     }
-    step = now;
-    return now % STEPS;
+    newestBucket = currentBucket;
+    return currentBucket % WINDOW_BUCKETS;
   };
 
-  const findCounts = (service: string): Counts => {
-    const known = byService.get(service);
+  const findOrCreateCounts = (service: string): BucketCounts => {
+    const known = countsByService.get(service);
     if (known) return known;
     const counts = {
-      requests: new Array<number>(STEPS).fill(0),
-      retries: new Array<number>(STEPS).fill(0),
+      requests: new Array<number>(WINDOW_BUCKETS).fill(0),
+      retries: new Array<number>(WINDOW_BUCKETS).fill(0),
     };
-    byService.set(service, counts);
+    countsByService.set(service, counts);
     return counts;
   };
 
   return {
     recordRequest: (service) => {
-      const index = slide();
-      const { requests } = findCounts(service);
+      const index = advanceWindow();
+      const { requests } = findOrCreateCounts(service);
       requests[index] = (requests[index] ?? 0) + 1;
     },
     releaseRetry: (service) => {
-      const index = slide();
-      const { retries } = findCounts(service);
+      const index = advanceWindow();
+      const { retries } = findOrCreateCounts(service);
       retries[index] = (retries[index] ?? 0) - 1;
     },
-    acquireRetry: (service, { least = 0, part = 1 } = {}) => {
-      const index = slide();
-      const { requests, retries } = findCounts(service);
+    acquireRetry: (service, { minimum = 0, share = 1 } = {}) => {
+      const index = advanceWindow();
+      const { requests, retries } = findOrCreateCounts(service);
       const extra = bounds.retryExtra / Math.max(1, countVms());
-      const allowed = USED_PART * (bounds.retryRatio * sum(requests) + extra);
-      const usable = Math.max(allowed * part, Math.min(allowed, least));
+      const allowed = USED_FRACTION * (bounds.retryRatio * sum(requests) + extra);
+      const usable = Math.max(allowed * share, Math.min(allowed, minimum));
       if (sum(retries) + 1 > usable) return false;
       retries[index] = (retries[index] ?? 0) + 1;
       return true;
--- a/src/application/forwarding/createRetryLender/index.ts
+++ b/src/application/forwarding/createRetryLender/index.ts
@@ -1,12 +1,12 @@
 import type { EventLog } from '../../ports';
-import type { RetryAllowance } from '../createRetryAllowance';
+import type { RetryBudget } from '../createRetryBudget';
 
 /** What a lender needs. */
 export interface RetryLenderDependencies {
-  readonly retries: RetryAllowance;
+  readonly retries: RetryBudget;
   readonly log: EventLog;
   /** Addresses of some other VMs, drawn at random. */
-  readonly drawPeers: (count: number) => readonly string[];
+  readonly pickPeers: (count: number) => readonly string[];
   /** Asks a VM for one of its repeats; false also if it does not answer in time. */
   readonly askPeer: (address: string, service: string) => Promise<boolean>;
 }
@@ -20,16 +20,16 @@
 }
 
 /** VMs that are asked, one after the other: with half of them able to lend, 7 of 8 borrow. */
-const ASKED_PEERS = 3;
+const MAX_ASKED_PEERS = 3;
 
 /** Part of its repeats that a VM uses up for others. */
-const LENT_PART = 0.5;
+const LENT_FRACTION = 0.5;
 
 /**
  * Repeats that a VM lends whatever part of its own they are: with hundreds of VMs each has less than
  * two, and half of that is none. It may borrow itself.
  */
-const LEAST_LENT = 2;
+const MIN_LENT_RETRIES = 2;
 
 /**
  * Creates the lender of this VM.
@@ -41,14 +41,14 @@
  */
 export const createRetryLender = ({
   askPeer,
-  drawPeers,
+  pickPeers,
   log,
   retries,
 }: RetryLenderDependencies): RetryLender => ({
   acquireRetry: async (service) => {
     if (retries.acquireRetry(service)) return true;
     let asked = 0;
-    for (const address of drawPeers(ASKED_PEERS)) {
+    for (const address of pickPeers(MAX_ASKED_PEERS)) {
       asked += 1;
       if (await askPeer(address, service)) {
         log.info('repeat borrowed', { service, peer: address, asked });
@@ -58,5 +58,6 @@
     log.info('no repeat left', { service, asked });
     return false;
   },
-  lendRetry: (service) => retries.acquireRetry(service, { part: LENT_PART, least: LEAST_LENT }),
+  lendRetry: (service) =>
+    retries.acquireRetry(service, { share: LENT_FRACTION, minimum: MIN_LENT_RETRIES }),
 });
--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -1,5 +1,5 @@
 import { formatIncarnation, isAddressKept, type ServerEntry } from '../../../domain/forwarding';
-import type { ServerRecord, ToldPrompt } from '../_lib/buildServerRecord';
+import type { ServerRecord, PeerPrompt } from '../_lib/buildServerRecord';
 import { buildServerStatus } from '../_lib/buildServerStatus';
 import { createServerRecords, type ServerRecordsDependencies } from '../_lib/createServerRecords';
 import { startServerWork } from '../_lib/startServerWork';
@@ -16,27 +16,27 @@
 }
 
 /** For this long an answer to this VM weighs more than what another VM says. */
-const OWN_EVIDENCE_MS = 200;
+const OWN_OBSERVATION_TTL_MS = 200;
 
 /** What was on its way when a server ended may be read this much later. */
-const LAST_WORDS_MS = 250;
+const LATE_DATA_MS = 250;
 
 /** First time for which a failed server gets work only if all others failed too; it doubles. */
-const FIRST_SUSPICION_MS = 1000;
+const MIN_SUSPICION_MS = 1000;
 const MAX_SUSPICION_MS = 8000;
 
 /** A server without an entry is asked for its id when it has not answered for this long. */
-const INFERRED_ASK_MS = 2000;
+const INFERRED_CHECK_AFTER_MS = 2000;
 
 /** A server without an entry that has not answered for this long takes no new work. */
-const INFERRED_AGE_MS = 6000;
+const INFERRED_TTL_MS = 6000;
 
 /**
  * A prompt that another VM sent counts for this long: reports, which are some hundred milliseconds
  * old, show it from then on. Of the prompts that met another one on the platform, nine in ten came
  * within 190 ms after it.
  */
-const TOLD_MS = 400;
+const PEER_PROMPT_TTL_MS = 400;
 
 /** Creates the directory of the backend servers. */
 export const createServerDirectory = (
@@ -45,21 +45,21 @@
   const { clock, handleInferred, handleSuspected, log, reuseAfterMs } = dependencies;
   const records = createServerRecords(dependencies);
 
-  const isThere = ({ aliveAtMs, entry, goneAtMs, isInferred }: ServerRecord): boolean => {
+  const isPresent = ({ aliveAtMs, entry, goneAtMs, isInferred }: ServerRecord): boolean => {
     const nowMs = clock.readMonotonicMs();
-    const isKnown = !isInferred || nowMs - aliveAtMs < INFERRED_AGE_MS;
+    const isKnown = !isInferred || nowMs - aliveAtMs < INFERRED_TTL_MS;
     return !entry.isLeaving && goneAtMs > nowMs && isKnown;
   };
 
   const isServing = (record: ServerRecord): boolean =>
-    isThere(record) && record.pausedUntilMs <= clock.readMonotonicMs();
+    isPresent(record) && record.pausedUntilMs <= clock.readMonotonicMs();
 
-  const isLimited = ({ limitedUntilMs }: ServerRecord): boolean =>
-    limitedUntilMs > clock.readMonotonicMs();
+  const isLimited = ({ rateLimitedUntilMs }: ServerRecord): boolean =>
+    rateLimitedUntilMs > clock.readMonotonicMs();
 
-  const listTold = ({ told }: ServerRecord): readonly ToldPrompt[] => {
-    const sinceMs = clock.readMonotonicMs() - TOLD_MS;
-    return told.filter(({ toldAtMs }) => toldAtMs > sinceMs);
+  const listRecent = ({ peerPrompts }: ServerRecord): readonly PeerPrompt[] => {
+    const sinceMs = clock.readMonotonicMs() - PEER_PROMPT_TTL_MS;
+    return peerPrompts.filter(({ receivedAtMs }) => receivedAtMs > sinceMs);
   };
 
   const recordAlive = (id: string): void => {
@@ -81,22 +81,22 @@
       const record = records.find(id);
       return record && isServing(record) ? record.entry : null;
     },
-    isTrusted: (id) => {
+    isHealthy: (id) => {
       const record = records.find(id);
       if (!record) return false;
       return isServing(record) && record.suspectedUntilMs <= clock.readMonotonicMs();
     },
     startWork: (id, options) => startServerWork(records.find(id) ?? null, options),
-    countUnreadTokens: (id) => {
+    countPendingPrefillTokens: (id) => {
       const record = records.find(id);
       if (!record) return 0;
-      return record.prefillTokens + listTold(record).reduce((sum, { tokens }) => sum + tokens, 0);
+      return record.prefillTokens + listRecent(record).reduce((sum, { tokens }) => sum + tokens, 0);
     },
-    recordToldPrompt: (id, tokens) => {
+    recordPeerPrompt: (id, tokens) => {
       const record = records.find(id);
       if (!record) return;
-      const toldAtMs = clock.readMonotonicMs();
-      record.told = [...listTold(record), { tokens, toldAtMs }];
+      const receivedAtMs = clock.readMonotonicMs();
+      record.peerPrompts = [...listRecent(record), { tokens, receivedAtMs }];
     },
     addCopy: (id) => {
       const record = records.find(id);
@@ -119,20 +119,23 @@
       record.pausedUntilMs = Math.max(record.pausedUntilMs, untilMs);
       log.info('server paused', { server: id, pauseMs: Math.round(pauseMs) });
     },
-    recordLimited: (id, waitMs) => {
+    recordRateLimited: (id, waitMs) => {
       const record = records.find(id);
-      if (record) record.limitedUntilMs = clock.readMonotonicMs() + waitMs;
+      if (record) record.rateLimitedUntilMs = clock.readMonotonicMs() + waitMs;
     },
-    isLimited: (id) => {
+    isRateLimited: (id) => {
       const record = records.find(id);
       return record !== undefined && isLimited(record);
     },
-    readPauseMs: (service) => {
+    readShortestPauseMs: (service) => {
       const nowMs = clock.readMonotonicMs();
       const pauses = records
         .list()
-        .filter((record) => record.entry.service === service && isThere(record))
-        .map(({ limitedUntilMs, pausedUntilMs }) => Math.max(limitedUntilMs, pausedUntilMs) - nowMs)
+        .filter((record) => record.entry.service === service && isPresent(record))
+        .map(
+          ({ rateLimitedUntilMs, pausedUntilMs }) =>
+            Math.max(rateLimitedUntilMs, pausedUntilMs) - nowMs,
+        )
         .filter((pauseMs) => pauseMs > 0);
       return pauses.length === 0 ? 0 : Math.min(...pauses);
     },
@@ -143,24 +146,28 @@
       // Several attempts that fail at once are one failure.
       if (record.suspectedUntilMs > nowMs) return;
       // Another VM's path to a server may be cut: what this VM saw itself just now goes first.
-      const isToldOnly = cause === 'told';
-      if (isToldOnly && nowMs - record.aliveAtMs < OWN_EVIDENCE_MS) return;
-      const holdMs = Math.min(MAX_SUSPICION_MS, FIRST_SUSPICION_MS * 2 ** record.suspicions);
-      record.suspicions += 1;
+      const isReportedByPeer = cause === 'told';
+      if (isReportedByPeer && nowMs - record.aliveAtMs < OWN_OBSERVATION_TTL_MS) return;
+      const holdMs = Math.min(
+        MAX_SUSPICION_MS,
+        MIN_SUSPICION_MS * 2 ** record.consecutiveSuspicions,
+      );
+      record.consecutiveSuspicions += 1;
       record.suspectedUntilMs = nowMs + holdMs;
       log.warn('server suspected', { server: id, cause, holdMs });
-      if (!isToldOnly) handleSuspected(id, cause);
+      if (!isReportedByPeer) handleSuspected(id, cause);
     },
     recordSuccess: (id) => {
       const record = records.find(id);
-      if (record) Object.assign(record, { suspicions: 0, suspectedUntilMs: 0, trials: 0 });
+      if (record)
+        Object.assign(record, { consecutiveSuspicions: 0, suspectedUntilMs: 0, probeRequests: 0 });
       recordAlive(id);
     },
     recordAlive,
     recordReplaced: (id, successorId) => {
       const record = records.find(id);
       if (!record) return;
-      records.end(id);
+      records.endServer(id);
       const { aliveAtMs, entry } = record;
       const times = { aliveAtMs, nowMs: clock.readMonotonicMs(), reuseAfterMs };
       if (successorId === null || !isAddressKept(times)) return;
@@ -172,29 +179,29 @@
         .list()
         .some(
           ({ aliveAtMs, entry }) =>
-            aliveAtMs > atMs + LAST_WORDS_MS && formatIncarnation(entry) === incarnation,
+            aliveAtMs > atMs + LATE_DATA_MS && formatIncarnation(entry) === incarnation,
         ),
-    recordBorn: records.recordBorn,
-    applyInferred: (entry) => {
+    recordStartTime: records.recordStartTime,
+    addInferred: (entry) => {
       records.addInferred(entry, 'told');
     },
-    listUncertain: () => {
+    listUnverified: () => {
       const nowMs = clock.readMonotonicMs();
       return records
         .list()
         .filter(({ pausedUntilMs }) => pausedUntilMs <= nowMs)
-        .filter(({ aliveAtMs, isInferred, suspicions }) =>
+        .filter(({ aliveAtMs, isInferred, consecutiveSuspicions }) =>
           isInferred
-            ? nowMs - aliveAtMs > INFERRED_ASK_MS
-            : suspicions > 0 && isAddressKept({ aliveAtMs, nowMs, reuseAfterMs }),
+            ? nowMs - aliveAtMs > INFERRED_CHECK_AFTER_MS
+            : consecutiveSuspicions > 0 && isAddressKept({ aliveAtMs, nowMs, reuseAfterMs }),
         )
         .map(({ entry }) => entry);
     },
-    countInferred: () => {
+    pruneInferred: () => {
       const nowMs = clock.readMonotonicMs();
       const inferred = records.list().filter(({ isInferred }) => isInferred);
-      const old = inferred.filter(({ aliveAtMs }) => nowMs - aliveAtMs >= INFERRED_AGE_MS);
-      old.forEach(({ entry }) => records.drop(entry.id));
+      const old = inferred.filter(({ aliveAtMs }) => nowMs - aliveAtMs >= INFERRED_TTL_MS);
+      old.forEach(({ entry }) => records.forgetServer(entry.id));
       return inferred.length - old.length;
     },
     countServing: () => records.list().filter(isServing).length,
--- a/src/application/gossip/types/GossipDependencies.ts
+++ b/src/application/gossip/types/GossipDependencies.ts
@@ -1,5 +1,5 @@
 import type { ServerEntry } from '../../../domain/forwarding';
-import type { PassedLimits } from '../../limits';
+import type { GossipedLimits } from '../../limits';
 import type { Clock, EventLog, Randomness } from '../../ports';
 import type { PassedVerdicts } from '../../rollouts';
 import type { GossipCalls, Member, PassedOutcomes, PassedRows, SharedSuspicion } from '.';
@@ -17,7 +17,7 @@
   /** What is known of roll-outs. */
   readonly verdicts: PassedVerdicts;
   /** What is known of servers' rate limits. */
-  readonly limits: PassedLimits;
+  readonly limits: GossipedLimits;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
--- a/src/application/limits/createLimitOwner/index.ts
+++ b/src/application/limits/createLimitOwner/index.ts
@@ -13,25 +13,25 @@
 /** Keeps the rate limits of some servers for all VMs. */
 export interface LimitOwner {
   /** Decides on a permit; one that is granted counts as a request that was sent. */
-  handlePermit(request: PermitRequest): PermitDecision;
+  handlePermitRequest(request: PermitRequest): PermitDecision;
   /** Takes a permit back that was not used. */
   releasePermit(server: string): void;
 }
 
 /** Requests and VMs that an owner knows of at one server. */
-interface Window {
+interface ServerWindow {
   sentAtMs: readonly number[];
-  readonly askedAtMs: Map<string, number>;
+  readonly lastAskedAtMsByVm: Map<string, number>;
 }
 
 /** A VM that was turned down asks again within this time. */
-const ASKER_MS = 2000;
+const ASKER_TTL_MS = 2000;
 
 /** A server that nobody asked about for this long is forgotten. */
-const IDLE_MS = 10_000;
+const IDLE_WINDOW_TTL_MS = 10_000;
 
 /** A confirmation comes some milliseconds after the permit. */
-const CONFIRMATION_SLACK = 1;
+const CONFIRMATION_SLACK_REQUESTS = 1;
 
 /** Creates the owner of this VM; it keeps nothing yet. */
 export const createLimitOwner = ({
@@ -39,38 +39,41 @@
   limits,
   randomness,
 }: LimitOwnerDependencies): LimitOwner => {
-  const windows = new Map<string, Window>();
+  const windows = new Map<string, ServerWindow>();
 
-  const dropIdle = (nowMs: number): void =>
-    windows.forEach(({ askedAtMs }, server) => {
-      if (Math.max(...askedAtMs.values()) < nowMs - IDLE_MS) windows.delete(server);
+  const removeIdleWindows = (nowMs: number): void =>
+    windows.forEach(({ lastAskedAtMsByVm }, server) => {
+      if (Math.max(...lastAskedAtMsByVm.values()) < nowMs - IDLE_WINDOW_TTL_MS)
+        windows.delete(server);
     });
 
-  const openWindow = (server: string, nowMs: number): Window => {
+  const findOrCreateWindow = (server: string, nowMs: number): ServerWindow => {
     const known = windows.get(server);
     if (known) return known;
-    dropIdle(nowMs);
-    const opened = { sentAtMs: [], askedAtMs: new Map<string, number>() };
+    removeIdleWindows(nowMs);
+    const opened = { sentAtMs: [], lastAskedAtMsByVm: new Map<string, number>() };
     windows.set(server, opened);
     return opened;
   };
 
   return {
-    handlePermit: ({ isConfirmation, limitPerS, sender, sentAgesMs, server }) => {
+    handlePermitRequest: ({ isConfirmation, limitPerS, sender, sentAgesMs, server }) => {
       const nowMs = clock.readMonotonicMs();
-      const window = openWindow(server, nowMs);
-      window.askedAtMs.set(sender, nowMs);
+      const window = findOrCreateWindow(server, nowMs);
+      window.lastAskedAtMsByVm.set(sender, nowMs);
       window.sentAtMs = [...window.sentAtMs, ...sentAgesMs.map((ageMs) => nowMs - ageMs)]
         .filter((atMs) => atMs > nowMs - PERMIT_WINDOW_MS)
         .sort((a, b) => a - b);
-      const askers = [...window.askedAtMs.values()].filter((atMs) => atMs > nowMs - ASKER_MS);
+      const recentAskers = [...window.lastAskedAtMsByVm.values()].filter(
+        (atMs) => atMs > nowMs - ASKER_TTL_MS,
+      );
       const decision = decidePermit({
         sentAtMs: window.sentAtMs,
         limitPerS: Math.min(limitPerS, limits.readLimitPerS(server) ?? Infinity),
         nowMs,
-        askers: askers.length,
+        askers: recentAskers.length,
         draw: randomness.readFraction(),
-        slack: isConfirmation ? CONFIRMATION_SLACK : 0,
+        slack: isConfirmation ? CONFIRMATION_SLACK_REQUESTS : 0,
       });
       if (decision.isGranted) window.sentAtMs = [...window.sentAtMs, nowMs];
       return decision;
--- a/src/application/limits/createPermits/index.ts
+++ b/src/application/limits/createPermitClient/index.ts
@@ -10,14 +10,14 @@
 import type { LimitPeer, PermitRequest } from '../types';
 
 /** What permits need. */
-export interface PermitsDependencies {
+export interface PermitClientDependencies {
   /** This VM. */
   readonly self: OwnerCandidate;
   readonly listPeers: () => readonly LimitPeer[];
   /** Asks another VM; null if it does not answer in time. */
   readonly askPeer: (address: string, request: PermitRequest) => Promise<PermitDecision | null>;
   /** Gives a permit back to another VM; nothing depends on its arrival. */
-  readonly tellReleased: (address: string, server: string) => void;
+  readonly notifyReleased: (address: string, server: string) => void;
   readonly owner: LimitOwner;
   readonly limits: Pick<ServerLimits, 'readLimitPerS'>;
   readonly clock: Pick<Clock, 'readMonotonicMs'>;
@@ -31,11 +31,11 @@
 }
 
 /** Asks for the right to send requests to servers with a rate limit. */
-export interface Permits {
+export interface PermitClient {
   /** Resolves with a permit, or with the time in milliseconds after which to ask again. */
   acquirePermit(server: string): Promise<Permit | number>;
   /** Forgets a server that is gone. */
-  drop(server: string): void;
+  forgetServer(server: string): void;
 }
 
 /** A VM that may be asked; without an address it is this one. */
@@ -44,27 +44,27 @@
 }
 
 /** A request that this VM sent, and the owners that know of it. */
-interface Send {
+interface SentRequest {
   readonly atMs: number;
-  readonly knownTo: Set<string>;
+  readonly knownToVms: Set<string>;
 }
 
 const MS_PER_S = 1000;
 
 /** Owners that must agree: VMs that know different others still have one in common. */
-const NEEDED_OWNERS = 2;
+const OWNER_QUORUM = 2;
 
 /** A owner that did not answer is passed over for this long. */
-const UNREACHABLE_MS = 2000;
+const SILENT_OWNER_SKIP_MS = 2000;
 
 /** Distinguishes the part that this VM takes by itself from what it keeps for others. */
-const ALONE_SUFFIX = ' alone';
+const LOCAL_SHARE_SUFFIX = ' alone';
 
 /** A part below one request in the window is none. */
-const MIN_PART_PER_S = MS_PER_S / PERMIT_WINDOW_MS;
+const MIN_SHARE_PER_S = MS_PER_S / PERMIT_WINDOW_MS;
 
 /** When to ask again while too few owners answer. */
-const ALONE_WAIT_MS = 500;
+const NO_QUORUM_WAIT_MS = 500;
 
 /**
  * Creates the permits of this VM.
@@ -74,24 +74,26 @@
  * a second one confirms it: where VMs know different others, for example after a loss, or an owner is
  * silent, the two that they ask still have one in common.
  */
-export const createPermits = (dependencies: PermitsDependencies): Permits => {
-  const { askPeer, clock, owner, limits, listPeers, log, self, tellReleased } = dependencies;
+export const createPermitClient = (dependencies: PermitClientDependencies): PermitClient => {
+  const { askPeer, clock, owner, limits, listPeers, log, self, notifyReleased } = dependencies;
   const { availabilityZone, vm: name } = self;
-  const here: Owner = { vm: name, availabilityZone, address: null };
-  const sendsOf = new Map<string, Send[]>();
+  const thisVm: Owner = { vm: name, availabilityZone, address: null };
+  const sentRequestsByServer = new Map<string, SentRequest[]>();
   const unreachableUntilMs = new Map<string, number>();
 
-  const addSend = (server: string): Send => {
+  const addSentRequest = (server: string): SentRequest => {
     const nowMs = clock.readMonotonicMs();
-    const kept = (sendsOf.get(server) ?? []).filter(({ atMs }) => atMs > nowMs - PERMIT_WINDOW_MS);
-    const send = { atMs: nowMs, knownTo: new Set<string>() };
-    sendsOf.set(server, [...kept, send]);
-    return send;
+    const kept = (sentRequestsByServer.get(server) ?? []).filter(
+      ({ atMs }) => atMs > nowMs - PERMIT_WINDOW_MS,
+    );
+    const sentRequest = { atMs: nowMs, knownToVms: new Set<string>() };
+    sentRequestsByServer.set(server, [...kept, sentRequest]);
+    return sentRequest;
   };
 
-  const removeSend = (server: string, send: Send): void => {
-    const kept = sendsOf.get(server)?.filter((one) => one !== send);
-    if (kept) sendsOf.set(server, kept);
+  const removeSentRequest = (server: string, sentRequest: SentRequest): void => {
+    const kept = sentRequestsByServer.get(server)?.filter((one) => one !== sentRequest);
+    if (kept) sentRequestsByServer.set(server, kept);
   };
 
   const isReachable = ({ vm }: Owner): boolean =>
@@ -102,20 +104,23 @@
     request: Omit<PermitRequest, 'sender' | 'sentAgesMs'>,
   ): Promise<PermitDecision | null> => {
     const nowMs = clock.readMonotonicMs();
-    const untold = (sendsOf.get(request.server) ?? []).filter(
-      ({ atMs, knownTo }) => !knownTo.has(vm) && atMs > nowMs - PERMIT_WINDOW_MS,
+    const unreported = (sentRequestsByServer.get(request.server) ?? []).filter(
+      ({ atMs, knownToVms }) => !knownToVms.has(vm) && atMs > nowMs - PERMIT_WINDOW_MS,
     );
-    const sent = {
+    const fullRequest = {
       ...request,
       sender: name,
-      sentAgesMs: untold.map(({ atMs }) => Math.round(nowMs - atMs)),
+      sentAgesMs: unreported.map(({ atMs }) => Math.round(nowMs - atMs)),
     };
     // Before the answer: what is asked meanwhile must not count twice.
-    untold.forEach(({ knownTo }) => knownTo.add(vm));
-    const decision = address === null ? owner.handlePermit(sent) : await askPeer(address, sent);
+    unreported.forEach(({ knownToVms }) => knownToVms.add(vm));
+    const decision =
+      address === null
+        ? owner.handlePermitRequest(fullRequest)
+        : await askPeer(address, fullRequest);
     if (!decision) {
-      untold.forEach(({ knownTo }) => knownTo.delete(vm));
-      unreachableUntilMs.set(vm, clock.readMonotonicMs() + UNREACHABLE_MS);
+      unreported.forEach(({ knownToVms }) => knownToVms.delete(vm));
+      unreachableUntilMs.set(vm, clock.readMonotonicMs() + SILENT_OWNER_SKIP_MS);
       log.info('limit owner silent', { server: request.server, owner: vm });
     }
     return decision;
@@ -124,27 +129,27 @@
   const releaseAt = (owners: readonly Owner[], server: string): void =>
     owners.forEach(({ address }) => {
       if (address === null) owner.releasePermit(server);
-      else tellReleased(address, server);
+      else notifyReleased(address, server);
     });
 
   /** Without enough owners that answer, this VM keeps to its even part. */
-  const decideAlone = (server: string, partPerS: number): PermitDecision => {
-    if (partPerS < MIN_PART_PER_S) return { isGranted: false, waitMs: ALONE_WAIT_MS };
-    return owner.handlePermit({
+  const decideLocally = (server: string, sharePerS: number): PermitDecision => {
+    if (sharePerS < MIN_SHARE_PER_S) return { isGranted: false, waitMs: NO_QUORUM_WAIT_MS };
+    return owner.handlePermitRequest({
       sender: name,
-      server: `${server}${ALONE_SUFFIX}`,
-      limitPerS: partPerS,
+      server: `${server}${LOCAL_SHARE_SUFFIX}`,
+      limitPerS: sharePerS,
       sentAgesMs: [],
       isConfirmation: false,
     });
   };
 
-  const buildPermit = (server: string, granted: readonly Owner[]): Permit => {
-    const send = addSend(server);
-    granted.forEach(({ vm }) => send.knownTo.add(vm));
+  const sentRequest = (server: string, granted: readonly Owner[]): Permit => {
+    const send = addSentRequest(server);
+    granted.forEach(({ vm }) => send.knownToVms.add(vm));
     return {
       release: () => {
-        removeSend(server, send);
+        removeSentRequest(server, send);
         releaseAt(granted, server);
       },
     };
@@ -152,8 +157,8 @@
 
   const askOwners = async (server: string, limitPerS: number): Promise<Permit | number> => {
     const granted: Owner[] = [];
-    const vms: readonly Owner[] = [here, ...listPeers()];
-    const needed = Math.min(NEEDED_OWNERS, vms.length);
+    const vms: readonly Owner[] = [thisVm, ...listPeers()];
+    const needed = Math.min(OWNER_QUORUM, vms.length);
     for (const candidate of rankLimitOwners(vms.filter(isReachable), server)) {
       const isConfirmation = granted.length > 0;
       const decision = await askOwner(candidate, { server, limitPerS, isConfirmation });
@@ -162,21 +167,21 @@
         return decision.waitMs;
       }
       if (decision) granted.push(candidate);
-      if (granted.length >= needed) return buildPermit(server, granted);
+      if (granted.length >= needed) return sentRequest(server, granted);
     }
     releaseAt(granted, server);
-    const alone = decideAlone(server, limitPerS / vms.length);
-    return alone.isGranted ? buildPermit(server, []) : alone.waitMs;
+    const localDecision = decideLocally(server, limitPerS / vms.length);
+    return localDecision.isGranted ? sentRequest(server, []) : localDecision.waitMs;
   };
 
   return {
     acquirePermit: async (server) => {
       const limitPerS = limits.readLimitPerS(server);
-      if (limitPerS === null) return buildPermit(server, []);
+      if (limitPerS === null) return sentRequest(server, []);
       return askOwners(server, limitPerS);
     },
-    drop: (server) => {
-      sendsOf.delete(server);
+    forgetServer: (server) => {
+      sentRequestsByServer.delete(server);
     },
   };
 };
