--- a/src/application/cancellation/cancelGenerationAnywhere/index.ts
+++ b/src/application/cancellation/cancelGenerationAnywhere/index.ts
@@ -1,11 +1,11 @@
 import type { PeerView } from '../../peers';
 import type { Generations, PeerGenerations } from '../../ports';
 
-/** What is asked to cancel. */
+/** Dependencies of a cancellation. */
 export interface CancellationDependencies {
   readonly generations: Pick<Generations, 'cancelGeneration'>;
   readonly peers: Pick<PeerGenerations, 'cancelGeneration'>;
-  /** VMs of the deployment as this one knows them. */
+  /** VMs of the deployment that this VM knows. */
   readonly listPeers: () => readonly PeerView[];
   /** Name of this VM. */
   readonly vm: string;
@@ -18,12 +18,12 @@
 }
 
 /**
- * Cancels a generation at whichever entry runs it.
+ * Cancels a generation on whichever entry VM runs it.
  *
- * The balancer sends a caller's DELETE to any entry, and a resumed generation may have moved, so
- * that all VMs heard lately are asked if this one does not run it.
+ * The load balancer routes a caller's DELETE to any entry VM, and a resumed generation may have
+ * moved. If this VM does not run the generation, it therefore asks every VM that it has heard from.
  *
- * @returns true if one of them ran it
+ * @returns true if one of the VMs ran the generation
  */
 export const cancelGenerationAnywhere = async (
   { generations, listPeers, peers, vm }: CancellationDependencies,
--- a/src/application/cancellation/cancelGenerationAnywhere/test.ts
+++ b/src/application/cancellation/cancelGenerationAnywhere/test.ts
@@ -38,7 +38,7 @@
   return { asked, found };
 };
 
-test('a generation is cancelled here, else at the VM that runs it', async (t) => {
+test('cancels a generation on this VM, or else on the VM that runs it', async (t) => {
   t.deepEqual(await cancelAt('entry-1'), { asked: [], found: true });
   t.deepEqual(await cancelAt('entry-3'), { asked: ['entry-2', 'entry-3'], found: true });
   t.deepEqual(await cancelAt('nobody'), { asked: ['entry-2', 'entry-3'], found: false });
--- a/src/application/limits/createLimitOwner/index.ts
+++ b/src/application/limits/createLimitOwner/index.ts
@@ -3,37 +3,37 @@
 import type { ServerLimits } from '../createServerLimits';
 import type { PermitRequest } from '../types';
 
-/** What an owner needs. */
+/** Dependencies of the limit owner. */
 export interface LimitOwnerDependencies {
   readonly clock: Pick<Clock, 'readMonotonicMs'>;
   readonly randomness: Randomness;
   readonly limits: Pick<ServerLimits, 'readLimitPerS'>;
 }
 
-/** Keeps the rate limits of some servers for all VMs. */
+/** Enforces the rate limits of the servers that this VM owns, for all VMs together. */
 export interface LimitOwner {
-  /** Decides on a permit; one that is granted counts as a request that was sent. */
+  /** Decides on a permit request. A granted permit counts as a sent request. */
   handlePermitRequest(request: PermitRequest): PermitDecision;
-  /** Takes a permit back that was not used. */
+  /** Takes back a permit that was not used. */
   releasePermit(server: string): void;
 }
 
-/** Requests and VMs that an owner knows of at one server. */
+/** Recent requests to one server, and the VMs that asked for permits. */
 interface ServerWindow {
   sentAtMs: readonly number[];
   readonly lastAskedAtMsByVm: Map<string, number>;
 }
 
-/** A VM that was turned down asks again within this time. */
+/** A VM whose request was denied asks again within this time. */
 const ASKER_TTL_MS = 2000;
 
-/** A server that nobody asked about for this long is forgotten. */
+/** A server that no VM has asked about for this long is removed. */
 const IDLE_WINDOW_TTL_MS = 10_000;
 
-/** A confirmation comes some milliseconds after the permit. */
+/** A confirmation arrives some milliseconds after the first owner granted the permit. */
 const CONFIRMATION_SLACK_REQUESTS = 1;
 
-/** Creates the owner of this VM; it keeps nothing yet. */
+/** Creates the limit owner of this VM, with no servers yet. */
 export const createLimitOwner = ({
   clock,
   limits,
--- a/src/application/limits/createPermitClient/index.ts
+++ b/src/application/limits/createPermitClient/index.ts
@@ -9,14 +9,14 @@
 import type { ServerLimits } from '../createServerLimits';
 import type { LimitPeer, PermitRequest } from '../types';
 
-/** What permits need. */
+/** Dependencies of the permit client. */
 export interface PermitClientDependencies {
   /** This VM. */
   readonly self: OwnerCandidate;
   readonly listPeers: () => readonly LimitPeer[];
-  /** Asks another VM; null if it does not answer in time. */
+  /** Asks another VM for a permit; resolves with null if the VM does not respond in time. */
   readonly askPeer: (address: string, request: PermitRequest) => Promise<PermitDecision | null>;
-  /** Gives a permit back to another VM; nothing depends on its arrival. */
+  /** Returns an unused permit to another VM. Best effort: nothing depends on delivery. */
   readonly notifyReleased: (address: string, server: string) => void;
   readonly owner: LimitOwner;
   readonly limits: Pick<ServerLimits, 'readLimitPerS'>;
@@ -26,11 +26,11 @@
 
 /** The right to send one request to a server. */
 export interface Permit {
-  /** Gives it back: no request was sent. */
+  /** Returns the permit unused: no request was sent. */
   release(): void;
 }
 
-/** Asks for the right to send requests to servers with a rate limit. */
+/** Acquires permits to send requests to servers with a rate limit. */
 export interface PermitClient {
   /** Resolves with a permit, or with the time in milliseconds after which to ask again. */
   acquirePermit(server: string): Promise<Permit | number>;
@@ -38,12 +38,12 @@
   forgetServer(server: string): void;
 }
 
-/** A VM that may be asked; without an address it is this one. */
+/** A VM that may own a server's limit; its address is null for this VM. */
 interface Owner extends OwnerCandidate {
   readonly address: string | null;
 }
 
-/** A request that this VM sent, and the owners that know of it. */
+/** A request that this VM sent, and the VMs that know of it. */
 interface SentRequest {
   readonly atMs: number;
   readonly knownToVms: Set<string>;
@@ -51,28 +51,30 @@
 
 const MS_PER_S = 1000;
 
-/** Owners that must agree: VMs that know different others still have one in common. */
+/**
+ * Owners that must grant a permit: VMs with different membership views share at least one of them.
+ */
 const OWNER_QUORUM = 2;
 
-/** A owner that did not answer is passed over for this long. */
+/** An owner that did not respond is skipped for this long. */
 const SILENT_OWNER_SKIP_MS = 2000;
 
-/** Distinguishes the part that this VM takes by itself from what it keeps for others. */
+/** Separates this VM's local share of a limit from the limits that it owns for all VMs. */
 const LOCAL_SHARE_SUFFIX = ' alone';
 
-/** A part below one request in the window is none. */
+/** A share below one request per window counts as none. */
 const MIN_SHARE_PER_S = MS_PER_S / PERMIT_WINDOW_MS;
 
-/** When to ask again while too few owners answer. */
+/** Time until the next attempt while too few owners respond. */
 const NO_QUORUM_WAIT_MS = 500;
 
 /**
- * Creates the permits of this VM.
+ * Creates the permit client of this VM.
  *
- * A limit of some requests a second holds for hundreds of VMs together: each VM's even part of it is less
- * than one request in the time that is looked at. So VMs ask the one that keeps the server's limit, and
- * a second one confirms it: where VMs know different others, for example after a loss, or an owner is
- * silent, the two that they ask still have one in common.
+ * A limit of a few requests per second is shared by hundreds of VMs, so that an even share per VM
+ * would be less than one request per window. Instead, VMs ask the VM that owns the server's limit,
+ * and a second owner confirms the permit. If VMs have different membership views, for example after
+ * a failure, or if an owner does not respond, the two owners that they ask still overlap in one.
  */
 export const createPermitClient = (dependencies: PermitClientDependencies): PermitClient => {
   const { askPeer, clock, owner, limits, listPeers, log, self, notifyReleased } = dependencies;
@@ -112,7 +114,7 @@
       sender: name,
       sentAgesMs: unreported.map(({ atMs }) => Math.round(nowMs - atMs)),
     };
-    // Before the answer: what is asked meanwhile must not count twice.
+    // Marked before the response arrives, so that a concurrent request does not report them twice.
     unreported.forEach(({ knownToVms }) => knownToVms.add(vm));
     const decision =
       address === null
@@ -132,7 +134,7 @@
       else notifyReleased(address, server);
     });
 
-  /** Without enough owners that answer, this VM keeps to its even part. */
+  /** Decides by this VM's even share of the limit while too few owners respond. */
   const decideLocally = (server: string, sharePerS: number): PermitDecision => {
     if (sharePerS < MIN_SHARE_PER_S) return { isGranted: false, waitMs: NO_QUORUM_WAIT_MS };
     return owner.handlePermitRequest({
--- a/src/application/limits/createServerLimits/index.ts
+++ b/src/application/limits/createServerLimits/index.ts
@@ -2,28 +2,30 @@
 import type { Clock, EventLog } from '../../ports';
 import type { GossipedLimits } from '../types';
 
-/** What knowing of limits needs. */
+/** Dependencies of the server limits. */
 export interface ServerLimitsDependencies {
   readonly clock: Pick<Clock, 'readMonotonicMs'>;
   readonly log: EventLog;
-  /** Tells other VMs that a server named another limit than before, or none any more. */
+  /** Tells other VMs that a server changed or dropped its rate limit. */
   readonly publishLimit: (limit: SharedLimit) => void;
 }
 
-/** What one answer of a server says of its rate limit. */
+/** The rate limit that a server states in a response. */
 export interface AdvertisedLimit {
-  /** Requests a second from all VMs together; null: it names none. */
+  /** Requests per second from all VMs together; null if the server states no limit. */
   readonly limitPerS: number | null;
-  /** When the request was sent: the answer was made later. */
+  /** When the request was sent, which is before the server wrote its response. */
   readonly sentAtMs: number;
 }
 
-/** Knows the rate limits that servers name in their answers. */
+/** Tracks the rate limits that servers state in their responses. */
 export interface ServerLimits extends GossipedLimits {
   recordAdvertisedLimit(server: string, limit: AdvertisedLimit): void;
-  /** Requests a second that a server takes from all VMs together, above 0; null if it has no limit. */
+  /**
+   * Requests per second that a server takes from all VMs together, above 0; null without a limit.
+   */
   readLimitPerS(server: string): number | null;
-  /** Forgets a server that is gone, or that started again. */
+  /** Forgets a server that is gone or that was restarted. */
   forgetServer(server: string): void;
 }
 
@@ -32,13 +34,15 @@
   readonly atMs: number;
 }
 
-/** A server that names less still gets this, so that the end of its limit is noticed. */
+/**
+ * Used for lower limits too, so that this VM still sends requests and notices the end of the limit.
+ */
 const MIN_LIMIT_PER_S = 1000 / PERMIT_WINDOW_MS;
 
-/** A limit that ended is told for this long; it is stated again with each answer while it holds. */
+/** Gossip includes an ended limit for this long. A limit in force is stated in every response. */
 const ENDED_LIMIT_TTL_MS = 60_000;
 
-/** Creates what knows the rate limits of servers; there are none. */
+/** Creates the server limits, with no limit known. */
 export const createServerLimits = ({
   clock,
   log,
@@ -46,7 +50,7 @@
 }: ServerLimitsDependencies): ServerLimits => {
   const knownLimits = new Map<string, KnownLimit>();
 
-  /** Takes what is newer than before; true if it differs. */
+  /** Stores a limit that is newer than the known one; returns true if the value changed. */
   const merge = (server: string, { atMs, limitPerS }: KnownLimit, source: string): boolean => {
     const previous = knownLimits.get(server);
     if (previous ? atMs < previous.atMs : limitPerS === null) return false;
@@ -64,7 +68,8 @@
   return {
     recordAdvertisedLimit: (server, { limitPerS, sentAtMs }) => {
       const nowMs = clock.readMonotonicMs();
-      // Answers cross: one without a limit ends it only if it was surely made after the last that named it.
+      // Responses may arrive out of order: one without a limit ends the limit only if the server
+      // surely wrote the response after the last one that stated the limit.
       const atMs = limitPerS === null ? sentAtMs : nowMs;
       if (merge(server, { limitPerS, atMs }, 'own')) {
         publishLimit({ server, limitPerS, ageMs: nowMs - atMs });
--- a/src/application/limits/types/GossipedLimits.ts
+++ b/src/application/limits/types/GossipedLimits.ts
@@ -1,8 +1,8 @@
 import type { SharedLimit } from '../../../domain/limits';
 
-/** What gossip asks of those who know limits. */
+/** The rate limits as gossip reads and updates them. */
 export interface GossipedLimits {
-  /** True if it was news. */
+  /** Merges a limit that another VM reported; returns true if it was new. */
   mergeLimit(limit: SharedLimit): boolean;
   listLimits(): readonly SharedLimit[];
 }
--- a/src/application/limits/types/LimitPeer.ts
+++ b/src/application/limits/types/LimitPeer.ts
@@ -1,7 +1,7 @@
 import type { OwnerCandidate } from '../../../domain/limits';
 
-/** Another VM that may keep limits. */
+/** Another VM that may own limits. */
 export interface LimitPeer extends OwnerCandidate {
-  /** IP:PORT of its peer address. */
+  /** IP:PORT of the VM's peer address. */
   readonly address: string;
 }
--- a/src/application/limits/types/PermitRequest.ts
+++ b/src/application/limits/types/PermitRequest.ts
@@ -1,12 +1,12 @@
-/** What a VM asks of one that keeps a server's limit. */
+/** A VM's request to the owner of a server's limit. */
 export interface PermitRequest {
-  /** Name of the VM that asks. */
+  /** Name of the requesting VM. */
   readonly sender: string;
   readonly server: string;
-  /** Requests a second that the server takes, as the sender knows it. */
+  /** Requests per second that the server takes, as known to the sender. */
   readonly limitPerS: number;
-  /** How long ago the sender sent requests there that the owner does not know of, in milliseconds. */
+  /** Ages, in milliseconds, of requests that the sender sent and the owner does not know of. */
   readonly sentAgesMs: readonly number[];
-  /** True: another owner has granted it. */
+  /** True if another owner has granted the permit already. */
   readonly isConfirmation: boolean;
 }
