--- a/src/application/forwarding/createCrashHistory/index.ts
+++ b/src/application/forwarding/createCrashHistory/index.ts
@@ -6,52 +6,54 @@
 } from '../../../domain/forwarding';
 import type { Clock, EventLog } from '../../ports';
 
-/** What a history needs. */
+/** Dependencies of the crash history. */
 export interface CrashHistoryDependencies {
   readonly clock: Clock;
   readonly log: EventLog;
-  /** True: this incarnation of a server answered this VM after that time, so that it did not end. */
+  /** True if this server incarnation answered this VM after that time, and so did not crash. */
   readonly hasAnsweredSince: (server: string, atMs: number) => boolean;
-  /** Tells other VMs of an outcome that showed here. */
+  /** Tells other VMs of an outcome that this VM observed. */
   readonly publishOutcome: (outcome: SharedOutcome) => void;
-  /** Called where the crash that puts a request into quarantine showed here. */
+  /** Called if this VM observed the crash that puts a request into quarantine. */
   readonly handleQuarantine: (fingerprint: string) => void;
 }
 
-/** Remembers which requests end the servers that run them. */
+/** Tracks which requests crash the servers that run them. */
 export interface CrashHistory {
-  /** Takes an outcome of a run of this VM. */
+  /** Records the outcome of a run of this VM. */
   recordOutcome(outcome: Omit<RunOutcome, 'atMs'>): void;
-  /** Takes one that another VM told; true if it was news. */
+  /** Merges an outcome that another VM reported; returns true if it was new. */
   mergeOutcome(outcome: SharedOutcome): boolean;
-  /** True: nothing is known of any request, so that no fingerprint is worth computing. */
+  /** True if no outcome is known, so that no fingerprint needs to be computed. */
   isEmpty(): boolean;
-  /** True: a server ended under it, and none has answered it since. */
+  /** True if a server crashed under the request and none has answered it since. */
   isSuspected(fingerprint: string): boolean;
-  /** How much longer a request is in quarantine; 0 if it is not. */
+  /** Remaining time of the request's quarantine; 0 if it is not quarantined. */
   readQuarantineMs(fingerprint: string): number;
-  /** Calls `listener` once when the request gets into quarantine; the returned function ends it. */
+  /** Calls `listener` once the request enters quarantine; the returned function removes it. */
   addListener(fingerprint: string, listener: () => void): () => void;
-  /** Outcomes for a VM that may lack some, the newest first. */
+  /** Lists recent outcomes for other VMs, the newest first. */
   listOutcomes(): readonly SharedOutcome[];
-  /** With its time in monotonic milliseconds of this process. */
+  /** Finds the quarantine of a request; its time is monotonic time of this process. */
   findQuarantine(fingerprint: string): Quarantine | null;
 }
 
-/** Servers that a request may end: the next one could be lost for another reason. */
+/** Servers that a request may crash. Two crashes may still have other causes. */
 export const MAX_CRASHES = 3;
 
-/** After its last crash a request is tried again only this much later. */
+/** Duration of a quarantine after the last crash; the request is tried again afterwards. */
 const QUARANTINE_MS = 600_000;
 
-/** Outcomes are forgotten after this time: a request that crashes again meanwhile is back at once. */
+/**
+ * Outcomes are kept for this long: one more crash within this time quarantines the request again.
+ */
 export const CRASH_RETENTION_MS = 3_600_000;
 
-/** Requests and outcomes of each that are remembered. */
+/** Maximum numbers of requests, and of outcomes per request. */
 const MAX_REQUESTS = 1000;
 const MAX_OUTCOMES_PER_REQUEST = 8;
 
-/** Outcomes that one message carries: 80 bytes each. */
+/** Maximum number of outcomes in one message, of 80 bytes each. */
 const MAX_OUTCOMES_PER_MESSAGE = 40;
 
 const readNewestMs = (outcomes: readonly RunOutcome[]): number =>
@@ -61,10 +63,10 @@
   left.server === right.server && left.hasCrashed === right.hasCrashed;
 
 /**
- * Creates the history of this VM; it is empty.
+ * Creates an empty crash history.
  *
- * A crash counts against its request until a server has answered that request, or the server itself
- * proves to be there.
+ * A crash counts against its request until a server has answered that request, or the server proves
+ * to be alive.
  */
 export const createCrashHistory = ({
   clock,
@@ -73,7 +75,7 @@
   log,
   publishOutcome,
 }: CrashHistoryDependencies): CrashHistory => {
-  /** By fingerprint; the one that was heard of last comes last. */
+  /** By fingerprint, the most recently updated one last. */
   const outcomesByFingerprint = new Map<string, readonly RunOutcome[]>();
   const listenersByFingerprint = new Map<string, Set<() => void>>();
 
@@ -106,7 +108,7 @@
       .forEach((one) => outcomesByFingerprint.delete(one));
   };
 
-  /** Adds an outcome; false if it is known. */
+  /** Adds an outcome; returns false if it is known. */
   const addOutcome = (outcome: RunOutcome): boolean => {
     const { fingerprint } = outcome;
     const known = outcomesByFingerprint.get(fingerprint) ?? [];
@@ -124,7 +126,7 @@
     return true;
   };
 
-  /** Adds an outcome, and tells those that wait for the verdict; true if it was news. */
+  /** Adds an outcome and notifies listeners of a new quarantine; returns true if it was new. */
   const recordNewOutcome = (outcome: RunOutcome, source: 'own' | 'told'): boolean => {
     const { fingerprint } = outcome;
     const wasQuarantined = readQuarantineMs(fingerprint) > 0;
--- a/src/application/forwarding/createCrashHistory/test.ts
+++ b/src/application/forwarding/createCrashHistory/test.ts
@@ -23,7 +23,7 @@
   return { alive, answer, clock, crash, crashThree, history, quarantined, told: published };
 };
 
-test('the third server that ends under a request puts it into quarantine', (t) => {
+test('the third server that crashes under a request puts it into quarantine', (t) => {
   const { crash, history, quarantined, told } = setUp();
   crash('i-1');
   crash('i-2');
@@ -35,7 +35,7 @@
   t.is(history.readQuarantineMs('another'), 0);
 });
 
-test('what is told twice is no news, and counts once', (t) => {
+test('an outcome that is merged twice counts once', (t) => {
   const { history } = setUp();
   const outcome = { fingerprint: 'f', requestId: 'r-1', server: 'i-1', hasCrashed: true, ageMs: 5 };
   t.true(history.mergeOutcome(outcome));
@@ -43,7 +43,7 @@
   t.is(history.listOutcomes().length, 1);
 });
 
-test('a request that many send is free again once a server has answered it', (t) => {
+test('a request leaves quarantine once a server has answered it', (t) => {
   const { answer, clock, crash, crashThree, history } = setUp();
   crashThree();
   clock.advance(10);
@@ -56,20 +56,20 @@
   t.is(history.readQuarantineMs('f'), 0);
 });
 
-test('connections that are reset by servers that stay count for nothing', (t) => {
+test('connections reset by servers that stay alive do not count', (t) => {
   const { alive, crashThree, history } = setUp();
   crashThree();
   alive.add('i-2');
   t.is(history.readQuarantineMs('f'), 0);
 });
 
-test('a rack that is lost under many of the same requests puts them into no quarantine', (t) => {
+test('the loss of a rack that runs many identical requests quarantines none of them', (t) => {
   const { crash, history } = setUp();
   ['1', '2', '3', '4'].forEach((one) => crash(`i-${one}`, `r-${one}`));
   t.is(history.readQuarantineMs('f'), 0);
 });
 
-test('after ten minutes it is tried again, and one more crash is enough', (t) => {
+test('a request is tried again after ten minutes, and one more crash quarantines it again', (t) => {
   const { clock, crash, crashThree, history } = setUp();
   crashThree();
   clock.advance(600_001);
@@ -78,7 +78,7 @@
   t.true(history.readQuarantineMs('f') > 0);
 });
 
-test('a listener hears of the quarantine once, unless it has gone', (t) => {
+test('a listener is called once at the quarantine, unless it was removed', (t) => {
   const { crashThree, history } = setUp();
   let heard = 0;
   const cancel = history.addListener('f', () => {
@@ -92,7 +92,7 @@
   t.is(heard, 1);
 });
 
-test('thousands of suspected requests are not all remembered', (t) => {
+test('the number of remembered requests is bounded', (t) => {
   const { clock, crash, history } = setUp();
   for (let index = 0; index < 1200; index += 1) {
     clock.advance(1);
--- a/src/application/forwarding/createCrashProbe/index.ts
+++ b/src/application/forwarding/createCrashProbe/index.ts
@@ -9,7 +9,7 @@
 import type { RouteTableHolder } from '../createRouteTableHolder';
 import type { ServerDirectory } from '../types';
 
-/** What the probe needs. */
+/** Dependencies of the crash probe. */
 export interface CrashProbeDependencies {
   readonly client: Pick<ForwardClient, 'readIdentity'>;
   readonly clock: Clock;
@@ -20,21 +20,25 @@
   readonly tables: Pick<RouteTableHolder, 'readCurrent'>;
 }
 
-/** Finds out whether a server ended whose connection broke under a request. */
+/** Finds out whether a server crashed after its connection was lost under a request. */
 export interface CrashProbe {
-  /** Asks a moment later; a crash is recorded only if the server is not there any more. */
+  /** Probes the server after a delay; records a crash only if the server is not alive any more. */
   startProbe(run: Pick<RunOutcome, 'fingerprint' | 'requestId'>, server: ServerEntry): void;
 }
 
-/** A server that only reset a connection answers by then; one that ended is not back yet. */
+/**
+ * Delay of the probe. A server that only reset a connection answers by then, and a crashed one has
+ * not restarted yet.
+ */
 const PROBE_DELAY_MS = 400;
 
 /**
- * Creates the probe of this VM.
+ * Creates the crash probe of this VM.
  *
- * Connections also break where the server stays: on the way, or as it sheds load. The server is asked
- * who it is, and one other of each service as well: a VM that nobody answers is cut off itself, and has
- * seen nothing, while a service may be down as a whole.
+ * Connections also break while the server stays alive, in the network or by load shedding. The
+ * probe therefore asks the server for its id. It also asks one other server of each service as a
+ * control: a VM that reaches no server is itself cut off and proves nothing. Each service is
+ * included, because a whole service may be down.
  */
 export const createCrashProbe = ({
   client,
@@ -60,7 +64,7 @@
       draw: randomness.readFraction(),
     })?.entry ?? null;
 
-  /** One server of each service, where it has another one than this. */
+  /** Lists one server per service, other than the probed one. */
   const listControlServers = ({ id }: ServerEntry): readonly ServerEntry[] =>
     [...(tables.readCurrent()?.services.keys() ?? [])]
       .map((service) => findControlServer(service, id))
@@ -87,7 +91,7 @@
       clock.startTimer(PROBE_DELAY_MS, () => {
         probe(run, server).catch((error: unknown) => {
           const reason = error instanceof Error ? error.message : 'unknown';
-          log.error('probe failed unexpectedly', { server: server.id, reason });
+          log.error('crash probe failed unexpectedly', { server: server.id, reason });
         });
       });
     },
--- a/src/application/forwarding/createForwarder/index.ts
+++ b/src/application/forwarding/createForwarder/index.ts
@@ -16,28 +16,28 @@
 
 /** Forwards callers' requests to backend servers. */
 export interface Forwarder {
-  /** Resolves when the answer has ended, or the caller has left. */
+  /** Resolves when the response has ended or the caller has disconnected. */
   forwardRequest(request: ForwardedRequest, reply: CallerReply): Promise<void>;
   countRunning(): number;
-  /** From now on new streams are refused: they would outlive this process. */
+  /** Refuses new streams from now on: they would outlive this process. */
   refuseStreams(): void;
-  /** From now on every new request is refused: the process is about to end. */
+  /** Refuses all new requests from now on: the process is about to end. */
   refuseAll(): void;
 }
 
 /**
- * When to come back to a VM that knows no configuration yet, at least. It has one within 0.1 s of its
- * start unless the store is away; told 0.5 s, callers came back once, were refused again and gave up.
+ * Minimum retry time while this VM has no configuration. It gets one within 0.1 s of its start
+ * unless the store is down. With 0.5 s, callers retried once, were refused again and gave up.
  */
 const NO_CONFIGURATION_RETRY_MS = 2000;
 
-/** Time without a configuration, against the time that it is expected to last. */
+/** Expected total length of an outage, as a multiple of its length so far. */
 const OUTAGE_FACTOR = 2;
 
-/** Refused streams are told to come back after a goal, less the spread of the returns. */
+/** Refused streams are told to retry after their latency goal, reduced by the random spread. */
 const SHORTEST_RETURN_FRACTION = 0.9;
 
-/** When to come back, to another VM, from one that is leaving. */
+/** Time after which to retry at another VM when this one is shutting down. */
 const LEAVING_RETRY_MS = 50;
 
 /** Creates the forwarder of this VM. */
@@ -45,7 +45,7 @@
   const { clock, log, meter, randomness, retries, rollouts, tables } = dependencies;
   const shared = { paces: createPaceHistory(), overload: createOverloadTracker(clock) };
   const startedAtMs = clock.readMonotonicMs();
-  /** By route: the longest time that a caller waited. */
+  /** By route: the longest time that a caller waits. */
   const longestWaitMs = new Map<string, number>();
   let running = 0;
   let refusesStreams = false;
@@ -64,7 +64,7 @@
   const admit = (request: ForwardedRequest, reply: CallerReply): ForwardContext | Refusal => {
     const table = tables.readCurrent();
     if (!table) {
-      const reason = 'no configuration is known yet';
+      const reason = 'this VM has no configuration yet';
       const retryAfterMs = computeReturnMs({
         waitMs: NO_CONFIGURATION_RETRY_MS,
         outageMs: (clock.readMonotonicMs() - startedAtMs) * OUTAGE_FACTOR,
@@ -74,7 +74,8 @@
       return { kind: 'not-run', reason, retryAfterMs };
     }
     const route = findRoute(table, request.host, request.target);
-    if (!route) return { kind: 'unknown-route', reason: 'no route', retryAfterMs: 0 };
+    if (!route)
+      return { kind: 'unknown-route', reason: 'no route matches the request', retryAfterMs: 0 };
     if (refusesAll || (refusesStreams && route.kind === RouteKind.Stream)) {
       return { kind: 'not-run', reason: 'this VM is leaving', retryAfterMs: LEAVING_RETRY_MS };
     }
@@ -85,7 +86,8 @@
       return { kind: 'not-run', reason: 'the route has no service', retryAfterMs: 0 };
     }
     const waitMs = Math.min(request.deadlineMs ?? Infinity, route.timeoutMs);
-    // Up to the route's own time: one caller with a huge deadline must not make all others look late.
+    // At most the route's timeout: one caller with a huge deadline must not make all others look
+    // like retries.
     const longestMs = Math.max(longestWaitMs.get(route.name) ?? 0, waitMs);
     longestWaitMs.set(route.name, longestMs);
     return {
--- a/src/application/forwarding/createIdentityWatch/index.ts
+++ b/src/application/forwarding/createIdentityWatch/index.ts
@@ -3,7 +3,7 @@
 import type { RouteTableHolder } from '../createRouteTableHolder';
 import type { ServerDirectory } from '../types';
 
-/** What the watch needs. */
+/** Dependencies of the identity watch. */
 export interface IdentityWatchDependencies {
   readonly client: Pick<ForwardClient, 'readIdentity'>;
   readonly clock: Clock;
@@ -15,29 +15,29 @@
   readonly tables: Pick<RouteTableHolder, 'readCurrent'>;
 }
 
-/** Finds out who serves at the addresses of servers that failed. */
+/** Finds out which servers are at the addresses of failed servers. */
 export interface IdentityWatch {
-  /** Begins to ask, unless it does already; it ends once no address is in question. */
+  /** Starts to check ids, unless already started. Stops by itself once no address is in doubt. */
   start(): void;
   stop(): void;
 }
 
 /**
- * Time between two questions to one address. A server that crashed is back after a second or so, and
- * its address says whose it is for two: five questions find it.
+ * Interval of checks of one address. A crashed server restarts after about a second, and its
+ * address stays with its service for two seconds: five checks find the new id.
  */
 const CHECK_INTERVAL_MS = 350;
 
-/** Time between two looks at servers without an entry: a third of the time that they count unseen. */
+/** Interval of checks of servers without an entry: a third of the time that they count unseen. */
 const INFERRED_CHECK_INTERVAL_MS = 2000;
 
 /**
- * Creates the watch over servers that failed: a server that starts again has a new id, which stands
- * in the store only, and the store may be away for longer than the server.
+ * Creates the watch over failed servers. A server that restarts has a new id, which is written only
+ * to the store, and the store may be down for longer than the server.
  *
- * Without it every server that crashes during an outage of the store is lost to the gateways until
- * the store is back: with two of three availability zones lost in turn, the streams of ten seconds
- * stood in the queues of a third of the servers, and 1 in 5 was served.
+ * Without the watch, gateways lose every server that crashes during a store outage until the store
+ * is back. When two of three availability zones failed in turn, the streams of ten seconds queued
+ * at a third of the servers, and 1 in 5 was served.
  */
 export const createIdentityWatch = ({
   client,
@@ -83,7 +83,7 @@
           return null;
         },
         handleFailure: (reason) => {
-          log.error('asking for ids failed unexpectedly', { reason });
+          log.error('identity check failed unexpectedly', { reason });
           return CHECK_INTERVAL_MS;
         },
       });
--- a/src/application/forwarding/createPromptReservations/index.ts
+++ b/src/application/forwarding/createPromptReservations/index.ts
@@ -12,43 +12,53 @@
   readonly tokens: number;
 }
 
-/** What agreeing on places needs. */
+/** Dependencies of the prompt reservations. */
 export interface PromptReservationsDependencies {
   /** Name of this VM. */
   readonly self: string;
   readonly listPeers: () => readonly ReservationPeer[];
   readonly tellPeer: (address: string, prompt: SentPrompt) => void;
-  /** Takes a place at the VM that keeps the server's; null if it does not answer in time. */
+  /**
+   * Reserves at the VM that owns the server; resolves with null if the VM does not respond in time.
+   */
   readonly askPeer: (address: string, prompt: SentPrompt) => Promise<number | null>;
-  /** What is known here of a server's unread prompts, and takes note of another one. */
+  /**
+   * Counts the tokens of a server's prompts that this VM knows of and that are not yet processed.
+   */
   readonly countPendingPrefillTokens: (server: string) => number;
   readonly recordPeerPrompt: (server: string, tokens: number) => void;
 }
 
-/** Lets VMs know of each other's prompts before any report shows them. */
+/** Makes prompts known to other VMs before any server report shows them. */
 export interface PromptReservations {
-  /** Tells all other VMs of a prompt that was sent; in a large fleet nobody. */
+  /** Tells all other VMs of a sent prompt; does nothing in a large fleet. */
   tellPrompt(server: string, tokens: number): void;
-  /** Takes a place in a large fleet; returns the tokens of those that were sooner, else 0. */
+  /**
+   * Reserves a server in a large fleet; resolves with the tokens of earlier prompts of other VMs,
+   * else 0.
+   */
   reservePrompt(server: string, tokens: number): Promise<number>;
-  /** Another VM takes a place at a server whose places are kept here. */
+  /**
+   * Records another VM's reservation at a server that this VM owns; returns the tokens of earlier
+   * prompts.
+   */
   handleReservation(server: string, tokens: number): number;
 }
 
 /**
- * Fleets of up to this many VMs tell each other of every prompt: some ten small calls, and nobody
- * waits. In larger ones these calls would cost as much as the requests themselves.
+ * Largest fleet in which every prompt is broadcast, with some ten small calls that nobody waits
+ * for. In larger fleets these calls would cost as much as the requests themselves.
  */
 const MAX_BROADCAST_VMS = 12;
 
 /**
- * Creates what lets VMs agree on places for prompts.
+ * Creates the prompt reservations of this VM.
  *
- * Prompts often come within some milliseconds of each other, and reports of servers are older than
- * that: without it VMs find the same engine idle, and one prompt waits for the other. In a large fleet
- * the places of each server are kept by one VM, by rendezvous hashing over those heard of: one call a
- * prompt, whatever the size. VMs that disagree on who keeps them, or one that does not answer, only
- * bring the old state back.
+ * Prompts often arrive within some milliseconds of each other, and server reports are older than
+ * that. Without reservations several VMs find the same engine idle, and one prompt waits for the
+ * other. In a large fleet one VM owns the reservations of each server, chosen by rendezvous hashing
+ * over the known VMs, which takes one call per prompt at any fleet size. If VMs disagree on the
+ * owner, or the owner does not respond, prompts are merely sent without a reservation.
  */
 export const createPromptReservations = ({
   askPeer,
@@ -74,7 +84,7 @@
       if (peers.length < MAX_BROADCAST_VMS) return 0;
       const vms = [self, ...peers.map(({ vm }) => vm)];
       const [ownerVm] = chooseOwners(vms, server, 1);
-      // What this VM sends itself it counts anyway.
+      // Prompts that this VM sends itself are counted in any case.
       if (ownerVm === self) return 0;
       const ownerPeer = peers.find(({ vm }) => vm === ownerVm);
       return ownerPeer ? ((await askPeer(ownerPeer.address, { server, tokens })) ?? 0) : 0;
--- a/src/application/forwarding/createPromptReservations/test.ts
+++ b/src/application/forwarding/createPromptReservations/test.ts
@@ -1,7 +1,9 @@
 import test from 'ava';
 import { createPromptReservations, type PromptReservations } from '.';
 
-/** A fleet whose VMs call each other directly; `isDown` tells which do not answer. */
+/**
+ * A fleet whose VMs call each other directly; VMs for which `isDown` returns true do not respond.
+ */
 const buildFleet = (vms: number, isDown: (address: string) => boolean = () => false) => {
   const names = Array.from({ length: vms }, (_, index) => `vm-${index}`);
   const fleet = new Map<string, PromptReservations>();
@@ -35,7 +37,7 @@
   return { countCalls: () => calls, find, told };
 };
 
-test('all other VMs of a small fleet are told, and nobody is asked', async (t) => {
+test('in a small fleet all other VMs are told of a prompt, and none is asked', async (t) => {
   const { countCalls, find, told } = buildFleet(3);
   t.is(await find(0).reservePrompt('i-1', 8200), 0);
   t.is(countCalls(), 0);
@@ -43,10 +45,10 @@
   t.deepEqual(told, ['vm-1 i-1 8200', 'vm-2 i-1 8200']);
 });
 
-// Symptom: one prompt in eight waits behind another one, with 84 engines of which most are idle.
-// Sequence: two of 60 VMs find the same engine idle within a tenth of a second.
-// Cause: telling all VMs costs too much there, and nobody told anyone.
-test('in a large fleet the second VM that wants a server learns of the first', async (t) => {
+// Guards against prompts that wait for each other in a large fleet. Two of 60 VMs found the same
+// engine idle within a tenth of a second, because broadcasts cost too much there. One prompt in
+// eight waited behind another one, while most of 84 engines were idle.
+test('in a large fleet the second VM that reserves a server learns of the first', async (t) => {
   const { countCalls, find, told } = buildFleet(60);
   let seen = 0;
   for (let server = 0; server < 84; server += 1) {
@@ -54,19 +56,19 @@
     const others = await find((server + 7) % 60).reservePrompt(`i-${server}`, 4000);
     seen += Number(others > 0);
   }
-  // The VM that keeps a server's places does not ask: its own prompts are known to it.
+  // The owner of a server does not ask: it knows its own prompts.
   t.true(seen >= 78, `${seen} of 84`);
   t.true(countCalls() <= 2 * 84);
   find(0).tellPrompt('i-1', 8200);
   t.deepEqual(told, []);
 });
 
-test('a VM that does not answer holds no prompt up', async (t) => {
+test('a VM that does not respond delays no prompt', async (t) => {
   const { find } = buildFleet(60, () => true);
   t.is(await find(0).reservePrompt('i-1', 8200), 0);
 });
 
-test('a VM that is alone asks and tells nobody', async (t) => {
+test('the only VM of a fleet makes no calls', async (t) => {
   const { countCalls, find } = buildFleet(1);
   find(0).tellPrompt('i-1', 8200);
   t.is(await find(0).reservePrompt('i-1', 8200), 0);
--- a/src/application/forwarding/createQuarantineRows/index.ts
+++ b/src/application/forwarding/createQuarantineRows/index.ts
@@ -3,39 +3,42 @@
 import { startLoop } from '../../time';
 import type { CrashHistory } from '../createCrashHistory';
 
-/** What rows of quarantines need. */
+/** Dependencies of the quarantine rows. */
 export interface QuarantineRowsDependencies {
   readonly table: string;
   readonly store: Pick<RowSource, 'readRows'> & RowWriter;
   readonly crashes: Pick<CrashHistory, 'findQuarantine' | 'mergeOutcome'>;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Rows of requests that crashed nothing for this long are removed. */
+  /** Rows whose last crash is older than this are removed. */
   readonly retentionMs: number;
 }
 
-/** Keeps quarantines in the shared store, for processes that all end at the same moment. */
+/** Persists quarantines in the shared store, so that they survive if all processes end at once. */
 export interface QuarantineRows {
-  /** Reads what was written before this process started. */
+  /** Reads the quarantines that were written before this process started. */
   startRead(): void;
-  /** Writes a quarantine that began here, unless it is void a moment later. */
+  /** Writes a quarantine that this VM began, unless it is lifted shortly after. */
   startWrite(fingerprint: string): void;
-  /** Writes those again that this process wrote, as the store may have lost them. */
+  /** Writes this process's quarantines again, as the store may have lost them. */
   startRewrite(): void;
   stop(): void;
 }
 
-/** By then a server that only reset a connection has answered something else. */
+/**
+ * Delay before a quarantine is written: by then a server that only reset a connection has answered
+ * another request.
+ */
 const CONFIRM_DELAY_MS = 500;
 
-/** Time between two tries of a call that failed. */
+/** Time between two attempts of a failed call. */
 const RETRY_MS = 1000;
 const MAX_ATTEMPTS = 30;
 
-/** Rows removed at a time: the rest waits for the next start of a VM. */
+/** Maximum number of rows removed at once; the next VM that starts removes more. */
 const MAX_REMOVED_ROWS = 100;
 
-/** Creates what keeps quarantines in a table of the shared store. */
+/** Creates the quarantine rows in a table of the shared store. */
 export const createQuarantineRows = ({
   clock,
   crashes,
@@ -47,7 +50,7 @@
   const stops = new Set<() => void>();
   const written = new Set<string>();
 
-  /** Repeats a call until it works; `runOnce` returns why it did not, or null. */
+  /** Retries a call until it succeeds; `runOnce` resolves with the reason of a failure, or null. */
   const startWithRetries = (
     call: string,
     firstDelayMs: number,
@@ -73,7 +76,7 @@
     stops.add(stop);
   };
 
-  /** Takes a row; false if it is too old to be kept. */
+  /** Merges a row into the crash history; returns false if the row is too old to be kept. */
   const mergeRow = ({ key, value }: SharedRow): boolean => {
     const read = decodeQuarantine(key, value ?? Buffer.alloc(0));
     if (read.isErr()) {
--- a/src/application/forwarding/createQuarantineRows/test.ts
+++ b/src/application/forwarding/createQuarantineRows/test.ts
@@ -38,7 +38,7 @@
   return { clock, merged, quarantined, readKeys, rows, store, write };
 };
 
-test('a quarantine is written with the age of its last crash', async (t) => {
+test('writes a quarantine with the time of its last crash', async (t) => {
   const { clock, rows, store } = setUp();
   rows.startWrite('f');
   await clock.advanceAsync(500);
@@ -50,7 +50,7 @@
   t.is(lastCrashAtMs, clock.readWallMs() - 110);
 });
 
-test('one that proves void a moment later is not written', async (t) => {
+test('does not write a quarantine that is lifted shortly after', async (t) => {
   const { clock, quarantined, readKeys, rows } = setUp();
   rows.startWrite('f');
   quarantined.clear();
@@ -58,7 +58,7 @@
   t.deepEqual(await readKeys(), []);
 });
 
-test('a store that is away is asked again until it is back', async (t) => {
+test('retries until the store is available again', async (t) => {
   const { clock, readKeys, rows, store } = setUp();
   store.setSilent(true);
   rows.startWrite('f');
@@ -68,7 +68,7 @@
   t.deepEqual(await readKeys(), ['f']);
 });
 
-test('a new process takes over what is young, and removes what is old', async (t) => {
+test('a new process reads recent quarantines and removes old ones', async (t) => {
   const { clock, merged, readKeys, rows, write } = setUp();
   write('young', 5000);
   write('old', RETENTION_MS);
@@ -82,7 +82,7 @@
   t.deepEqual(await readKeys(), ['young']);
 });
 
-test('a row that can not be read holds up no other one, and stays', async (t) => {
+test('a row that cannot be decoded blocks no other row and is kept', async (t) => {
   const { clock, merged, readKeys, rows, store, write } = setUp();
   store.writeRow('t', 'spoiled', { servers: 7 });
   write('young', 5000);
@@ -92,7 +92,7 @@
   t.deepEqual(await readKeys(), ['spoiled', 'young']);
 });
 
-test('a quarantine is written again when the store came back without it, unless it is over', async (t) => {
+test('writes a quarantine again after the store lost it, unless the quarantine is over', async (t) => {
   const { clock, quarantined, readKeys, rows, store } = setUp();
   rows.startWrite('f');
   await clock.advanceAsync(600);
--- a/src/application/forwarding/createRetryBudget/index.ts
+++ b/src/application/forwarding/createRetryBudget/index.ts
@@ -1,47 +1,48 @@
 import type { Clock } from '../../ports';
 
-/** Bounds of the sends beyond the first of each request, over all VMs. */
+/** Bounds of the retries of all VMs together. */
 export interface RetryBudgetBounds {
   readonly retryRatio: number;
   readonly retryWindowMs: number;
   readonly retryExtra: number;
 }
 
-/** What an allowance needs. */
+/** Dependencies of a retry budget. */
 export interface RetryBudgetDependencies {
   readonly bounds: RetryBudgetBounds;
   readonly clock: Clock;
-  /** VMs that share the bounds. */
+  /** Number of VMs that share the bounds. */
   readonly countVms: () => number;
 }
 
-/** Says which sends beyond the first of each request may be made. */
+/** Limits the retries of requests. */
 export interface RetryBudget {
   recordRequest(service: string): void;
   /**
-   * Takes one send beyond the first, if it is within the bounds.
+   * Takes one retry if the budget allows it.
    *
-   * @param options.part - part of the allowance that may be used for it, 0 to 1; by default all
-   * @param options.least - sends that may be used for it whatever the part, within the allowance
+   * @param options.share - fraction of the budget that may be used, 0 to 1; 1 by default
+   * @param options.minimum - number of retries that may be used whatever the share, within the
+   * budget
    */
   acquireRetry(
     service: string,
     options?: { readonly share?: number; readonly minimum?: number },
   ): boolean;
-  /** Gives one back that did not reach a server. */
+  /** Returns a retry that did not reach a server. */
   releaseRetry(service: string): void;
 }
 
-/** Steps in which a window slides. */
+/** Number of buckets in the sliding window. */
 const WINDOW_BUCKETS = 10;
 
 /**
- * Part of the bounds that is used: VMs know of one another with a delay, and a send that is counted
+ * Fraction of the bounds that is used. VMs know of each other with a delay, and a request counted
  * here at the end of a window may arrive in the next one.
  */
 const USED_FRACTION = 0.9;
 
-/** Requests and repeats of one service, by step of the window. */
+/** Requests and retries of one service, by bucket of the window. */
 interface BucketCounts {
   readonly requests: number[];
   readonly retries: number[];
@@ -49,10 +50,7 @@
 
 const sum = (values: readonly number[]): number => values.reduce((total, one) => total + one, 0);
 
-/**
- * Creates the allowance of this VM: its part of the bounds that all VMs keep together, in a window
- * that slides.
- */
+/** Creates the retry budget of this VM: its share of the bounds of all VMs, in a sliding window. */
 export const createRetryBudget = ({
   bounds,
   clock,
--- a/src/application/forwarding/createRetryBudget/test.ts
+++ b/src/application/forwarding/createRetryBudget/test.ts
@@ -10,7 +10,7 @@
   return count;
 };
 
-test('retries are bounded by the requests of the window and a part of the free ones', (t) => {
+test('retries are bounded by a fraction of recent requests and a share of the extra retries', (t) => {
   const clock = createFakeClock();
   const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 2 });
   for (let index = 0; index < 20; index += 1) allowance.recordRequest('s');
@@ -25,16 +25,15 @@
   );
 });
 
-// Symptom: a service gets more repeats than all VMs together may send.
-// Sequence: many VMs retry at once.
-// Cause: each takes the whole of the free retries for itself.
-test('the free retries are shared by the VMs that are known', (t) => {
+// Guards against exceeding the common bound: if many VMs retry at once, none of them may take all
+// of the extra retries for itself.
+test('the extra retries are shared among the known VMs', (t) => {
   const clock = createFakeClock();
   const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 10 });
   t.false(allowance.acquireRetry('s'));
 });
 
-test('the window slides: old requests and retries are forgotten', (t) => {
+test('old requests and retries leave the sliding window', (t) => {
   const clock = createFakeClock();
   const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
   t.is(
@@ -50,10 +49,9 @@
   );
 });
 
-// Symptom: a run that was stopped to be moved stands still for seconds.
-// Sequence: many runs are moved; all repeats of the window are used; the next ones are refused.
-// Cause: planned repeats use up what lost runs need.
-test('a kind of repeat may be held to a part, and one that reached no server is given back', (t) => {
+// Guards against planned retries that use up the budget of lost runs. When many runs were migrated
+// at once, the last ones got no retry after they had been stopped, and stalled for seconds.
+test('a caller may be limited to a share of the budget, and an unused retry can be released', (t) => {
   const clock = createFakeClock();
   const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
   t.is(
--- a/src/application/forwarding/createRetryLender/index.ts
+++ b/src/application/forwarding/createRetryLender/index.ts
@@ -1,43 +1,46 @@
 import type { EventLog } from '../../ports';
 import type { RetryBudget } from '../createRetryBudget';
 
-/** What a lender needs. */
+/** Dependencies of the retry lender. */
 export interface RetryLenderDependencies {
   readonly retries: RetryBudget;
   readonly log: EventLog;
-  /** Addresses of some other VMs, drawn at random. */
+  /** Picks the addresses of some other VMs at random. */
   readonly pickPeers: (count: number) => readonly string[];
-  /** Asks a VM for one of its repeats; false also if it does not answer in time. */
+  /**
+   * Asks a VM for one of its retries; resolves with false also if the VM does not respond in time.
+   */
   readonly askPeer: (address: string, service: string) => Promise<boolean>;
 }
 
-/** Takes repeats that other VMs have left, and gives them some. */
+/** Borrows unused retries from other VMs, and lends retries to them. */
 export interface RetryLender {
-  /** Takes a repeat: an own one, or one that another VM lends. */
+  /** Takes a retry from this VM's budget, or else borrows one from another VM. */
   acquireRetry(service: string): Promise<boolean>;
-  /** Gives one to another VM; false if this VM may need those that it has left. */
+  /** Lends a retry to another VM; returns false if this VM may need its remaining ones. */
   lendRetry(service: string): boolean;
 }
 
-/** VMs that are asked, one after the other: with half of them able to lend, 7 of 8 borrow. */
+/** VMs that are asked one after the other. If half of all VMs can lend, 7 of 8 attempts succeed. */
 const MAX_ASKED_PEERS = 3;
 
-/** Part of its repeats that a VM uses up for others. */
+/** Fraction of its retry budget that a VM lends to others. */
 const LENT_FRACTION = 0.5;
 
 /**
- * Repeats that a VM lends whatever part of its own they are: with hundreds of VMs each has less than
- * two, and half of that is none. It may borrow itself.
+ * Minimum number of retries that a VM lends, whatever the fraction. With hundreds of VMs each has
+ * less than two retries, and half of that is none. A VM that has lent its retries can borrow
+ * itself.
  */
 const MIN_LENT_RETRIES = 2;
 
 /**
- * Creates the lender of this VM.
+ * Creates the retry lender of this VM.
  *
- * All VMs keep one bound together, each with its part of it. With 60 VMs a part is five repeats in
- * ten seconds, and when an availability zone is lost some VMs need more and most need none: streams
- * stood still for 4.5 to 6.5 s with most of the bound unused. What is lent counts at the VM that lends
- * it, so that the bound holds whatever is known of others.
+ * All VMs keep one bound together, each with its share. With 60 VMs a share is five retries per ten
+ * seconds. When an availability zone fails, some VMs need more and most need none: without lending,
+ * streams stalled for 4.5 to 6.5 s while most of the bound was unused. A lent retry counts at the
+ * VM that lends it, so that the bound holds whatever VMs know of each other.
  */
 export const createRetryLender = ({
   askPeer,
--- a/src/application/forwarding/createRetryLender/test.ts
+++ b/src/application/forwarding/createRetryLender/test.ts
@@ -38,16 +38,15 @@
   return acquired;
 };
 
-// Symptom: streams of some VMs stand still for 4.5 to 6.5 s after a zone was lost.
-// Sequence: 60 VMs; one has ten streams there, most have none.
-// Cause: each VM has a sixtieth of the repeats, two of them, whoever needs them.
-// Before: 2 of 10 repeats; now 10.
-test('a VM that needs more repeats than its part gets those that others have left', async (t) => {
+// Guards against streams that stall for 4.5 to 6.5 s after the loss of a zone. One of 60 VMs has
+// ten streams there and most have none, but each VM has only two retries of its own. Without
+// lending, 2 of 10 retries were granted; with it, all 10.
+test('a VM that needs more retries than its share borrows those that others do not use', async (t) => {
   const { lenders } = setUp(60);
   t.is(await acquireAll(lenders.get('vm-3') as RetryLender, 10), 10);
 });
 
-test('all VMs together never take more than the bound', async (t) => {
+test('all VMs together never exceed the bound', async (t) => {
   const { lenders, names } = setUp(60);
   const taken = await Promise.all(
     names.map((vm) => acquireAll(lenders.get(vm) as RetryLender, 20)),
@@ -57,17 +56,16 @@
   t.true(sum >= 100, `${sum}`);
 });
 
-// Symptom: with hundreds of VMs streams stand still for 4 to 9 s after a server was lost ('no repeat
-// left', 15 attempts in a row), with nine tenths of the shared repeats unused.
-// Sequence: 195 VMs, each with one request in the window; one needs five repeats.
-// Cause: each VM has between one and two repeats, and lent half of them at most, which is none.
-// Before: 1 of 5 repeats; now 5.
-test('VMs that have less than two repeats each lend them all the same', async (t) => {
+// Guards against streams that stall for 4 to 9 s after the loss of a server in large fleets ('no
+// repeat left' 15 times in a row, with nine tenths of the shared retries unused). Each of 195 VMs
+// has between one and two retries, and half of that, which it would lend, is none. Without the
+// minimum, 1 of 5 retries was granted; with it, all 5.
+test('VMs with less than two retries each still lend them', async (t) => {
   const { lenders } = setUp(195, 1);
   t.is(await acquireAll(lenders.get('vm-3') as RetryLender, 5), 5);
 });
 
-test('195 VMs together never take more than the bound', async (t) => {
+test('195 VMs together never exceed the bound', async (t) => {
   const { lenders, names } = setUp(195, 1);
   const taken = await Promise.all(names.map((vm) => acquireAll(lenders.get(vm) as RetryLender, 6)));
   const sum = taken.reduce((total, one) => total + one, 0);
--- a/src/application/forwarding/createRouteTableHolder/index.ts
+++ b/src/application/forwarding/createRouteTableHolder/index.ts
@@ -2,25 +2,25 @@
 import type { RouteTable } from '../../../domain/forwarding';
 import type { EventLog, SharedRow } from '../../ports';
 
-/** What a holder needs. */
+/** Dependencies of the route table holder. */
 export interface RouteTableHolderDependencies {
-  /** Key of the row that has the configuration. */
+  /** Key of the row that holds the configuration. */
   readonly key: string;
   readonly decode: (value: Buffer) => Result<RouteTable, string>;
   readonly log: EventLog;
 }
 
-/** Holds the configuration in force. */
+/** Holds the current configuration. */
 export interface RouteTableHolder {
-  /** Null before the first one is known. */
+  /** The current configuration; null before the first one is known. */
   readCurrent(): RouteTable | null;
   applyRows(rows: readonly SharedRow[]): void;
   addListener(listener: (table: RouteTable) => void): void;
 }
 
 /**
- * Creates the holder of the configuration. Its version never goes down within a process; a row
- * that can't be decoded leaves the one before in force.
+ * Creates the holder of the configuration. Its version never decreases within a process. A row that
+ * cannot be decoded leaves the current configuration in force.
  */
 export const createRouteTableHolder = ({
   decode,
--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -5,36 +5,39 @@
 import { startServerWork } from '../_lib/startServerWork';
 import type { ServerDirectory, SuspicionCause } from '../types';
 
-/** What a directory needs. */
+/** Dependencies of the server directory. */
 export interface ServerDirectoryDependencies extends ServerRecordsDependencies {
-  /** How long an address stays with its service after a server's end. */
+  /** How long an address stays with its service after the server has ended. */
   readonly reuseAfterMs: number;
   /** Called when this VM itself begins to suspect a server. */
   readonly handleSuspected: (id: string, cause: SuspicionCause) => void;
-  /** Called when this VM itself met a server that has no entry yet. */
+  /** Called when this VM itself discovers a server that has no entry yet. */
   readonly handleInferred: (entry: ServerEntry) => void;
 }
 
-/** For this long an answer to this VM weighs more than what another VM says. */
+/** For this long, a response to this VM outweighs a suspicion that another VM reports. */
 const OWN_OBSERVATION_TTL_MS = 200;
 
-/** What was on its way when a server ended may be read this much later. */
+/** Data that was in transit when a server ended may be read this much later. */
 const LATE_DATA_MS = 250;
 
-/** First time for which a failed server gets work only if all others failed too; it doubles. */
+/**
+ * Duration of the first suspicion, during which the server gets work only if all others failed too.
+ * It doubles with every further suspicion.
+ */
 const MIN_SUSPICION_MS = 1000;
 const MAX_SUSPICION_MS = 8000;
 
-/** A server without an entry is asked for its id when it has not answered for this long. */
+/** The id of a server without an entry is checked when it has not answered for this long. */
 const INFERRED_CHECK_AFTER_MS = 2000;
 
-/** A server without an entry that has not answered for this long takes no new work. */
+/** A server without an entry that has not answered for this long gets no new work. */
 const INFERRED_TTL_MS = 6000;
 
 /**
- * A prompt that another VM sent counts for this long: reports, which are some hundred milliseconds
- * old, show it from then on. Of the prompts that met another one on the platform, nine in ten came
- * within 190 ms after it.
+ * How long a prompt of another VM counts. Afterwards reports, which are some hundred milliseconds
+ * old, include it. Of the prompts that met another one on the platform, nine in ten came within 190
+ * ms after it.
  */
 const PEER_PROMPT_TTL_MS = 400;
 
@@ -143,9 +146,9 @@
       const record = records.find(id);
       if (!record) return;
       const nowMs = clock.readMonotonicMs();
-      // Several attempts that fail at once are one failure.
+      // Attempts that fail at the same time count as one failure.
       if (record.suspectedUntilMs > nowMs) return;
-      // Another VM's path to a server may be cut: what this VM saw itself just now goes first.
+      // Another VM may be cut off from the server: recent responses to this VM take precedence.
       const isReportedByPeer = cause === 'told';
       if (isReportedByPeer && nowMs - record.aliveAtMs < OWN_OBSERVATION_TTL_MS) return;
       const holdMs = Math.min(
--- a/src/application/forwarding/createServerDirectory/test.ts
+++ b/src/application/forwarding/createServerDirectory/test.ts
@@ -5,7 +5,7 @@
   STORE,
 } from '../../../../standins/fakes';
 
-test('a server that leaves, or whose entry is removed, takes no new work', (t) => {
+test('a server that is leaving, or whose entry is removed, gets no new work', (t) => {
   const { directory, gone, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1'), buildRow('b', 'x:2')], STORE);
   t.deepEqual(listIds(), ['a', 'b']);
@@ -17,10 +17,10 @@
   t.deepEqual(gone, ['b']);
 });
 
-// Symptom: after an outage of the store no server is left, although all of them serve.
-// Sequence: entries lapse while the store is down; it returns; the servers write them anew.
-// Cause: an entry that is missing is taken for a server that is gone.
-test('an entry that lapsed in an outage counts until it should be back, then is gone', (t) => {
+// Guards against losing all servers after a store outage. Entries expire while the store is down,
+// and the servers write them again once it is back. Until then a missing entry does not mean that
+// the server is gone.
+test('a server whose entry expired in a store outage counts until the grace period ends', (t) => {
   const { clock, directory, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1'), buildRow('b', 'x:2')], STORE);
   const info = {
@@ -36,7 +36,7 @@
   t.deepEqual(listIds(), ['a']);
 });
 
-test('a new server at an address proves that the one before has ended', (t) => {
+test('a new server at an address replaces the previous one', (t) => {
   const { directory, gone, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.applyRows([buildRow('b', 'x:1')], STORE);
@@ -44,12 +44,12 @@
   t.deepEqual(gone, ['a']);
 });
 
-test('a failed server is suspected for a time that doubles, until it answers', (t) => {
+test('the suspicion of a failed server doubles in length until the server answers', (t) => {
   const { clock, directory, suspected } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.recordSuspicion('a', 'not-connected');
   t.false(directory.isHealthy('a'));
-  // Attempts that fail together are one failure.
+  // Attempts that fail together count as one failure.
   directory.recordSuspicion('a', 'broken');
   clock.advance(1000);
   t.true(directory.isHealthy('a'));
@@ -61,10 +61,9 @@
   t.deepEqual(suspected, ['a', 'a']);
 });
 
-// Symptom: a VM that is cut off makes all others avoid sound servers.
-// Sequence: it suspects every server, and says so; the others have just had answers of them.
-// Cause: what another VM says weighs as much as what a VM saw itself.
-test('what another VM says does not outweigh an answer that this VM just had', (t) => {
+// Guards against a cut-off VM whose suspicions make all others avoid healthy servers: the other VMs
+// have just received responses from these servers.
+test('a suspicion of another VM does not outweigh a recent response to this VM', (t) => {
   const { clock, directory, suspected } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.recordSuccess('a');
@@ -95,11 +94,10 @@
   t.is(read()?.copies, 0);
 });
 
-// Symptom: 41 lookups fail in four seconds because one server is silent, up to nine on one VM.
-// Sequence: the time of its suspicion is over; all calls of the next moments go to it, as it is the
-// least loaded; each waits for a connection that is never made.
-// Cause: a server that failed counts as sound again before anything has shown that it is.
-test('a server whose suspicion is over gets one request until it has answered', (t) => {
+// Guards against sending many calls to a server that is still silent. When its suspicion ended, all
+// calls of the next moments went to it as the least loaded server, and waited for a connection in
+// vain: 41 lookups failed in four seconds, up to nine on one VM.
+test('a server whose suspicion has ended gets one request until it has answered', (t) => {
   const { clock, directory } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   const isSuspected = (): boolean | undefined => directory.listServing('s')[0]?.isSuspected;
--- a/src/application/forwarding/types/CallerReply.ts
+++ b/src/application/forwarding/types/CallerReply.ts
@@ -1,40 +1,40 @@
 import type { AnswerHead } from '../../../domain/forwarding';
 
-/** Why a request got no answer of a server. Adapters turn it into a status. */
+/** Why a request got no response from a server. Adapters map each kind to a status code. */
 export type RefusalKind =
-  /** Nothing ran and nothing will: the caller may come back. */
+  /** Nothing ran and nothing will run: the caller may retry. */
   | 'not-run'
   | 'unknown-route'
   | 'unknown-key'
-  /** It may have run; no answer came. */
+  /** The request may have run, but no response came. */
   | 'lost'
   | 'deadline-passed';
 
-/** An answer of this process's own. */
+/** A response that this process writes itself. */
 export interface Refusal {
   readonly kind: RefusalKind;
   readonly reason: string;
-  /** When to come back; 0 says nothing. */
+  /** When the caller may retry; 0 states no time. */
   readonly retryAfterMs: number;
 }
 
-/** The answer to one caller. */
+/** The response to one caller. */
 export interface CallerReply {
-  /** False once the answer has ended, or the caller has left. */
+  /** False once the response has ended or the caller has disconnected. */
   isOpen(): boolean;
-  /** True once the answer's head was sent. */
+  /** True once the response head was sent. */
   hasSentHead(): boolean;
   sendRefusal(refusal: Refusal): void;
-  /** Sends a server's answer, read to its end. */
+  /** Sends a fully buffered response of a server. */
   sendResponse(head: AnswerHead, body: Buffer): void;
-  /** Begins an answer whose body follows in parts. */
+  /** Sends the response head; the body follows in chunks. */
   sendHead(head: AnswerHead): void;
-  /** Sends a part; false asks to wait before the next one. */
+  /** Writes a chunk of the body; returns false if the caller should wait for `waitForDrain`. */
   write(bytes: Buffer): boolean;
   waitForDrain(): Promise<void>;
   end(): void;
-  /** Closes the connection, so that the answer doesn't look whole. */
+  /** Closes the connection, so that the response does not look complete. */
   destroy(): void;
-  /** Aborts when the caller leaves before the answer has ended. */
+  /** Aborts when the caller disconnects before the response has ended. */
   readonly callerLeft: AbortSignal;
 }
--- a/src/application/forwarding/types/ForwardContext.ts
+++ b/src/application/forwarding/types/ForwardContext.ts
@@ -2,21 +2,21 @@
 import type { RequestServers } from '../../rollouts';
 import type { CallerReply } from './CallerReply';
 
-/** One request on its way. */
+/** A request that is being forwarded. */
 export interface ForwardContext {
   readonly request: ForwardedRequest;
   readonly route: Route;
   readonly service: string;
   readonly holder: KeyHolder | null;
-  /** Rank among the requests that wait at a server; 0 is the most urgent. */
+  /** Priority among the requests that wait at a server; 0 is the most urgent. */
   readonly priority: number;
-  /** True: the caller was refused before, and does not come back a second time. */
+  /** True if the caller retries after a refusal. Such a caller does not retry a second time. */
   readonly isReturning: boolean;
-  /** Servers that it may go to. */
+  /** Servers that may serve the request. */
   readonly servers: RequestServers;
   readonly reply: CallerReply;
   /** Monotonic time at which the caller, or the route, stops waiting. */
   readonly deadlineAtMs: number;
-  /** Version of the configuration that admitted it. */
+  /** Version of the configuration under which the request was admitted. */
   readonly version: number;
 }
--- a/src/application/forwarding/types/ForwardingDependencies.ts
+++ b/src/application/forwarding/types/ForwardingDependencies.ts
@@ -9,12 +9,12 @@
 import type { ServerDirectory } from './ServerDirectory';
 import type { ForwardingMeter } from './ForwardingMeter';
 
-/** What forwarding works with. */
+/** Dependencies of forwarding. */
 export interface ForwardingDependencies {
   readonly availabilityZone: string;
   readonly client: ForwardClient;
   readonly clock: Clock;
-  /** Which requests end the servers that run them. */
+  /** Tracks which requests crash the servers that run them. */
   readonly crashes: CrashHistory;
   readonly crashProbe: CrashProbe;
   readonly directory: ServerDirectory;
@@ -27,11 +27,11 @@
   readonly rollouts: Pick<Rollouts, 'openRequest'>;
   readonly lender: RetryLender;
   readonly tables: RouteTableHolder;
-  /** Tells other VMs of a prompt that was sent to a server just now. */
+  /** Tells other VMs that a prompt was just sent to a server. */
   readonly tellPrompt: (server: string, tokens: number) => void;
   /**
-   * Takes a place for a prompt at a server, in fleets that are too large to tell everyone; resolves
-   * with the prompt tokens that others took a place for a moment ago.
+   * Reserves a server for a prompt, in fleets that are too large to broadcast every prompt.
+   * Resolves with the prompt tokens that other VMs reserved a moment ago.
    */
   readonly reservePrompt: (server: string, tokens: number) => Promise<number>;
 }
--- a/src/application/forwarding/types/ForwardingMeter.ts
+++ b/src/application/forwarding/types/ForwardingMeter.ts
@@ -1,6 +1,6 @@
-/** Takes figures of forwarded requests. */
+/** Records metrics of forwarded requests. */
 export interface ForwardingMeter {
   recordRequest(kind: string, outcome: string, durationMs: number): void;
-  /** A stream went on at another server after `pauseMs`. */
+  /** Records a stream that resumed at another server after a pause of `pauseMs`. */
   recordResume(pauseMs: number, source: 'copy' | 'prompt'): void;
 }
--- a/src/application/forwarding/types/ServerDirectory.ts
+++ b/src/application/forwarding/types/ServerDirectory.ts
@@ -4,51 +4,60 @@
 import type { ServerWork, ServerWorkOptions } from '../_lib/startServerWork';
 import type { SuspicionCause } from './SuspicionCause';
 
-/** Knows the backend servers, and what this VM has at each. */
+/** The known backend servers, their health and the work that this VM has at each. */
 export interface ServerDirectory {
   applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
-  /** Servers of a service that may take new work. */
+  /** Lists the servers of a service that accept new work. */
   listServing(service: string): readonly ServerStatus[];
-  /** A server that may take new work; null if it is leaving or gone. */
+  /** Finds a server that accepts new work; null if it is leaving, paused or gone. */
   findServing(id: string): ServerEntry | null;
-  /** True: it is there, stays, and did not fail lately. */
+  /** True if the server accepts new work and is not suspected to have failed. */
   isHealthy(id: string): boolean;
   startWork(id: string, options: ServerWorkOptions): ServerWork;
-  /** Prompt tokens that are known to have been sent to a server and are still to be read. */
+  /** Counts the prompt tokens that are known to be sent to a server and not yet processed. */
   countPendingPrefillTokens(id: string): number;
-  /** Another VM sent a prompt there. */
+  /** Records a prompt that another VM sent to a server. */
   recordPeerPrompt(id: string, tokens: number): void;
-  /** Counts a copy of a run's memory that a server holds; the returned function ends it. */
+  /** Counts a KV cache copy that a server holds; the returned function stops counting it. */
   addCopy(id: string): () => void;
   recordLoad(id: string, load: ServerLoad): void;
-  /** The server said in an answer that it takes no new work. */
+  /** Records that a server announced in a response that it accepts no new work. */
   recordLeaving(id: string): void;
-  /** The server said for how long it wants no request of this VM. */
+  /** Records that a server asked this VM to pause its requests. */
   recordPause(id: string, pauseMs: number): void;
-  /** Its rate limit leaves nothing to this VM for so long: it is not listed meanwhile. */
+  /** Records that a server's rate limit leaves no permit to this VM. It is not listed meanwhile. */
   recordRateLimited(id: string, waitMs: number): void;
   isRateLimited(id: string): boolean;
-  /** Time until the first server of a service that paused, or reached its limit, takes work; 0 if none did. */
+  /**
+   * Time until the first paused or rate-limited server of a service accepts work; 0 if there is
+   * none.
+   */
   readShortestPauseMs(service: string): number;
   recordSuspicion(id: string, cause: SuspicionCause): void;
-  /** The server answered a request under its id. */
+  /** Records that a server answered a request under its own id. */
   recordSuccess(id: string): void;
-  /** The server gave a sign of life under its id: also while it fails requests. */
+  /** Records a sign of life under the server's own id, which includes failed requests. */
   recordAlive(id: string): void;
-  /** Another server has its address now; `successorId` is null where that did not say its id. */
+  /**
+   * Records that another server answers at this server's address. `successorId` is null if that
+   * server did not state its id.
+   */
   recordReplaced(id: string, successorId: string | null): void;
-  /** True: this incarnation (`formatIncarnation`) answered this VM after that time. */
+  /** True if this incarnation (see `formatIncarnation`) answered this VM after that time. */
   hasAnsweredSince(incarnation: string, atMs: number): boolean;
-  /** The server said when it was born; null if it did not. */
+  /** Records the start time that a server stated; null if it stated none. */
   recordStartTime(id: string, bornMs: number | null): void;
-  /** Takes a server that another VM met. */
+  /** Adds a server that another VM discovered. */
   addInferred(entry: ServerEntry): void;
   /**
-   * Servers whose ids are to be asked for: who is at the address of one that failed just now, and is
-   * one without an entry still there?
+   * Lists the servers whose id needs to be checked: recently failed servers, whose address may have
+   * another server now, and servers without an entry, which may be gone.
    */
   listUnverified(): readonly ServerEntry[];
-  /** Servers without an entry; those that have not answered for long are forgotten first. */
+  /**
+   * Forgets servers without an entry that have not answered for long, and returns how many are
+   * left.
+   */
   pruneInferred(): number;
   countServing(): number;
 }
--- a/src/application/forwarding/types/StreamPlacement.ts
+++ b/src/application/forwarding/types/StreamPlacement.ts
@@ -2,24 +2,25 @@
 import type { EventFields } from '../../ports';
 import type { HeldCopy } from './StreamRun';
 
-/** Where the next attempt goes. */
+/** The servers of the next attempt. */
 export interface StreamPlacement {
   readonly server: ServerEntry;
-  /** Copy that it goes on from; null if it reads the prompt. */
+  /** KV cache copy from which the attempt continues; null if the server processes the prompt. */
   readonly copy: HeldCopy | null;
-  /** True: it has the prompt in memory, or goes on from a copy. */
+  /** True if the server has the prompt in its cache or continues from a copy. */
   readonly isPromptCached: boolean;
-  /** Server that gets a copy as the run grows; null if there is none. */
+  /** Server that receives a copy of the KV cache as the run grows; null if there is none. */
   readonly backup: ServerEntry | null;
-  /** True: it has no prompt to read before this one, and room for it. */
+  /** True if the server has no other prompt to process first, and room for this one. */
   readonly isFree: boolean;
-  /** What the prediction rests on, for the log; empty if no report was read. */
+  /** Inputs of the prediction, for the log; empty if no report was read. */
   readonly estimate: EventFields;
   /**
-   * Time that the first event is expected to take: as predicted, or the goal while this VM has seen no
-   * pace; 0 where nobody was asked or the prompt is held. A VM that had just started gave long prompts up in the middle.
+   * Expected time to the first event: the prediction, or the latency goal while this VM has seen no
+   * prefill rate; 0 if no server was queried or the prompt is cached. Without the goal as fallback,
+   * a VM that had just started gave up long prompts midway.
    */
   readonly expectedFirstEventMs: number;
-  /** Time to the first event as the servers' reports predict it; null if no report was read. */
+  /** Time to the first event as predicted from the servers' reports; null if no report was read. */
   readonly predictedMs: number | null;
 }
--- a/src/application/forwarding/types/StreamRun.ts
+++ b/src/application/forwarding/types/StreamRun.ts
@@ -9,64 +9,66 @@
 import type { ForwardContext } from './ForwardContext';
 import type { ForwardingDependencies } from './ForwardingDependencies';
 
-/** A copy of the run's KV memory, and which servers it may go on at. */
+/** A copy of the run's KV cache, and the servers that can continue from it. */
 export interface HeldCopy extends KvCopy {
   /** Ids of these servers, the best one first; never empty. */
   readonly holders: readonly [string, ...string[]];
-  /** False: nothing of the run was copied yet, as its memory is only sent from its first event on. */
+  /** False before the run's first event: the server sends its KV cache only from then on. */
   readonly hasData: boolean;
-  /** Ends its count at that server. */
+  /** Stops counting the copy at its server. */
   readonly release: () => void;
 }
 
-/** What belongs to one attempt of a stream outside of the pure state. */
+/** The mutable state of one attempt, besides the pure generation state. */
 export interface StreamAttempt {
   readonly abort: AbortController;
   readonly server: ServerEntry;
   readonly work: ServerWork;
   readonly sentAtMs: number;
-  /** When the server's head came: it has begun to run the request; null before. */
+  /**
+   * When the response head arrived, that is, when the server began to run the request; null before.
+   */
   headAtMs: number | null;
   lastActivityMs: number;
   gaps: GapStatistics;
   hasDeliveredEvent: boolean;
-  /** True: no other prompt was to be read there before this one. */
+  /** True if the server had no other prompt to process before this one. */
   readonly wasServerIdle: boolean;
-  /** Time that the first event is expected to take; 0 if not known. */
+  /** Expected time to the first event; 0 if unknown. */
   readonly expectedFirstEventMs: number;
   stopSilenceWatch: () => void;
   stopCopyWatch: () => void;
-  /** True: it was asked to stop, so that the run goes on elsewhere. */
+  /** True if the server was asked to stop the run, so that it continues elsewhere. */
   isMigrating: boolean;
 }
 
-/** A stream on its way through one or more servers. */
+/** A stream that is forwarded to one or more servers. */
 export interface StreamRun {
   readonly dependencies: ForwardingDependencies;
   readonly context: ForwardContext;
-  /** The same each time that its caller sends it (`computeFingerprint`). */
+  /** Equal for every repetition of the request by its caller (see `computeFingerprint`). */
   readonly fingerprint: string;
   readonly paces: PaceHistory;
   readonly overload: OverloadTracker;
   readonly attempts: Map<number, StreamAttempt>;
   readonly readState: () => GenerationState;
   readonly dispatch: (input: GenerationInput) => void;
-  /** True once its caller has the end, or has left. */
+  /** True once the caller has the complete response or has disconnected. */
   readonly isEnded: () => boolean;
   /** Ends a run of which nothing was sent to any server. */
   readonly refuse: (refusal: Refusal) => void;
-  /** Copy from which the next attempt may go on. */
+  /** Copy from which the next attempt may continue. */
   copy: HeldCopy | null;
-  /** Attempts that read the prompt. */
+  /** Attempts that processed the prompt. */
   prefillAttempts: number;
-  /** Attempts that reached a server: the next one that does counts as a repeat. */
+  /** Attempts that reached a server. Every further one counts as a retry. */
   arrivedAttempts: number;
-  /** True: the next attempt's repeat was acquired already. */
+  /** True if the retry of the next attempt was acquired already. */
   hasReservedRetry: boolean;
-  /** When the newest event was handed on; null before the first one. */
+  /** When the newest event was forwarded; null before the first one. */
   lastEventAtMs: number | null;
   /** Longest time between two events so far. */
   longestPauseMs: number;
-  /** A server's own failure, handed on if nothing better comes. */
+  /** A server's error response, forwarded if no later attempt succeeds. */
   failedResponse: { readonly head: AnswerHead; readonly body: Buffer } | null;
 }
--- a/src/application/forwarding/types/SuspicionCause.ts
+++ b/src/application/forwarding/types/SuspicionCause.ts
@@ -1,2 +1,2 @@
-/** Why a server is believed to have failed. */
+/** Why a server is suspected to have failed. */
 export type SuspicionCause = 'not-connected' | 'broken' | 'silent' | 'failing' | 'told';
