--- a/src/application/forwarding/_lib/buildQuarantineRefusal/index.ts
+++ b/src/application/forwarding/_lib/buildQuarantineRefusal/index.ts
@@ -1,10 +1,10 @@
 import type { Refusal } from '../../types';
 
 /**
- * Builds the answer to a request that is not sent on, as servers ended under it.
+ * Builds the refusal of a request that is not forwarded any more because it crashed servers.
  *
- * @param options.quarantineMs - how much longer it is in quarantine
- * @param options.hasArrived - true: a server may have begun to run it
+ * @param options.quarantineMs - remaining time of the quarantine
+ * @param options.hasArrived - true if a server may have begun to run the request
  */
 export const buildQuarantineRefusal = ({
   hasArrived,
@@ -14,6 +14,6 @@
   readonly quarantineMs: number;
 }): Refusal => ({
   kind: hasArrived ? 'lost' : 'not-run',
-  reason: 'servers ended under this request: it is not sent to others',
+  reason: 'the request is in quarantine: it crashed several servers',
   retryAfterMs: hasArrived ? 0 : quarantineMs,
 });
--- a/src/application/forwarding/_lib/buildServerRecord/index.ts
+++ b/src/application/forwarding/_lib/buildServerRecord/index.ts
@@ -6,36 +6,36 @@
   readonly receivedAtMs: number;
 }
 
-/** What this VM holds of one server. */
+/** The state that this VM keeps of one server. */
 export interface ServerRecord {
   entry: ServerEntry;
   running: number;
   prefillTokens: number;
-  /** Prompts that other VMs sent there a moment ago. */
+  /** Prompts that other VMs sent to the server a moment ago. */
   peerPrompts: readonly PeerPrompt[];
   copies: number;
   load: ServerLoad | null;
   loadAtMs: number;
   suspectedUntilMs: number;
-  /** When it last answered this VM under its id. */
+  /** When the server last answered this VM under its own id. */
   aliveAtMs: number;
-  /** Suspicions in a row, without an answer in between. */
+  /** Suspicions in a row without a successful response in between. */
   consecutiveSuspicions: number;
-  /** Requests under way that were sent after a suspicion, and have shown nothing yet. */
+  /** Requests in progress that were sent after a suspicion and have no outcome yet. */
   probeRequests: number;
-  /** When it counts as gone; infinite while its entry is there. */
+  /** When the server counts as gone; infinite while it has an entry. */
   goneAtMs: number;
-  /** True: it was met at the address of a server that ended, and has no entry yet. */
+  /** True if the server was found at the address of a server that ended, and has no entry yet. */
   isInferred: boolean;
-  /** Until then it wants no request of this VM. */
+  /** Until then the server wants no requests from this VM. */
   pausedUntilMs: number;
-  /** Until then its rate limit leaves nothing to this VM. */
+  /** Until then the server's rate limit leaves no permit to this VM. */
   rateLimitedUntilMs: number;
-  /** Called when the server is surely not the one any more that the work was sent to. */
+  /** Called once the server process that the work was sent to has surely ended. */
   readonly lossHandlers: Set<() => void>;
 }
 
-/** Builds the record of a server that is new here. */
+/** Builds the record of a newly known server. */
 export const buildServerRecord = (entry: ServerEntry): ServerRecord => ({
   entry,
   running: 0,
--- a/src/application/forwarding/_lib/buildServerStatus/index.ts
+++ b/src/application/forwarding/_lib/buildServerStatus/index.ts
@@ -1,10 +1,10 @@
 import type { ServerStatus } from '../../../../domain/forwarding';
 import type { ServerRecord } from '../buildServerRecord';
 
-/** Age up to which a reported load counts. */
+/** Maximum age of a reported load. */
 const LOAD_AGE_MS = 1000;
 
-/** Builds what choices see of a server. */
+/** Builds the view of a server that server selection works with. */
 export const buildServerStatus = (record: ServerRecord, nowMs: number): ServerStatus => {
   const { load } = record;
   const isFresh = load !== null && nowMs - record.loadAtMs < LOAD_AGE_MS;
@@ -14,7 +14,8 @@
     prefillTokens: record.prefillTokens,
     copies: record.copies,
     reported: isFresh ? load.running + load.waiting : 0,
-    // One request shows whether it is sound again: the others wait for that elsewhere.
+    // As in a half-open circuit breaker, one request tests the server; others go elsewhere
+    // meanwhile.
     isSuspected: record.suspectedUntilMs > nowMs || record.probeRequests > 0,
   };
 };
--- a/src/application/forwarding/_lib/checkStreamStart/index.ts
+++ b/src/application/forwarding/_lib/checkStreamStart/index.ts
@@ -8,7 +8,7 @@
 import { estimateRunPrefill } from '../estimateRunPrefill';
 import { logDecision } from '../logDecision';
 
-/** Decides whether a new stream is begun; returns why it is refused, or null. */
+/** Decides whether a new stream is admitted; returns the refusal, or null. */
 export const checkStreamStart = (run: StreamRun, placement: StreamPlacement): Refusal | null => {
   const { context, dependencies, overload } = run;
   const { isPromptCached, isFree, predictedMs } = placement;
@@ -17,13 +17,13 @@
   const draw = dependencies.randomness.readFraction();
   const overloadMs = overload.readOverloadMs(context.service);
   const decide = (): StreamDecision => {
-    // Who has part of an answer waits for the rest of it: late is better than refused.
+    // A caller that has part of the response waits for the rest: late is better than refused.
     const hasBegun = context.request.lastEventId !== null;
     if (predictedMs === null || isPromptCached || hasBegun) {
       const prefillMs = estimateRunPrefill(run).ownMs;
       const hasTime = isPromptCached || hasTimeToRead({ leftMs, latencyGoalMs, prefillMs });
       if (hasTime) return { kind: 'send' };
-      const reason = 'less time is left than the prompt takes to read';
+      const reason = 'the prompt takes longer to process than the time left';
       const returnMs = computeReturnMs({ waitMs: 0, outageMs: overloadMs, leftMs, draw });
       return { kind: 'refuse', reason, returnMs };
     }
--- a/src/application/forwarding/_lib/checkStreamStart/test.ts
+++ b/src/application/forwarding/_lib/checkStreamStart/test.ts
@@ -4,7 +4,7 @@
 import { createOverloadTracker } from '../createOverloadTracker';
 import { checkStreamStart } from '.';
 
-/** A stream that is to be begun, its caller holding events up to `lastEventId`. */
+/** A stream to be started, whose caller has received events up to `lastEventId`. */
 const build = (lastEventId: number | null): StreamRun => {
   const clock = createFakeClock();
   return {
@@ -32,16 +32,16 @@
   predictedMs: 6000,
 };
 
-test('a new stream that can not begin within its goal is refused, and told when to come back', (t) => {
+test('a new stream that cannot start within its latency goal is refused with a retry time', (t) => {
   const refusal = checkStreamStart(build(null), PLACEMENT);
   t.is(refusal?.kind, 'not-run');
   t.is(refusal?.retryAfterMs, 6000);
   t.is(checkStreamStart(build(null), { ...PLACEMENT, predictedMs: 2000 }), null);
 });
 
-// Symptom: callers whose VM was lost in mid-answer are refused under load, and lose the whole answer.
-// Sequence: they come back with the events that they have, once, while queues are long.
-// Cause: they were weighed by the goal for a first event, which they had long ago.
-test('a caller that has part of its answer is not refused for the goal', (t) => {
+// Guards against refusing callers under load that already have part of their response. When a VM is
+// lost mid-response, its callers retry once with the events that they have. They must not be judged
+// by the goal for a first event, which they received long ago.
+test('a caller that has part of its response is not refused for the latency goal', (t) => {
   t.is(checkStreamStart(build(7), PLACEMENT), null);
 });
--- a/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
@@ -11,24 +11,28 @@
 import { keepsBackups } from '../keepsBackups';
 import { pickServer } from '../pickServer';
 
-/** Servers asked before a prompt is sent: as many for the run as for its copy. */
+/** Servers queried before a prompt is sent: half of them for the run, half for its copy. */
 const QUERIED_SERVERS = 4;
 
-/** Rounds in which servers are asked, while none of them answers or all are busy. */
+/** Rounds of queries while no server responds or all are busy. */
 const MAX_QUERY_ROUNDS = 3;
 
 /**
- * Servers asked, all at once, where the caller has part of its answer: the one that ran it before has
- * the prompt in memory, and goes on within 0.1 to 0.3 s where reading it anew takes 1 to 2 s. Runs move
- * between servers, so that it is not always among the first by rank: with four asked, 9 of 44 callers
- * that came back after their VM was lost were led to it (two days of 13 servers).
+ * Servers queried at once if the caller has part of the response. The server that ran the stream
+ * before has the prompt cached and continues within 0.1 to 0.3 s, while processing the prompt again
+ * takes 1 to 2 s. Runs move between servers, so this server is not always among the first by rank:
+ * with four queries, only 9 of 44 callers that came back after the loss of their VM reached it (two
+ * days with 13 servers).
  */
 const QUERIED_SERVERS_ON_RESUME = 12;
 
-/** Places that are taken for a prompt, one after the other, at the most. */
+/** Maximum number of reservations for one prompt, one after the other. */
 const MAX_RESERVATION_ATTEMPTS = 3;
 
-/** A server that stopped a run itself was not at fault: it is no less fit than before. */
+/**
+ * Finds a server that can continue from the copy. Servers that stopped the run themselves did not
+ * fail, so they are not excluded.
+ */
 const findCopyHolder = ({ context, copy, dependencies }: StreamRun): ServerEntry | null => {
   if (!copy?.hasData) return null;
   const { directory } = dependencies;
@@ -40,7 +44,7 @@
   return servers.find(({ id }) => directory.isHealthy(id)) ?? servers[0] ?? null;
 };
 
-/** Builds a choice for which nobody was asked; the copy goes to another zone. */
+/** Builds a placement without querying servers. The backup is in another availability zone. */
 const buildUnqueriedPlacement = (
   run: StreamRun,
   server: ServerEntry,
@@ -70,8 +74,8 @@
 };
 
 /**
- * Chooses by what is known from before. A VM that is slow or cut off for a moment gets no answer in
- * time from anyone: refusing then would be a refusal while servers are free.
+ * Chooses by previously known state. A VM that is slow or cut off for a moment gets no response in
+ * time from any server: refusing then would refuse requests while servers are free.
  */
 const chooseWithoutReports = (
   run: StreamRun,
@@ -87,7 +91,10 @@
   return status && buildUnqueriedPlacement(run, status.entry, null, excludedIds);
 };
 
-/** Takes a place for the prompt where VMs agree on places; picks anew where others were sooner. */
+/**
+ * Reserves the server for the prompt, in fleets that use reservations; picks again if another VM
+ * reserved the server first.
+ */
 const reservePlacement = async (
   run: StreamRun,
   responding: readonly RespondingServer[],
@@ -107,7 +114,9 @@
   return picked;
 };
 
-/** Servers that the prompt belongs to, whichever VM looks. */
+/**
+ * Ranks the candidates by rendezvous hashing on the prompt, so that every VM queries the same ones.
+ */
 const listCandidates = (
   run: StreamRun,
   excludedIds: ReadonlySet<string>,
@@ -119,11 +128,11 @@
 };
 
 /**
- * Chooses the server of the next attempt, and the one that gets its copy: in another availability
- * zone, as servers of one zone are lost together.
+ * Chooses the server of the next attempt and its backup, which is in another availability zone
+ * because the servers of one zone fail together.
  *
- * A server that holds a copy goes before all others: reading a long prompt anew takes longer than
- * a reader is ready to wait for the next event.
+ * A server that holds a copy is preferred to all others: processing a long prompt again takes
+ * longer than a reader is willing to wait for the next event.
  */
 export const chooseStreamPlacement = async (
   run: StreamRun,
@@ -142,7 +151,8 @@
     candidates.forEach(({ entry }) => queriedIds.add(entry.id));
     const answers = await queryServers(run, candidates);
     responding.push(...answers);
-    // Those that answered are asked what they hold: one that fell silent would hold this up.
+    // Only servers that responded are asked for cached prompts: a silent server would delay the
+    // choice.
     const promptHolder = hasEvents ? await findPromptHolder(run, answers) : null;
     picked = pickServer(run, responding, promptHolder);
   }
--- a/src/application/forwarding/_lib/chooseStreamPlacement/test.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/test.ts
@@ -11,7 +11,9 @@
 
 const IDS = Array.from({ length: 12 }, (_, index) => `i-${index}`);
 
-/** A stream whose caller has some events, before servers of which one holds the prompt. */
+/**
+ * A stream whose caller has events up to `offset`, and servers of which one has the prompt cached.
+ */
 const build = (holder: string, offset: number) => {
   const clock = createFakeClock();
   const directory = createModelDirectory(clock, IDS);
@@ -50,12 +52,11 @@
   return { asked, run };
 };
 
-// Symptom: when VMs are lost, the streams that come back pause for 1 to 2 s, and prompts of whole bursts
-// are read again.
-// Sequence: runs have moved between servers; the caller comes back through another VM, which asks the
-// four servers that the prompt belongs to by rank; the one that ran it last is not among them.
-// Cause: the rank says where a prompt was sent first, not where its run ended up.
-test('whichever of twelve servers still holds the prompt is found for a caller that comes back', async (t) => {
+// Guards against processing prompts again for resumed streams. After the loss of a VM, callers come
+// back through other VMs. The rank says where a prompt was sent first, but runs move between
+// servers: with four queries the server that ran the stream last was often missed, and streams
+// paused for 1 to 2 s.
+test('finds the server that has the prompt cached, among twelve, for a resumed stream', async (t) => {
   for (const holder of IDS) {
     const { run } = build(holder, 5);
     const chosen = await chooseStreamPlacement(run, new Set());
@@ -65,7 +66,7 @@
   }
 });
 
-test('a new prompt asks four servers', async (t) => {
+test('queries four servers for a new prompt', async (t) => {
   const { asked, run } = build('i-3', 0);
   t.false((await chooseStreamPlacement(run, new Set()))?.isPromptCached);
   t.is(asked.length, 4);
--- a/src/application/forwarding/_lib/closeStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/closeStreamAttempt/index.ts
@@ -1,6 +1,6 @@
 import type { StreamRun } from '../../types';
 
-/** Closes an attempt: its connection ends at once, and with it the run at its server. */
+/** Closes an attempt and its connection, which also ends the run at the server. */
 export const closeStreamAttempt = (run: StreamRun, attempt: number): void => {
   const openAttempt = run.attempts.get(attempt);
   if (!openAttempt) return;
--- a/src/application/forwarding/_lib/createCallCrashTracker/index.ts
+++ b/src/application/forwarding/_lib/createCallCrashTracker/index.ts
@@ -6,26 +6,26 @@
 import { MAX_CRASHES } from '../../createCrashHistory';
 import type { ForwardContext, ForwardingDependencies } from '../../types';
 
-/** What is known of one call, and of those like it, and the servers that ended. */
+/** Tracks crashes of servers under one call, and under identical calls. */
 export interface CallCrashTracker {
   readFingerprint(): string;
-  /** How much longer the call is in quarantine; 0 if it is not. */
+  /** Remaining time of the call's quarantine; 0 if it is not quarantined. */
   readQuarantineMs(): number;
-  /** True: as many connections ended under this call as servers may end under a request. */
+  /** True if as many connections were lost under this call as a request may crash servers. */
   hasReachedCrashLimit(): boolean;
-  /** The server's connection ended without an answer. */
+  /** Records that the connection to the server was lost before a response. */
   recordCrash(server: ServerEntry): void;
-  /** The server answered, whatever it said. */
+  /** Records that the server responded, with any status. */
   recordResponse(server: ServerEntry): void;
 }
 
-/** Creates what is known of one call; its fingerprint is only computed where it is of use. */
+/** Creates the crash tracker of one call. It computes the fingerprint only when needed. */
 export const createCallCrashTracker = (
   { crashes, crashProbe }: Pick<ForwardingDependencies, 'crashes' | 'crashProbe'>,
   { holder, request }: Pick<ForwardContext, 'holder' | 'request'>,
 ): CallCrashTracker => {
   let fingerprint: string | null = null;
-  /** Connections that ended under this call. */
+  /** Connections that were lost under this call. */
   let brokenConnections = 0;
   const readFingerprint = (): string => {
     fingerprint ??= computeFingerprint(request, holder?.workspace ?? null);
--- a/src/application/forwarding/_lib/createEntryTombstones/index.ts
+++ b/src/application/forwarding/_lib/createEntryTombstones/index.ts
@@ -3,17 +3,17 @@
 
 type EntryVersion = Pick<ServerEntry, 'bornMs' | 'id' | 'sequence'>;
 
-/** The last entries of servers that went, a bounded number of them. */
+/** Tombstones of removed server entries, bounded in number. */
 export interface EntryTombstones {
   add(entry: EntryVersion): void;
-  /** True for an entry that was there before its server went; false if the server wrote it since. */
+  /** True if the entry is not newer than the server's tombstone. */
   has(entry: EntryVersion): boolean;
 }
 
-/** Entries that are remembered; the oldest ones are forgotten. */
+/** Maximum number of tombstones; the oldest ones are dropped first. */
 const MAX_TOMBSTONES = 1000;
 
-/** Creates the memory of entries that went; it is empty. */
+/** Creates an empty set of tombstones. */
 export const createEntryTombstones = (): EntryTombstones => {
   const lastVersionById = createBoundedMap<EntryVersion>(MAX_TOMBSTONES);
   return {
--- a/src/application/forwarding/_lib/createIncarnationSet/index.ts
+++ b/src/application/forwarding/_lib/createIncarnationSet/index.ts
@@ -3,17 +3,17 @@
 
 type Incarnation = Pick<ServerEntry, 'bornMs' | 'id'>;
 
-/** A bounded set of starts of servers. */
+/** A bounded set of server incarnations. */
 export interface IncarnationSet {
   add(incarnation: Incarnation): void;
-  /** True for those that were added, and for older ones of the same id. */
+  /** True for incarnations that were added, and for older ones of the same id. */
   has(incarnation: Incarnation): boolean;
 }
 
-/** Starts of servers that are remembered; the oldest ones are forgotten. */
+/** Maximum number of incarnations; the oldest ones are dropped first. */
 const MAX_INCARNATIONS = 1000;
 
-/** Creates a set of starts of servers; it is empty. */
+/** Creates an empty set of incarnations. */
 export const createIncarnationSet = (): IncarnationSet => {
   const bornMsById = createBoundedMap<number | null>(MAX_INCARNATIONS);
   return {
--- a/src/application/forwarding/_lib/createIncarnationSet/test.ts
+++ b/src/application/forwarding/_lib/createIncarnationSet/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createIncarnationSet } from '.';
 
-test('a start that was added is told from a later one of the same id', (t) => {
+test('distinguishes an added incarnation from a later one of the same id', (t) => {
   const set = createIncarnationSet();
   set.add({ id: 'i-1', bornMs: 1000 });
   t.true(set.has({ id: 'i-1', bornMs: 1000 }));
@@ -10,7 +10,7 @@
   t.false(set.has({ id: 'i-2', bornMs: 1000 }));
 });
 
-test('only the newest thousand are remembered', (t) => {
+test('keeps only the newest thousand incarnations', (t) => {
   const set = createIncarnationSet();
   for (let index = 0; index <= 1000; index += 1) set.add({ id: `i-${index}`, bornMs: null });
   t.false(set.has({ id: 'i-0', bornMs: null }));
--- a/src/application/forwarding/_lib/createOverloadTracker/index.ts
+++ b/src/application/forwarding/_lib/createOverloadTracker/index.ts
@@ -1,14 +1,14 @@
 import type { Clock } from '../../../ports';
 
-/** Knows since when streams of each service can't be begun in time. */
+/** Tracks since when new streams of each service cannot start in time. */
 export interface OverloadTracker {
-  /** Takes whether a new stream of the service could begin within its goal. */
+  /** Records whether a new stream of the service can start within its latency goal. */
   recordAdmission(service: string, isInTime: boolean): void;
-  /** For how long it has been so that some can't, in milliseconds; 0 if all can. */
+  /** Duration of the current overload, in milliseconds; 0 without one. */
   readOverloadMs(service: string): number;
 }
 
-/** Without a stream that was late for this long, the overload is over. */
+/** An overload ends after this time without a late stream. */
 const OVERLOAD_TTL_MS = 1500;
 
 interface Overload {
@@ -16,7 +16,7 @@
   readonly lastLateMs: number;
 }
 
-/** Creates a watch that knows of no overload. */
+/** Creates an overload tracker, with no overload known. */
 export const createOverloadTracker = (clock: Pick<Clock, 'readMonotonicMs'>): OverloadTracker => {
   const overloads = new Map<string, Overload>();
   const find = (service: string): Overload | null => {
--- a/src/application/forwarding/_lib/createOverloadTracker/test.ts
+++ b/src/application/forwarding/_lib/createOverloadTracker/test.ts
@@ -2,7 +2,7 @@
 import { createFakeClock } from '../../../../../standins/fakes';
 import { createOverloadTracker } from '.';
 
-test('an overload lasts from the first stream that is late until none was for a while', (t) => {
+test('an overload lasts from the first late stream until no stream was late for a while', (t) => {
   const clock = createFakeClock();
   const tracker = createOverloadTracker(clock);
   tracker.recordAdmission('s', true);
--- a/src/application/forwarding/_lib/createServerRecords/index.ts
+++ b/src/application/forwarding/_lib/createServerRecords/index.ts
@@ -6,39 +6,39 @@
 import { createIncarnationSet } from '../createIncarnationSet';
 import { buildServerRecord, type ServerRecord } from '../buildServerRecord';
 
-/** What records of servers need. */
+/** Dependencies of the server records. */
 export interface ServerRecordsDependencies {
   readonly decode: (id: string, value: Buffer) => Result<ServerEntry, string>;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Called with the id of a server that is gone, or that started again. */
+  /** Called with the id of a server that is gone or that was restarted. */
   readonly handleGone: (id: string) => void;
 }
 
-/** Knows which servers there are, and tells one start of a server from the next. */
+/** Keeps a record of each known server, and distinguishes its incarnations. */
 export interface ServerRecords {
   find(id: string): ServerRecord | undefined;
   list(): readonly ServerRecord[];
   applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
-  /** Ends a server that surely is not there any more: what runs there is lost. */
+  /** Marks a server as surely ended: its runs are lost. */
   endServer(id: string): void;
-  /** Forgets a server of which nothing is known to say that it ended. */
+  /** Forgets a server without concluding that it ended. */
   forgetServer(id: string): void;
-  /** Adds a server that has no entry yet; false if it is known, or has ended. */
+  /** Adds a server that has no entry yet; returns false if it is known or has ended. */
   addInferred(entry: ServerEntry, source: string): boolean;
-  /** The server said in an answer that it takes no new work. */
+  /** Records that a server announced in a response that it accepts no new work. */
   recordLeaving(id: string): void;
-  /** The server said when it was born; null if it did not. */
+  /** Records the start time that a server stated; null if it stated none. */
   recordStartTime(id: string, bornMs: number | null): void;
 }
 
 /**
- * Entries that lapsed while the store was down are back within two seconds of its return; until a
- * little later, a missing one is not taken for gone.
+ * Grace period for missing entries after a store outage. Entries that expired while the store was
+ * down are written again within two seconds of its return.
  */
 const LAPSED_ENTRY_GRACE_MS = 2200;
 
-/** Creates the records of the backend servers; there are none. */
+/** Creates the server records, with no servers yet. */
 export const createServerRecords = ({
   clock,
   decode,
@@ -46,11 +46,13 @@
   log,
 }: ServerRecordsDependencies): ServerRecords => {
   const records = new Map<string, ServerRecord>();
-  /** Servers that surely ended: late entries do not bring them back. */
+  /** Incarnations that surely ended: late entries do not restore them. */
   const endedIncarnations = createIncarnationSet();
-  /** Servers whose entries went: a copy of the store does not bring them back. */
+  /** Removed entries: a restored copy of the store does not bring them back. */
   const tombstones = createEntryTombstones();
-  /** Servers that said in an answer that they leave: entries that were written before do not count. */
+  /**
+   * Incarnations that announced their leaving in a response; entries written before are overridden.
+   */
   const leavingIncarnations = createIncarnationSet();
 
   const removeIfGone = (id: string, record: ServerRecord): void => {
@@ -61,13 +63,13 @@
     handleGone(id);
   };
 
-  /** From now on the server is gone, unless it is already. */
+  /** Marks a server as gone from now on, unless it is already. */
   const removeRecord = (id: string, record: ServerRecord): void => {
     Object.assign(record, { goneAtMs: Math.min(record.goneAtMs, clock.readMonotonicMs()) });
     removeIfGone(id, record);
   };
 
-  /** Ends a server that surely is not there any more: what runs there is lost. */
+  /** Marks the incarnation as surely ended: its runs are lost. */
   const endIncarnation = (id: string, record: ServerRecord): void => {
     endedIncarnations.add(record.entry);
     removeRecord(id, record);
@@ -88,9 +90,9 @@
   };
 
   /**
-   * A server that starts at the address of another one proves that the other has ended. That is an
-   * entry's word only, which another writer may have written: the other one's runs go on, and its next
-   * entry brings it back.
+   * Adds a record. Any other server with the same address counts as gone. Its runs continue and its
+   * next entry restores it, because the new entry is weak evidence: another writer may have written
+   * it.
    */
   const addRecord = (entry: ServerEntry): ServerRecord => {
     const record = buildServerRecord(entry);
@@ -101,7 +103,7 @@
     return record;
   };
 
-  /** The server started again under its id: all that was believed of the one before is void. */
+  /** Replaces the record of a server that restarted under its id; its previous state is void. */
   const replaceRecord = (previous: ServerRecord, entry: ServerEntry): void => {
     log.warn('server born anew', {
       server: entry.id,
@@ -117,7 +119,7 @@
   const markLeaving = (entry: ServerEntry): ServerEntry =>
     leavingIncarnations.has(entry) ? { ...entry, isLeaving: true } : entry;
 
-  /** True: a copy of the store holds less of the server than is known here. */
+  /** True if a restored copy of the store has an older state of the server than this VM. */
   const isStaleEntry = (entry: ServerEntry): boolean => {
     const known = records.get(entry.id);
     if (!known) return tombstones.has(entry);
@@ -158,7 +160,8 @@
       applyEntry(decoded.value, info);
       return;
     }
-    // Also of a server that was known: whoever wrote this, it names no server to use.
+    // An invalid entry also removes a known server, whoever wrote the entry: no usable address is
+    // left.
     log.error('server entry refused', { server: id, reason: decoded.error });
     const known = records.get(id);
     if (known) removeRecord(id, known);
@@ -202,7 +205,7 @@
       if (!known || bornMs === null) return;
       const entry = { ...known.entry, bornMs };
       if (compareIncarnations(known.entry.bornMs, bornMs) === 'newer') {
-        // The word of the one before is not its own.
+        // The announcement of leaving came from the previous incarnation.
         replaceRecord(known, { ...entry, isLeaving: false });
       } else if (known.entry.bornMs === null) Object.assign(known, { entry });
     },
--- a/src/application/forwarding/_lib/createServerRecords/test.ts
+++ b/src/application/forwarding/_lib/createServerRecords/test.ts
@@ -5,10 +5,10 @@
   STORE,
 } from '../../../../../standins/fakes';
 
-// Symptom: streams of a server go on as if its runs were there, and new ones count them as load.
-// Sequence: a server crashes and starts again under its old id; its entry never went away.
-// Cause: the id alone was taken for the server.
-test('a later birth under the same id voids what was believed, an earlier one changes nothing', (t) => {
+// Guards against treating a restarted server as the previous one. A server that crashes and
+// restarts under its old id keeps its entry. By the id alone, its lost runs would seem to continue
+// and would count as load.
+test('a later start time under the same id voids the previous state, an earlier one changes nothing', (t) => {
   const { directory, gone, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1 ready 1000')], STORE);
   let voids = 0;
@@ -36,7 +36,7 @@
   t.deepEqual(listIds(), ['a']);
 });
 
-test('an entry that can not be read names no server to use, also of one that was known', (t) => {
+test('an invalid entry removes the server, also one that was known', (t) => {
   const { directory, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1'), buildRow('b', 'x:2'), buildRow('c', '')], STORE);
   t.deepEqual(listIds(), ['a', 'b']);
@@ -46,11 +46,10 @@
   t.deepEqual(listIds(), ['b', 'a']);
 });
 
-// Symptom: in an outage of the store 1 stream in 5 is served for ten seconds.
-// Sequence: the servers of two zones crash and are back after 1.2 s, under new ids; the store, which
-// alone names these, is away for 8 s.
-// Cause: a server whose address has another id counts as gone, and nobody is known in its place.
-test('a server that is met at the address of one that just answered takes its place', (t) => {
+// Guards against losing restarted servers in a store outage. The servers of two zones crash and
+// restart after 1.2 s under new ids, while the store, which alone has these ids, is down for 8 s.
+// Without the discovered ids, 1 stream in 5 was served for ten seconds.
+test('a server discovered at the address of one that answered lately takes its place', (t) => {
   const { clock, directory, inferred, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.recordSuccess('a');
@@ -58,7 +57,7 @@
   directory.recordReplaced('a', 'b');
   t.deepEqual(listIds(), ['b']);
   t.deepEqual(inferred, ['b']);
-  // Late entries of the one before change nothing.
+  // Late entries of the previous server change nothing.
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   t.deepEqual(listIds(), ['b']);
   clock.advance(5000);
@@ -70,10 +69,9 @@
   t.deepEqual(listIds(), ['b']);
 });
 
-// Symptom: of four servers that crash and restart within 1.2 s only one is met again.
-// Sequence: each is suspected for 1 s; it is back 0.2 s later.
-// Cause: its id was asked for only as long as the suspicion lasted.
-test('the id of a failed server is asked for until its address may be of another service', (t) => {
+// Guards against missing restarted servers: each is suspected for 1 s and is back 0.2 s later. When
+// ids were checked only during the suspicion, one of four restarted servers was discovered.
+test('the id of a failed server is checked until its address may belong to another service', (t) => {
   const { clock, directory } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.recordSuccess('a');
@@ -85,7 +83,7 @@
   t.is(directory.listUnverified().length, 0);
 });
 
-test('nothing is concluded of an address that may be of another service by now', (t) => {
+test('nothing is concluded from an address that may belong to another service', (t) => {
   const { clock, directory, inferred, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1'), buildRow('c', 'x:3')], STORE);
   directory.recordSuccess('a');
@@ -96,7 +94,7 @@
   t.deepEqual(inferred, []);
 });
 
-test('a server without an entry that does not answer any more is forgotten', (t) => {
+test('a server without an entry that stops answering is forgotten', (t) => {
   const { clock, directory, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.recordSuccess('a');
@@ -113,10 +111,9 @@
   t.deepEqual(listIds(), ['b']);
 });
 
-// Symptom: a sound server gets no work any more, and its streams break off.
-// Sequence: another writer's entry names its address.
-// Cause: an entry was taken for proof that the server before it has ended for good.
-test('an entry with the address of a sound server neither breaks its runs nor keeps it away', (t) => {
+// Guards against taking an entry as proof that another server ended. Another writer's entry may
+// name the address of a healthy server, which then lost its streams and got no more work.
+test('an entry with the address of a healthy server neither ends its runs nor blocks its return', (t) => {
   const { directory, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   let voids = 0;
@@ -132,10 +129,10 @@
   t.deepEqual(listIds(), ['a']);
 });
 
-// Symptom: a server that has started again gets nothing until its next entry.
-// Sequence: it says that it leaves, starts again under its old id, and its report says so first.
-// Cause: the word of the start before is kept.
-test('a server that left and started again under its id takes work again', (t) => {
+// Guards against applying a leaving announcement to the next incarnation. A server leaves and
+// restarts under its old id, and this VM learns of the restart from a report. Then the server got
+// no work until its next entry.
+test('a server that left and restarted under its id accepts work again', (t) => {
   const { directory, listIds } = setUp();
   directory.applyRows([buildRow('a', 'x:1 ready 1000')], STORE);
   directory.recordLeaving('a');
--- a/src/application/forwarding/_lib/estimateRunPrefill/index.ts
+++ b/src/application/forwarding/_lib/estimateRunPrefill/index.ts
@@ -2,6 +2,6 @@
 import { estimatePrefill, type PrefillEstimate } from '../../../../domain/detection';
 import type { StreamRun } from '../../types';
 
-/** Estimates how long a run's prompt takes to read, from what this VM saw of its service lately. */
+/** Estimates the prefill time of a run's prompt from recent prefill times of its service. */
 export const estimateRunPrefill = ({ context, paces }: StreamRun): PrefillEstimate =>
   estimatePrefill(paces.listFirstTokens(context.service), countPromptTokens(context.request));
--- a/src/application/forwarding/_lib/findPromptHolder/index.ts
+++ b/src/application/forwarding/_lib/findPromptHolder/index.ts
@@ -1,14 +1,14 @@
 import type { StreamRun } from '../../types';
 import type { RespondingServer } from '../queryServers';
 
-/** Part of a prompt that must be there for a server to go before less busy ones. */
+/** Fraction of the prompt that must be cached for a server to be preferred to less busy ones. */
 const MIN_CACHED_FRACTION = 0.5;
 
 /**
- * Finds the server that still has the prompt of a stream in memory, which a caller resumes through
- * this VM after the connection to another one was lost.
+ * Finds the server that has the prompt of a resumed stream in its cache. The caller resumes the
+ * stream through this VM after it lost the connection to another VM.
  *
- * Without it each caller that comes back costs a whole prompt, read again by another server.
+ * Without this lookup, every resumed stream costs the prefill of a whole prompt at another server.
  */
 export const findPromptHolder = async (
   run: StreamRun,
--- a/src/application/forwarding/_lib/forwardCall/index.ts
+++ b/src/application/forwarding/_lib/forwardCall/index.ts
@@ -6,21 +6,23 @@
 import { logDecision } from '../logDecision';
 import { sendCallAttempt, type BufferedResponse } from '../sendCallAttempt';
 
-/** An attempt of a repeatable call is given up after this many latency goals. */
+/** Timeout of an attempt of a repeatable call, as a multiple of the latency goal. */
 const ATTEMPT_GOAL_FACTOR = 1.5;
 
-/** Shortest time of an attempt: servers answer some requests in five times the usual time. */
+/**
+ * Minimum timeout of an attempt: servers take up to five times the usual time for some requests.
+ */
 const MIN_ATTEMPT_MS = 120;
 
-/** Part of the time left that an attempt may take while another one can follow. */
+/** Fraction of the remaining time that an attempt may take while another attempt can follow. */
 const ATTEMPT_TIME_FRACTION = 0.6;
 
-/** Servers that refuse are not asked again and again while the caller waits. */
+/** Maximum number of servers that may refuse the call while the caller waits. */
 const MAX_REFUSALS = 6;
 
 const RETRY_AFTER_MS = 150;
 
-const RATE_LIMIT_REASON = 'the rate limit of the servers leaves nothing';
+const RATE_LIMIT_REASON = 'all servers have reached their rate limit';
 
 const computeAttemptMs = ({ route }: ForwardContext, leftMs: number, isLast: boolean): number => {
   if (route.kind !== RouteKind.Repeatable || isLast) return leftMs;
@@ -54,7 +56,7 @@
   let startedAttempts = 0;
   let refusals = 0;
   let arrivedAttempts = 0;
-  let lastReason = 'no server takes work';
+  let lastReason = 'no server accepts new work';
 
   for (let attempt = 1; reply.isOpen(); attempt += 1) {
     const leftMs = deadlineAtMs - clock.readMonotonicMs();
@@ -84,7 +86,8 @@
       lastReason = `no retry left after: ${lastReason}`;
       break;
     }
-    // Other VMs may have been asked: time has passed, and the caller may have left.
+    // Asking other VMs took time: the deadline may have passed, or the caller may have
+    // disconnected.
     const remainingMs = deadlineAtMs - clock.readMonotonicMs();
     if (remainingMs <= 1 || !reply.isOpen() || crashes.readQuarantineMs() > 0) {
       permit.release();
@@ -175,7 +178,8 @@
 };
 
 /**
- * Forwards a call: to one server after the other while it surely did not run, or may be repeated.
+ * Forwards a call. It is sent to further servers as long as it surely did not run or may be
+ * repeated.
  *
  * @returns the outcome, for the metrics
  */
--- a/src/application/forwarding/_lib/forwardStream/index.ts
+++ b/src/application/forwarding/_lib/forwardStream/index.ts
@@ -16,7 +16,7 @@
 import { logDecision } from '../logDecision';
 import { refuseQuarantined } from '../refuseQuarantined';
 
-/** How a stream's position and its engines differ from those that number tokens. */
+/** Builds the initial state: the position is an event id instead of a token offset. */
 const buildState = ({ request, route }: ForwardContext) =>
   createGenerationState(
     {
@@ -37,10 +37,11 @@
 });
 
 /**
- * Forwards a stream: it goes on at another server, within the same answer, when its server is lost.
+ * Forwards a stream. If its server is lost, the stream continues at another server within the same
+ * response.
  *
- * The steps are decided by `updateGeneration`, as for engines that number tokens; here the position
- * is an event id, and a run ends with its connection.
+ * `updateGeneration` decides the steps, as for engines that number tokens. Here the position is an
+ * event id, and a run ends with its connection.
  *
  * @returns the outcome, for the metrics
  */
@@ -60,7 +61,7 @@
     let firstEventMs: number | null = null;
     let isEnded = false;
 
-    // Set once the end is defined, which needs the run.
+    // Assigned below: the run and its end depend on each other.
     let refuse: StreamRun['refuse'] = () => undefined;
 
     const run: StreamRun = {
@@ -183,7 +184,7 @@
         else {
           reply.sendRefusal({
             kind: 'deadline-passed',
-            reason: 'no event came before the deadline',
+            reason: 'no event arrived before the deadline',
             retryAfterMs: 0,
           });
         }
@@ -192,7 +193,7 @@
     );
     reply.callerLeft.addEventListener('abort', () => end('left'), { once: true });
     if (refuseQuarantined(run)) return;
-    // Once an answer has begun it can't be refused; what is on its way may still end well.
+    // A response that has begun cannot be refused any more, and the run may still succeed.
     cancelListener = crashes.addListener(run.fingerprint, () => {
       if (!reply.hasSentHead()) refuseQuarantined(run);
     });
--- a/src/application/forwarding/_lib/hasHealthyCopy/index.ts
+++ b/src/application/forwarding/_lib/hasHealthyCopy/index.ts
@@ -1,5 +1,5 @@
 import type { StreamRun } from '../../types';
 
-/** True if a run could go on from a copy now: one of its holders is there, and did not fail lately. */
+/** True if a healthy server holds a copy from which the run can continue. */
 export const hasHealthyCopy = ({ copy, dependencies }: StreamRun): boolean =>
   copy !== null && copy.holders.some(dependencies.directory.isHealthy);
--- a/src/application/forwarding/_lib/keepsBackups/index.ts
+++ b/src/application/forwarding/_lib/keepsBackups/index.ts
@@ -1,7 +1,7 @@
 import type { ServerEntry } from '../../../../domain/forwarding';
 import type { StreamRun } from '../../types';
 
-/** True: this server of the run's service copies its memory to another one as it grows. */
+/** True if this server of the run's service copies its KV cache to a backup as the run grows. */
 export const keepsBackups = (
   { context, dependencies }: StreamRun,
   server: ServerEntry,
--- a/src/application/forwarding/_lib/logDecision/index.ts
+++ b/src/application/forwarding/_lib/logDecision/index.ts
@@ -2,7 +2,7 @@
 import type { EventFields } from '../../../ports';
 import type { ForwardContext, ForwardingDependencies } from '../../types';
 
-/** Writes the line of one decision on a request: its inputs, their versions and the outcome. */
+/** Logs one decision about a request: its inputs, their versions and the outcome. */
 export const logDecision = (
   { clock, log }: ForwardingDependencies,
   context: ForwardContext,
--- a/src/application/forwarding/_lib/migrateRun/index.ts
+++ b/src/application/forwarding/_lib/migrateRun/index.ts
@@ -10,17 +10,18 @@
 import { logDecision } from '../logDecision';
 
 /**
- * Time for the rest of a copy once the run has stopped. It takes 10 ms, and up to 390 ms behind
- * others; what it lacks is read by the next server at eight tokens a millisecond.
+ * Timeout for the remainder of a copy after the run has stopped. The copy takes 10 ms, and up to
+ * 390 ms behind other copies; the next server recomputes what is missing, at eight tokens per
+ * millisecond.
  */
 const FINAL_COPY_TIMEOUT_MS = 60;
 
-/** Part of the repeats that moves may use: the rest is for runs that are lost. */
+/** Fraction of the retry budget that migrations may use; the rest is reserved for lost runs. */
 const MIGRATION_RETRY_FRACTION = 0.6;
 
 const chooseHolder = (run: StreamRun, source: ServerEntry): ServerEntry | null => {
   const { limits, randomness } = run.dependencies;
-  // Where the limit leaves nothing to it, a run that was stopped would stand still.
+  // A stopped run would stall at a server whose rate limit leaves no permit.
   const holders = run.context.servers
     .listHolders(source)
     .filter(({ entry }) => limits.readLimitPerS(entry.id) === null);
@@ -34,8 +35,8 @@
 };
 
 /**
- * Stops a run and copies what is new of it. The run stops at once, while the rest may queue behind
- * other copies: the copy that is there already is enough to go on from.
+ * Stops a run and copies the remainder of its KV cache. The run stops at once, while the remainder
+ * may queue behind other copies: on timeout the first copy is enough to continue from.
  */
 const copyRemainder = (
   { context, dependencies }: StreamRun,
@@ -57,11 +58,12 @@
   });
 
 /**
- * Moves a run to another server, where it gets a copy again: its memory is copied while it goes on,
- * then it is stopped, the rest is copied, and the next attempt goes on from there.
+ * Migrates a run to another server, where it gets a backup again. The KV cache is copied while the
+ * run continues; then the run is stopped, the remainder is copied, and the next attempt continues
+ * from the copy.
  *
- * Without this a run outlives its copy: availability zones are lost one after the other, and a
- * prompt that must be read anew takes longer than a reader waits for the next event.
+ * Without migration a run may outlive its copy when availability zones fail one after the other,
+ * and processing the prompt again takes longer than a reader waits for the next event.
  *
  * @returns whether the run was stopped
  */
@@ -70,9 +72,9 @@
   const { request } = run.context;
   const holder = chooseHolder(run, attempt.server);
   const report = holder && (await client.readReport(holder));
-  // Where memory is scarce a copy takes the place of a run, which is read again for it.
+  // If memory is scarce, a copy would evict another run, whose prompt must then be processed again.
   if (!holder || !report || !hasCopyRoom(report, countNeededTokens(request))) return false;
-  // Before the run is stopped: one that may not be sent again would stand still.
+  // Acquired before the run is stopped: without a retry the stopped run would stall.
   if (!retries.acquireRetry(run.context.service, { share: MIGRATION_RETRY_FRACTION })) return false;
   const lostHolder = run.copy?.holders[0] ?? '';
   const startedAtMs = clock.readMonotonicMs();
@@ -112,7 +114,7 @@
   stoppedAtMs = clock.readMonotonicMs();
   const finalCopy = await copyRemainder(run, attempt, holder, firstCopy.value);
   if (!isCurrent()) {
-    logOutcome('given up meanwhile');
+    logOutcome('attempt replaced');
     return true;
   }
   const copy = finalCopy.isOk() ? finalCopy.value : finalCopy.error.kept;
@@ -122,7 +124,7 @@
     return false;
   }
   run.copy?.release();
-  // The source keeps the memory of a run that it stopped.
+  // The source server keeps the KV cache of a run that it stopped.
   const holders: HeldCopy['holders'] = finalCopy.isOk()
     ? [holder.id, attempt.server.id]
     : [attempt.server.id];
--- a/src/application/forwarding/_lib/openStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/openStreamAttempt/index.ts
@@ -17,7 +17,7 @@
 const OK_STATUS = 200;
 const SERVER_ERROR_STATUS = 500;
 
-/** Counts the prompt tokens that the server has to read before others. */
+/** Counts the prompt tokens that the server has to process. */
 const countPrefillTokens = (run: StreamRun, { copy, isPromptCached }: StreamPlacement): number =>
   copy || isPromptCached ? 0 : countPromptTokens(run.context.request);
 
@@ -34,7 +34,7 @@
     server,
     work: directory.startWork(server.id, {
       prefillTokens: countPrefillTokens(run, placement),
-      // It knows nothing of this run any more, whatever its connection still shows.
+      // The server has lost this run, even if its connection is still open.
       handleLoss: () => run.dispatch({ kind: 'silent', reader, confirmed: true }),
     }),
     sentAtMs: nowMs,
@@ -58,7 +58,7 @@
   copy: HeldCopy | null,
 ): Promise<void> => {
   if (head.isNotRun) {
-    // The rest of the answer is read, so that its connection ends by itself.
+    // The rest of the body is read, so that the connection is released.
     releaseCopy(run, copy, attempt.server.id);
     await readBody(body);
     run.dispatch({ kind: 'not-started', reader, refused: false });
@@ -68,7 +68,12 @@
   const read = head.isGenuine ? await readBody(body) : null;
   if (read?.isOk()) Object.assign(run, { failedResponse: { head, body: read.value } });
   if (read?.isOk() && head.status < SERVER_ERROR_STATUS) {
-    run.dispatch({ kind: 'rejected', reader, status: head.status, message: 'by the server' });
+    run.dispatch({
+      kind: 'rejected',
+      reader,
+      status: head.status,
+      message: 'rejected by the server',
+    });
     return;
   }
   run.dispatch({ kind: 'broken', reader });
@@ -79,7 +84,7 @@
   if (!reply.hasSentHead() && reply.isOpen()) reply.sendHead(head);
 };
 
-/** Sends one attempt of a stream and reads what comes of it. */
+/** Sends one attempt of a stream and reads the response. */
 export const openStreamAttempt = async (
   run: StreamRun,
   opening: OpenAttemptEffect,
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -12,10 +12,10 @@
 import type { RespondingServer } from '../queryServers';
 import { keepsBackups } from '../keepsBackups';
 
-/** What a request needs of a server. */
+/** Resources that a request needs at a server. */
 type RequestNeeds = Pick<ReportedChoiceOptions, 'neededTokens' | 'promptTokens'>;
 
-/** What is known of a choice. */
+/** Inputs of a placement. */
 interface PlacementOptions {
   readonly reported: readonly ReportedServer[];
   readonly needs: RequestNeeds;
@@ -28,15 +28,15 @@
   unreadTokens: run.dependencies.directory.countPendingPrefillTokens(one.entry.id),
 });
 
-/** True: it has no prompt to read before a new one. */
+/** True if the server has no prompt to process before a new one. */
 const isIdle = ({ report, unreadTokens }: ReportedServer): boolean =>
   unreadTokens === 0 && report.waiting + countReadingRuns(report) === 0;
 
-/** True: the run can begin without others having to end. */
+/** True if the run fits into the KV cache without evicting others. */
 const hasRoom = ({ report }: ReportedServer, { neededTokens }: RequestNeeds): boolean =>
   report.kvTotalTokens === 0 || report.kvUsedTokens + neededTokens <= report.kvTotalTokens;
 
-/** The next attempt reads the prompt at the chosen server; another zone's gets the copy. */
+/** Builds the placement of an attempt. The backup is in another availability zone. */
 const buildPlacement = (
   run: StreamRun,
   chosen: ReportedServer,
@@ -63,18 +63,19 @@
       unreadTokens: chosen.unreadTokens,
     },
     predictedMs,
-    // A prompt that is held needs no reading: its silence is no work.
+    // A cached prompt needs no prefill, so that silence is not explained by it.
     expectedFirstEventMs: isPromptCached ? 0 : readingMs,
     backup: keepsBackups(run, chosen.entry) ? (backup?.entry ?? null) : null,
   };
 };
 
 /**
- * Picks the server for a prompt among those that answered, as of now: what this VM sent, or was told
- * of, while they were asked counts. Where all are busy the prediction decides, as what waits there
- * counts, not only how much runs.
+ * Picks the server for a prompt among those that responded. The choice counts the prompts that this
+ * VM sent, or learned of, while the servers were queried. If all servers are busy, the predicted
+ * time to the first event decides, because the waiting prompts matter and not only the running
+ * requests.
  *
- * @param promptHolder - server that has the prompt in memory, which goes before all others
+ * @param promptHolder - server that has the prompt cached, preferred to all others
  */
 export const pickServer = (
   run: StreamRun,
--- a/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
@@ -8,24 +8,30 @@
 import { logDecision } from '../logDecision';
 import { refuseQuarantined } from '../refuseQuarantined';
 
-/** The order to open an attempt. */
+/** The effect that opens an attempt. */
 export type OpenAttemptEffect = Extract<GenerationEffect, { kind: 'open-attempt' }>;
 
 /** An attempt that may be sent. */
 export interface PreparedAttempt {
   readonly placement: StreamPlacement;
   readonly permit: Permit;
-  /** True: it uses one of the service's repeats. */
+  /** True if the attempt uses one of the service's retries. */
   readonly isRepeat: boolean;
 }
 
-/** When a caller that got no server may come back: a crashed server is back or gone by then. */
+/**
+ * Minimum retry time of a caller that got no server: by then a crashed server is back or known to
+ * be gone.
+ */
 const RETRY_AFTER_MS = 300;
 
-/** Servers that are passed over because their rate limit leaves nothing, at the most. */
+/** Maximum number of servers that are skipped because of their rate limit. */
 const MAX_RATE_LIMITED = 6;
 
-/** A caller who waits here is served by whichever server is there first; a new one comes back later. */
+/**
+ * A stream that reached a server before waits here for the first free server; the caller of a new
+ * stream retries later.
+ */
 const computeRetryAfterMs = ({ arrivedAttempts, context, dependencies }: StreamRun): number =>
   arrivedAttempts > 0
     ? RETRY_AFTER_MS
@@ -38,7 +44,7 @@
     refusal: { code: RefusalCode.NoReadyServer, message, retryAfterMs: computeRetryAfterMs(run) },
   });
 
-/** Chooses servers of which the first one may be sent a request now; null if none may. */
+/** Chooses a placement whose server grants a permit now; null if there is none. */
 const choosePermitted = async (
   run: StreamRun,
   excludedIds: ReadonlySet<string>,
@@ -61,10 +67,11 @@
 };
 
 /**
- * Chooses the servers of a stream's next attempt, and takes what it needs to be sent: a permit, and a
- * repeat if another one arrived somewhere. What is not used is given back.
+ * Chooses the placement of a stream's next attempt and acquires what sending it needs: a permit,
+ * and a retry unless it is the first attempt to reach a server. Unused permits and retries are
+ * released.
  *
- * @returns null if it is not to be sent; then the stream knows why
+ * @returns null if the attempt must not be sent; the stream has been told the reason
  */
 export const prepareStreamAttempt = async (
   run: StreamRun,
@@ -73,7 +80,7 @@
   const { lender, retries } = run.dependencies;
   const { context } = run;
   const chosen = await choosePermitted(run, new Set(excludedServers));
-  // The caller may have left, or the deadline passed, while others were asked.
+  // The caller may have disconnected, or the deadline may have passed, during the queries.
   const isStillNeeded = (): boolean =>
     !run.isEnded() && run.readState().attempts.some(({ attempt }) => attempt === reader.attempt);
   if (!isStillNeeded()) {
@@ -82,7 +89,7 @@
     return null;
   }
   if (!chosen) {
-    refuse(run, reader, 'no server takes work');
+    refuse(run, reader, 'no server accepts new work');
     return null;
   }
   const { permit, placement } = chosen;
@@ -107,7 +114,7 @@
   if (placement.copy) return { placement, permit, isRepeat };
   if (run.prefillAttempts >= context.route.maxAttempts) {
     permit.release();
-    refuse(run, reader, 'the request went to as many servers as it may');
+    refuse(run, reader, 'the request was sent to the maximum number of servers');
     return null;
   }
   Object.assign(run, { prefillAttempts: run.prefillAttempts + 1 });
--- a/src/application/forwarding/_lib/queryServers/index.ts
+++ b/src/application/forwarding/_lib/queryServers/index.ts
@@ -1,20 +1,20 @@
 import type { ReportedServer, ServerStatus } from '../../../../domain/forwarding';
 import type { StreamRun } from '../../types';
 
-/** A server that was asked, and what it said of itself; what is on its way is added at the choice. */
+/** A queried server and its report. Unread tokens are added when a server is picked. */
 export type RespondingServer = Omit<ReportedServer, 'unreadTokens'>;
 
 /**
- * Time that the others get once a server has answered: sound ones take some milliseconds, and those
- * that fell silent would hold up every prompt until their questions time out (150 ms).
+ * Time that other servers get after the first response. Healthy servers take some milliseconds,
+ * while silent ones would delay every prompt until their queries time out (150 ms).
  */
 const STRAGGLER_WAIT_MS = 25;
 
 /**
- * Asks some servers what they do, just before a prompt is sent to one of them: loads that are known
- * from earlier answers are old, and a server that fell silent is still listed for seconds.
+ * Queries the reports of some servers just before a prompt is sent to one of them. Loads known from
+ * earlier responses are outdated, and a server that fell silent stays listed for seconds.
  *
- * @returns those that answered at once; at least one, unless all fail
+ * @returns the servers that responded in time; at least one, unless all fail
  */
 export const queryServers = (
   run: StreamRun,
--- a/src/application/forwarding/_lib/readBody/index.ts
+++ b/src/application/forwarding/_lib/readBody/index.ts
@@ -1,9 +1,9 @@
 import { err, ok, type Result } from 'neverthrow';
 
-/** Largest answer that is held whole; answers of calls are far smaller. */
+/** Maximum size of a buffered response. Responses to calls are far smaller. */
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
-/** Reads an answer's body to its end; an error says why it isn't whole. */
+/** Reads a response body to its end; the error states why it is incomplete. */
 export const readBody = async (body: AsyncIterable<Buffer>): Promise<Result<Buffer, string>> => {
   const chunks: Buffer[] = [];
   let bytes = 0;
@@ -15,6 +15,10 @@
     }
     return ok(Buffer.concat(chunks));
   } catch (error) {
-    return err(error instanceof Error ? error.message : 'the answer broke off');
+    return err(
+      error instanceof Error
+        ? error.message
+        : 'the connection was lost before the end of the response',
+    );
   }
 };
--- a/src/application/forwarding/_lib/readStreamEvents/index.ts
+++ b/src/application/forwarding/_lib/readStreamEvents/index.ts
@@ -5,7 +5,10 @@
 import { recordCrash } from '../recordCrash';
 import { startSilenceWatch } from '../startSilenceWatch';
 
-/** Tells roll-outs how a server fared; only a prompt that it read at once says how fast it is. */
+/**
+ * Reports the first event to the rollouts; only a prompt that was processed at once is a pace
+ * sample.
+ */
 const recordFirstEvent = (run: StreamRun, attempt: StreamAttempt, nowMs: number): void => {
   const { request, servers } = run.context;
   const tokens = countPromptTokens(request);
@@ -29,11 +32,11 @@
   attempt.stopSilenceWatch();
   Object.assign(attempt, { hasDeliveredEvent: true });
   if (run.copy) Object.assign(run, { copy: { ...run.copy, hasData: true } });
-  // The limit is another one from here on, and a far shorter one.
+  // From the first event on a far shorter silence limit applies.
   Object.assign(attempt, { stopSilenceWatch: startSilenceWatch(run, attempt, reader) });
   attempt.work.recordFirstEvent();
   recordFirstEvent(run, attempt, nowMs);
-  // Only a whole prompt says how long one takes: that of a caller who comes back may be cached.
+  // Only a whole prompt is a sample of prefill time: the prompt of a resumed stream may be cached.
   const isWholePrompt = run.prefillAttempts === 1 && request.lastEventId === null;
   if (run.attempts.size === 1 && isWholePrompt && run.lastEventAtMs === null) {
     const sample = {
@@ -41,15 +44,16 @@
       promptCharacters: countPromptTokens(request),
     };
     run.paces.recordFirstToken(service, sample);
-    // One that waited for others says little of the pace: a VM that had seen only such a one took
-    // every engine for three times too slow, and refused what free ones could have begun.
+    // A prompt that waited for others is no pace sample: a VM that had seen only such a prompt took
+    // every engine for three times too slow, and refused streams that idle engines could have
+    // started.
     if (attempt.wasServerIdle) run.paces.recordReading(service, sample);
   }
 };
 
 const dispatchEvent = (run: StreamRun, reader: Reader, { bytes, id }: StreamEvent): void => {
   const { offset } = run.readState();
-  // Events of a run that went on may begin with some that the caller has already.
+  // A resumed run may begin with events that the caller already has.
   if (id !== null && id <= offset) return;
   run.dispatch({
     kind: 'batch',
@@ -58,7 +62,7 @@
   });
 };
 
-/** Reads the events of an attempt until its answer ends, and dispatches what comes. */
+/** Reads and dispatches the events of an attempt until its response ends. */
 export const readStreamEvents = async (
   run: StreamRun,
   attempt: StreamAttempt,
@@ -77,13 +81,14 @@
       split.events.forEach((event) => dispatchEvent(run, reader, event));
       if (isCurrent()) {
         await reply.waitForDrain();
-        // The time in which the caller did not read is no silence of the server.
+        // Time in which the caller did not read is not silence of the server.
         Object.assign(attempt, { lastActivityMs: run.dependencies.clock.readMonotonicMs() });
       }
     }
   } catch (error) {
     const reason = error instanceof Error ? error.message : 'the stream broke off';
-    // What was asked to stop is no evidence; nor does it tell the end of the move, which dispatches.
+    // A stopped run is no evidence against its server. Its end is not dispatched here either: the
+    // migration does so.
     if (attempt.isMigrating) return;
     if (isCurrent()) {
       run.dependencies.directory.recordSuspicion(attempt.server.id, 'broken');
--- a/src/application/forwarding/_lib/recordAttemptFailure/index.ts
+++ b/src/application/forwarding/_lib/recordAttemptFailure/index.ts
@@ -1,7 +1,7 @@
 import type { AttemptError } from '../../../ports';
 import type { ServerDirectory } from '../../types';
 
-/** Takes the failure of an attempt as evidence about its server, where it is some. */
+/** Records a failed attempt as evidence against its server, if it is any. */
 export const recordAttemptFailure = (
   directory: ServerDirectory,
   serverId: string,
--- a/src/application/forwarding/_lib/recordCrash/index.ts
+++ b/src/application/forwarding/_lib/recordCrash/index.ts
@@ -1,7 +1,7 @@
 import { formatIncarnation, hasEndedEarly } from '../../../../domain/forwarding';
 import type { StreamAttempt, StreamRun } from '../../types';
 
-/** Takes an attempt that broke off as evidence about its request, where it is some. */
+/** Records an attempt that broke off as evidence that its request crashes servers, if it is any. */
 export const recordCrash = (
   { context, dependencies, fingerprint }: StreamRun,
   { headAtMs, server }: Pick<StreamAttempt, 'headAtMs' | 'server'>,
--- a/src/application/forwarding/_lib/recordResponseHead/index.ts
+++ b/src/application/forwarding/_lib/recordResponseHead/index.ts
@@ -1,7 +1,7 @@
 import type { AnswerHead, ServerEntry } from '../../../../domain/forwarding';
 import type { ForwardingDependencies } from '../../types';
 
-/** Takes what an answer's head says of its server; another server at its address speaks for itself. */
+/** Records what a response head says about its server, unless another server sent it. */
 export const recordResponseHead = (
   { directory, limits }: Pick<ForwardingDependencies, 'directory' | 'limits'>,
   server: ServerEntry,
--- a/src/application/forwarding/_lib/recordStreamSuccess/index.ts
+++ b/src/application/forwarding/_lib/recordStreamSuccess/index.ts
@@ -1,7 +1,7 @@
 import { formatIncarnation } from '../../../../domain/forwarding';
 import type { StreamRun } from '../../types';
 
-/** Takes a stream's end as proof that its request does not end the servers that run it. */
+/** Records a completed stream as proof that its request does not crash servers. */
 export const recordStreamSuccess = ({
   attempts,
   context,
--- a/src/application/forwarding/_lib/refuseQuarantined/index.ts
+++ b/src/application/forwarding/_lib/refuseQuarantined/index.ts
@@ -2,12 +2,12 @@
 import { buildQuarantineRefusal } from '../buildQuarantineRefusal';
 import { logDecision } from '../logDecision';
 
-/** Ends a stream whose request is in quarantine; false if it is not. */
+/** Refuses a stream whose request is in quarantine; returns false if it is not. */
 export const refuseQuarantined = (run: StreamRun): boolean => {
   const { context, dependencies, fingerprint } = run;
   const quarantineMs = dependencies.crashes.readQuarantineMs(fingerprint);
   if (quarantineMs === 0) return false;
-  // One that is on its way may still run.
+  // An attempt that was already sent may still run.
   const hasArrived = run.arrivedAttempts > 0 || run.readState().sent;
   logDecision(dependencies, context, 'request in quarantine', {
     fingerprint,
--- a/src/application/forwarding/_lib/releaseCopy/index.ts
+++ b/src/application/forwarding/_lib/releaseCopy/index.ts
@@ -1,11 +1,11 @@
 import type { HeldCopy, StreamRun } from '../../types';
 
 /**
- * Gives up the copy of an attempt that did not run: nothing was copied by it, and the copy that it
- * was to go on from is only left where another server holds it as well.
+ * Releases the copies after an attempt that did not run. The attempt made no copy of its own, and
+ * the copy that it should have continued from is kept only if another server holds it too.
  *
  * @param used - copy that the attempt was sent with, if any
- * @param triedId - server that did not run it
+ * @param triedId - id of the server that did not run the attempt
  */
 export const releaseCopy = (run: StreamRun, used: HeldCopy | null, triedId: string): void => {
   run.copy?.release();
--- a/src/application/forwarding/_lib/replaceCopy/index.ts
+++ b/src/application/forwarding/_lib/replaceCopy/index.ts
@@ -1,7 +1,7 @@
 import type { ServerEntry } from '../../../../domain/forwarding';
 import type { StreamRun } from '../../types';
 
-/** Takes the server that a run is copied to from now on for the copy to go on from. */
+/** Replaces the run's copy by the one that its backup server receives from now on. */
 export const replaceCopy = (run: StreamRun, backup: ServerEntry | null): void => {
   run.copy?.release();
   const copy = backup && {
--- a/src/application/forwarding/_lib/sendCallAttempt/index.ts
+++ b/src/application/forwarding/_lib/sendCallAttempt/index.ts
@@ -5,23 +5,23 @@
 import { recordResponseHead } from '../recordResponseHead';
 import { recordAttemptFailure } from '../recordAttemptFailure';
 
-/** A server's answer, whole. */
+/** A fully buffered response of a server. */
 export interface BufferedResponse {
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
-/** How one attempt ended. */
+/** The result of one attempt. */
 export type CallAttemptResult =
   | { readonly kind: 'answered'; readonly response: BufferedResponse }
-  /** The server did not run it. */
+  /** The server did not run the call. */
   | { readonly kind: 'not-run'; readonly reason: string; readonly hasArrived: boolean }
-  /** It may have run. */
+  /** The call may have run. */
   | {
       readonly kind: 'failed';
       readonly reason: string;
       readonly response: BufferedResponse | null;
-      /** True: its connection ended, so that its server may have ended. */
+      /** True if the connection was lost, so that the server may have crashed. */
       readonly hasLostConnection: boolean;
     }
   | { readonly kind: 'left' };
@@ -37,14 +37,14 @@
   if (error.kind === 'cancelled' && !isTimeout) return { kind: 'left' };
   return error.kind === 'broken'
     ? { ...NO_RESPONSE, reason: error.reason, hasLostConnection: true }
-    : { ...NO_RESPONSE, reason: 'no answer in time', hasLostConnection: false };
+    : { ...NO_RESPONSE, reason: 'no response in time', hasLostConnection: false };
 };
 
 /**
- * Sends a call to one server, and reads its answer to the end.
+ * Sends a call to one server and reads the whole response.
  *
- * @param options.leftMs - what the server is told of the time that is left
- * @param options.attemptMs - after this time the attempt is given up
+ * @param options.leftMs - remaining time that the server is told
+ * @param options.attemptMs - timeout of the attempt
  */
 export const sendCallAttempt = async (
   dependencies: ForwardingDependencies,
@@ -80,11 +80,11 @@
     const { body, head } = sent.value;
     recordResponseHead(dependencies, server, head, { sentAtMs });
     if (!head.isGenuine && !head.isNotRun) {
-      // The answer that is due may still follow on this connection: it is not used again.
+      // The expected response may still arrive on this connection, so that it must not be reused.
       timeoutController.abort();
       return {
         ...NO_RESPONSE,
-        reason: 'the answer is of another request',
+        reason: 'the response belongs to another request',
         hasLostConnection: false,
       };
     }
--- a/src/application/forwarding/_lib/skipRateLimited/index.ts
+++ b/src/application/forwarding/_lib/skipRateLimited/index.ts
@@ -3,9 +3,9 @@
 import { logDecision } from '../logDecision';
 
 /**
- * Passes over a server whose rate limit leaves nothing to this VM.
+ * Skips a server whose rate limit leaves no permit to this VM.
  *
- * @param waitMs - time until it makes sense to ask for it again
+ * @param waitMs - time until the server is worth asking again
  */
 export const skipRateLimited = (
   dependencies: ForwardingDependencies,
--- a/src/application/forwarding/_lib/startCopyWatch/index.ts
+++ b/src/application/forwarding/_lib/startCopyWatch/index.ts
@@ -4,16 +4,16 @@
 import { hasHealthyCopy } from '../hasHealthyCopy';
 import { migrateRun } from '../migrateRun';
 
-/** How often it is looked whether a run still has its copy. */
+/** Interval between checks of a run's copy. */
 const CHECK_INTERVAL_MS = 300;
 
-/** Pause after a move that could not be made. */
+/** Pause after a migration that failed. */
 const MIGRATION_RETRY_MS = 1000;
 
 /**
- * Watches whether the server that holds a run's copy is still there, and moves the run if not.
+ * Watches whether a healthy server holds the run's copy, and migrates the run if none does.
  *
- * @returns ends the watch
+ * @returns a function that ends the watch
  */
 export const startCopyWatch = (
   run: StreamRun,
@@ -23,9 +23,10 @@
   const { clock, log, tables } = run.dependencies;
   const { service } = run.context;
 
-  /** Returns when to look again. */
+  /** Checks the copy; resolves with the time until the next check. */
   const checkCopy = async (): Promise<number> => {
-    // What tries a new version goes on at the established one by its prompt: memory is not shared.
+    // A run on a trial version falls back to its prompt at the established version: versions do not
+    // share KV caches.
     if (run.context.servers.isTrial(attempt.server)) return CHECK_INTERVAL_MS;
     const engine = tables.readCurrent()?.services.get(service)?.engine;
     if (!engine?.copiesRuns || !attempt.hasDeliveredEvent || hasHealthyCopy(run))
@@ -41,7 +42,7 @@
     firstDelayMs: CHECK_INTERVAL_MS,
     runStep: checkCopy,
     handleFailure: (reason) => {
-      log.error('move failed unexpectedly', { reason });
+      log.error('migration failed unexpectedly', { reason });
       return MIGRATION_RETRY_MS;
     },
   });
--- a/src/application/forwarding/_lib/startServerWork/index.ts
+++ b/src/application/forwarding/_lib/startServerWork/index.ts
@@ -1,21 +1,21 @@
 import type { ServerRecord } from '../buildServerRecord';
 
-/** Work that this VM has at a server, until it is released. */
+/** Work of this VM at a server, until it is released. */
 export interface ServerWork {
-  /** The prompt has been read: it delays others no more. */
+  /** Records that the prompt has been processed and delays other prompts no more. */
   recordFirstEvent(): void;
   release(): void;
 }
 
-/** What is sent to a server. */
+/** Properties of the work. */
 export interface ServerWorkOptions {
-  /** Tokens of the prompt that it has to read. */
+  /** Prompt tokens that the server has to process. */
   readonly prefillTokens: number;
-  /** Called once it is known that the server is not the one any more that this was sent to. */
+  /** Called once the server process that the work was sent to has surely ended. */
   readonly handleLoss?: () => void;
 }
 
-/** Counts work at a server; null is one that is not known any more. */
+/** Counts work at a server; the record is null if the server is no longer known. */
 export const startServerWork = (
   record: ServerRecord | null,
   { handleLoss = () => undefined, prefillTokens }: ServerWorkOptions,
--- a/src/application/forwarding/_lib/startSilenceWatch/index.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/index.ts
@@ -12,25 +12,25 @@
 import { hasHealthyCopy } from '../hasHealthyCopy';
 import { logDecision } from '../logDecision';
 
-/** Part of the longest good pause after which a server is asked whether it lives. */
+/** Fraction of the gap goal after which a silent server is probed. */
 const PROBE_GAP_FRACTION = 0.35;
 
 /**
- * How often a server is asked whether it lives while it reads a prompt. It sends nothing meanwhile,
- * for a second and more, so that its silence alone does not tell a lost server from a busy one.
+ * Interval of probes while a server processes a prompt. It sends no events meanwhile, for a second
+ * and more, so that silence alone does not distinguish a lost server from a busy one.
  */
 const PREFILL_PROBE_INTERVAL_MS = 400;
 
-/** Time between two questions while a server that answers them sends no event. */
+/** Interval of probes while the server answers them but sends no event. */
 const PROBE_INTERVAL_MS = 150;
 
-/** Time after which a server that did not answer is asked again. */
+/** Time until the next probe after an unanswered one. */
 const MISSED_PROBE_RETRY_MS = 50;
 
 /**
- * A question that was given up later than this was so because this process itself stood still or
- * is slow: it is no evidence against the server. Its own limits are 150 ms for the answer and
- * 120 ms for a connection, of which a server that fell silent uses both.
+ * A probe that took longer than this timed out because this process stalled or is slow, so that it
+ * is no evidence against the server. Probes have timeouts of 150 ms for the response and 120 ms for
+ * the connection; a server that fell silent uses up both.
  */
 const PROCESS_STALL_MS = 600;
 
@@ -60,10 +60,10 @@
 };
 
 /**
- * Watches an attempt for silence. A server that has been silent for longer than usual is asked
- * whether it lives; it is given up when it does not answer, or after a far longer silence.
+ * Watches an attempt for silence. A server that is silent for longer than usual is probed. It is
+ * given up if it does not answer, or after a far longer silence.
  *
- * @returns ends the watch
+ * @returns a function that ends the watch
  */
 export const startSilenceWatch = (
   run: StreamRun,
@@ -74,7 +74,7 @@
   let isStopped = false;
   let wasLost = false;
   let missedProbes = 0;
-  /** When the server said first that no request waits there. */
+  /** When the server first reported an empty queue. */
   let firstUnqueuedAtMs = Infinity;
 
   const readSilentMs = (): number => clock.readMonotonicMs() - attempt.lastActivityMs;
@@ -99,7 +99,9 @@
     run.dispatch({ kind: 'silent', reader, confirmed: true });
   };
 
-  /** Returns when to look again, or null once the server was given up. */
+  /**
+   * Probes the server; resolves with the time until the next check, or null once it was given up.
+   */
   const probeServer = async (): Promise<number | null> => {
     const probeDelayMs = computeProbeDelayMs(run, attempt);
     const silentMs = readSilentMs();
@@ -122,7 +124,7 @@
         unqueuedMs: Math.max(0, clock.readMonotonicMs() - firstUnqueuedAtMs),
         prefill: estimateRunPrefill(run),
       });
-    // A report is late: the first one may be older than the run.
+    // Reports lag: the first one may be older than the run.
     if (isLost && wasLost) {
       giveUp('run lost', report);
       return null;
--- a/src/application/forwarding/_lib/startSilenceWatch/test.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/test.ts
@@ -5,10 +5,10 @@
 import type { StreamAttempt, StreamRun } from '../../types';
 import { startSilenceWatch } from '.';
 
-/** How long a question takes that gets no answer. */
+/** Duration of a probe that gets no answer. */
 const UNANSWERED_PROBE_MS = 150;
 
-/** A watch on an attempt without an event, whose server answers no question. */
+/** A watch on an attempt without events, whose server answers no probe. */
 const setUp = (probeMs: number) => {
   const clock = createFakeClock();
   const inputs: GenerationInput[] = [];
@@ -49,10 +49,9 @@
   return { clock, inputs, stop, countProbes: () => probes };
 };
 
-// Symptom: a VM that is slow for a moment reads prompts anew that its servers had nearly read.
-// Sequence: one question to a server gets its answer late.
-// Cause: a single missed answer counts as a lost server, also before the first event.
-test('before the first event a server is given up only after two questions without an answer', async (t) => {
+// Guards against giving up a server before its first event because of a single late probe. A VM
+// that was slow for a moment then sent prompts again that its servers had nearly processed.
+test('before the first event a server is given up only after two unanswered probes', async (t) => {
   const { clock, countProbes, inputs, stop } = setUp(UNANSWERED_PROBE_MS);
   await clock.advanceAsync(560);
   t.is(countProbes(), 1);
@@ -63,10 +62,9 @@
   stop();
 });
 
-// Symptom: a VM that wakes takes all servers for dead.
-// Sequence: the process stands still; the limits of its questions pass meanwhile.
-// Cause: time in which this process read nothing counts as silence of the server.
-test('a question that took far longer than its limit is no evidence', async (t) => {
+// Guards against taking all servers for dead after a stall of this process: the timeouts of its
+// probes pass while it reads nothing.
+test('a probe that took far longer than its timeout is no evidence', async (t) => {
   const { clock, countProbes, inputs, stop } = setUp(700);
   await clock.advanceAsync(2700);
   t.true(countProbes() >= 3);
@@ -74,10 +72,10 @@
   stop();
 });
 
-// Symptom: a prompt on a server that fell silent is noticed when the server is back, seconds later.
-// Sequence: the kept connection is dead; the next question waits for a connection until its limit.
-// Cause: a question that waits for a connection in vain was taken for a standstill of this process.
-test('a question that waited for a connection in vain counts', async (t) => {
+// Guards against taking the wait for a connection for a stall of this process. The kept connection
+// to a silent server is dead, and the next probe waits for a new connection until its timeout. A
+// lost prompt was then noticed only when the server was back, seconds later.
+test('a probe that timed out while connecting counts', async (t) => {
   const { clock, inputs, stop } = setUp(400);
   await clock.advanceAsync(1300);
   t.is(inputs.length, 1);
