--- a/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
@@ -103,7 +103,7 @@
   const { directory, reservePrompt } = run.dependencies;
   const promptTokens = countPromptTokens(run.context.request);
   let picked = first;
-  for (let tries = 0; tries < MAX_RESERVATION_ATTEMPTS; tries += 1) {
+  for (let attempt = 0; attempt < MAX_RESERVATION_ATTEMPTS; attempt += 1) {
     const othersTokens = await reservePrompt(picked.server.id, promptTokens);
     if (othersTokens === 0) return picked;
     directory.recordPeerPrompt(picked.server.id, othersTokens);
@@ -149,11 +149,11 @@
   for (let round = 0; round < rounds && !picked?.isFree; round += 1) {
     const candidates = listCandidates(run, new Set([...excludedIds, ...queriedIds]), count);
     candidates.forEach(({ entry }) => queriedIds.add(entry.id));
-    const answers = await queryServers(run, candidates);
-    responding.push(...answers);
+    const newlyResponding = await queryServers(run, candidates);
+    responding.push(...newlyResponding);
     // Only servers that responded are asked for cached prompts: a silent server would delay the
     // choice.
-    const promptHolder = hasEvents ? await findPromptHolder(run, answers) : null;
+    const promptHolder = hasEvents ? await findPromptHolder(run, newlyResponding) : null;
     picked = pickServer(run, responding, promptHolder);
   }
   if (!picked) return chooseWithoutReports(run, excludedIds);
--- a/src/application/forwarding/createRetryBudget/test.ts
+++ b/src/application/forwarding/createRetryBudget/test.ts
@@ -12,15 +12,15 @@
 
 test('retries are bounded by a fraction of recent requests and a share of the extra retries', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 2 });
-  for (let index = 0; index < 20; index += 1) allowance.recordRequest('s');
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 2 });
+  for (let index = 0; index < 20; index += 1) budget.recordRequest('s');
   // 0.9 of 0.5 x 20 + 10 / 2.
   t.is(
-    acquireAll(() => allowance.acquireRetry('s')),
+    acquireAll(() => budget.acquireRetry('s')),
     13,
   );
   t.is(
-    acquireAll(() => allowance.acquireRetry('other')),
+    acquireAll(() => budget.acquireRetry('other')),
     4,
   );
 });
@@ -29,22 +29,22 @@
 // of the extra retries for itself.
 test('the extra retries are shared among the known VMs', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 10 });
-  t.false(allowance.acquireRetry('s'));
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 10 });
+  t.false(budget.acquireRetry('s'));
 });
 
 test('old requests and retries leave the sliding window', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
   t.is(
-    acquireAll(() => allowance.acquireRetry('s')),
+    acquireAll(() => budget.acquireRetry('s')),
     9,
   );
   clock.advance(9000);
-  t.false(allowance.acquireRetry('s'));
+  t.false(budget.acquireRetry('s'));
   clock.advance(2000);
   t.is(
-    acquireAll(() => allowance.acquireRetry('s')),
+    acquireAll(() => budget.acquireRetry('s')),
     9,
   );
 });
@@ -53,15 +53,15 @@
 // at once, the last ones got no retry after they had been stopped, and stalled for seconds.
 test('a caller may be limited to a share of the budget, and an unused retry can be released', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
   t.is(
-    acquireAll(() => allowance.acquireRetry('s', { share: 0.5 })),
+    acquireAll(() => budget.acquireRetry('s', { share: 0.5 })),
     4,
   );
   t.is(
-    acquireAll(() => allowance.acquireRetry('s')),
+    acquireAll(() => budget.acquireRetry('s')),
     5,
   );
-  allowance.releaseRetry('s');
-  t.true(allowance.acquireRetry('s'));
+  budget.releaseRetry('s');
+  t.true(budget.acquireRetry('s'));
 });
--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -57,7 +57,7 @@
   const isServing = (record: ServerRecord): boolean =>
     isPresent(record) && record.pausedUntilMs <= clock.readMonotonicMs();
 
-  const isLimited = ({ rateLimitedUntilMs }: ServerRecord): boolean =>
+  const isRateLimited = ({ rateLimitedUntilMs }: ServerRecord): boolean =>
     rateLimitedUntilMs > clock.readMonotonicMs();
 
   const listRecent = ({ peerPrompts }: ServerRecord): readonly PeerPrompt[] => {
@@ -77,7 +77,7 @@
       return records
         .list()
         .filter((record) => record.entry.service === service)
-        .filter((record) => isServing(record) && !isLimited(record))
+        .filter((record) => isServing(record) && !isRateLimited(record))
         .map((record) => buildServerStatus(record, nowMs));
     },
     findServing: (id) => {
@@ -128,7 +128,7 @@
     },
     isRateLimited: (id) => {
       const record = records.find(id);
-      return record !== undefined && isLimited(record);
+      return record !== undefined && isRateLimited(record);
     },
     readShortestPauseMs: (service) => {
       const nowMs = clock.readMonotonicMs();
--- a/src/application/limits/createPermitClient/index.ts
+++ b/src/application/limits/createPermitClient/index.ts
@@ -85,17 +85,17 @@
 
   const addSentRequest = (server: string): SentRequest => {
     const nowMs = clock.readMonotonicMs();
-    const kept = (sentRequestsByServer.get(server) ?? []).filter(
+    const recent = (sentRequestsByServer.get(server) ?? []).filter(
       ({ atMs }) => atMs > nowMs - PERMIT_WINDOW_MS,
     );
     const sentRequest = { atMs: nowMs, knownToVms: new Set<string>() };
-    sentRequestsByServer.set(server, [...kept, sentRequest]);
+    sentRequestsByServer.set(server, [...recent, sentRequest]);
     return sentRequest;
   };
 
   const removeSentRequest = (server: string, sentRequest: SentRequest): void => {
-    const kept = sentRequestsByServer.get(server)?.filter((one) => one !== sentRequest);
-    if (kept) sentRequestsByServer.set(server, kept);
+    const others = sentRequestsByServer.get(server)?.filter((one) => one !== sentRequest);
+    if (others) sentRequestsByServer.set(server, others);
   };
 
   const isReachable = ({ vm }: Owner): boolean =>
@@ -128,7 +128,7 @@
     return decision;
   };
 
-  const releaseAt = (owners: readonly Owner[], server: string): void =>
+  const releasePermits = (owners: readonly Owner[], server: string): void =>
     owners.forEach(({ address }) => {
       if (address === null) owner.releasePermit(server);
       else notifyReleased(address, server);
@@ -146,13 +146,13 @@
     });
   };
 
-  const sentRequest = (server: string, granted: readonly Owner[]): Permit => {
-    const send = addSentRequest(server);
-    granted.forEach(({ vm }) => send.knownToVms.add(vm));
+  const buildPermit = (server: string, granted: readonly Owner[]): Permit => {
+    const sentRequest = addSentRequest(server);
+    granted.forEach(({ vm }) => sentRequest.knownToVms.add(vm));
     return {
       release: () => {
-        removeSentRequest(server, send);
-        releaseAt(granted, server);
+        removeSentRequest(server, sentRequest);
+        releasePermits(granted, server);
       },
     };
   };
@@ -165,21 +165,21 @@
       const isConfirmation = granted.length > 0;
       const decision = await askOwner(candidate, { server, limitPerS, isConfirmation });
       if (decision && !decision.isGranted) {
-        releaseAt(granted, server);
+        releasePermits(granted, server);
         return decision.waitMs;
       }
       if (decision) granted.push(candidate);
-      if (granted.length >= needed) return sentRequest(server, granted);
+      if (granted.length >= needed) return buildPermit(server, granted);
     }
-    releaseAt(granted, server);
+    releasePermits(granted, server);
     const localDecision = decideLocally(server, limitPerS / vms.length);
-    return localDecision.isGranted ? sentRequest(server, []) : localDecision.waitMs;
+    return localDecision.isGranted ? buildPermit(server, []) : localDecision.waitMs;
   };
 
   return {
     acquirePermit: async (server) => {
       const limitPerS = limits.readLimitPerS(server);
-      if (limitPerS === null) return sentRequest(server, []);
+      if (limitPerS === null) return buildPermit(server, []);
       return askOwners(server, limitPerS);
     },
     forgetServer: (server) => {
