--- a/src/application/forwarding/_lib/forwardCall/index.ts
+++ b/src/application/forwarding/_lib/forwardCall/index.ts
@@ -56,7 +56,7 @@
   let startedAttempts = 0;
   let refusals = 0;
   let arrivedAttempts = 0;
-  let lastReason = 'no server accepts new work';
+  let lastReason = 'no server takes work';
 
   for (let attempt = 1; reply.isOpen(); attempt += 1) {
     const leftMs = deadlineAtMs - clock.readMonotonicMs();
--- a/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
@@ -89,7 +89,7 @@
     return null;
   }
   if (!chosen) {
-    refuse(run, reader, 'no server accepts new work');
+    refuse(run, reader, 'no server takes work');
     return null;
   }
   const { permit, placement } = chosen;
--- a/src/application/forwarding/_lib/sendCallAttempt/index.ts
+++ b/src/application/forwarding/_lib/sendCallAttempt/index.ts
@@ -37,7 +37,7 @@
   if (error.kind === 'cancelled' && !isTimeout) return { kind: 'left' };
   return error.kind === 'broken'
     ? { ...NO_RESPONSE, reason: error.reason, hasLostConnection: true }
-    : { ...NO_RESPONSE, reason: 'no response in time', hasLostConnection: false };
+    : { ...NO_RESPONSE, reason: 'no answer in time', hasLostConnection: false };
 };
 
 /**
--- a/src/application/forwarding/createForwarder/index.ts
+++ b/src/application/forwarding/createForwarder/index.ts
@@ -64,7 +64,7 @@
   const admit = (request: ForwardedRequest, reply: CallerReply): ForwardContext | Refusal => {
     const table = tables.readCurrent();
     if (!table) {
-      const reason = 'this VM has no configuration yet';
+      const reason = 'no configuration is known yet';
       const retryAfterMs = computeReturnMs({
         waitMs: NO_CONFIGURATION_RETRY_MS,
         outageMs: (clock.readMonotonicMs() - startedAtMs) * OUTAGE_FACTOR,
@@ -74,8 +74,7 @@
       return { kind: 'not-run', reason, retryAfterMs };
     }
     const route = findRoute(table, request.host, request.target);
-    if (!route)
-      return { kind: 'unknown-route', reason: 'no route matches the request', retryAfterMs: 0 };
+    if (!route) return { kind: 'unknown-route', reason: 'no route', retryAfterMs: 0 };
     if (refusesAll || (refusesStreams && route.kind === RouteKind.Stream)) {
       return { kind: 'not-run', reason: 'this VM is leaving', retryAfterMs: LEAVING_RETRY_MS };
     }
