--- a/src/application/forwarding/createForwarder/index.ts
+++ b/src/application/forwarding/createForwarder/index.ts
@@ -31,7 +31,7 @@
  */
 const NO_CONFIGURATION_RETRY_MS = 2000;
 
-/** Expected total length of an outage, as a multiple of its length so far. */
+/** Expected remaining time without a configuration, as a multiple of the time so far. */
 const OUTAGE_FACTOR = 2;
 
 /** Refused streams are told to retry after their latency goal, reduced by the random spread. */
