--- a/src/adapters/connect/_lib/convertStatements/index.ts
+++ b/src/adapters/connect/_lib/convertStatements/index.ts
@@ -1,5 +1,5 @@
 import { create } from '@bufbuild/protobuf';
-import type { Statements, StatementsRequest } from '../../../../application/rows';
+import type { StatementsResponse, StatementsRequest } from '../../../../application/rows';
 import {
   FollowTablesRequestSchema,
   FollowTablesResponseSchema,
@@ -26,7 +26,7 @@
 });
 
 /** Converts an answer to its message. */
-export const buildStatementsMessage = (statements: Statements): FollowTablesResponse =>
+export const buildStatementsMessage = (statements: StatementsResponse): FollowTablesResponse =>
   create(FollowTablesResponseSchema, {
     heldMs: statements.heldMs,
     isCutOff: statements.isCutOff,
@@ -42,7 +42,7 @@
   });
 
 /** Converts a message to an answer; throws if a value is none. */
-export const readStatementsMessage = (message: FollowTablesResponse): Statements => ({
+export const readStatementsMessage = (message: FollowTablesResponse): StatementsResponse => ({
   heldMs: message.heldMs,
   isCutOff: message.isCutOff,
   tables: message.tables.flatMap(({ ageMs, changes, outageEndedAgoMs }) =>
--- a/src/adapters/connect/createGatewayClient/index.ts
+++ b/src/adapters/connect/createGatewayClient/index.ts
@@ -3,7 +3,7 @@
 import type { GossipCalls } from '../../../application/gossip';
 import type { PermitRequest } from '../../../application/limits';
 import type { TrialReport } from '../../../application/rollouts';
-import type { Statements, StatementsRequest } from '../../../application/rows';
+import type { StatementsResponse, StatementsRequest } from '../../../application/rows';
 import type { PermitDecision } from '../../../domain/limits';
 import type { RolloutVerdict } from '../../../domain/rollouts';
 import { buildKnowledgeMessage, readKnowledgeMessage } from '../_lib/convertKnowledge';
@@ -29,7 +29,7 @@
     address: string,
     request: StatementsRequest,
     timeoutMs: number,
-  ): Promise<Statements | null>;
+  ): Promise<StatementsResponse | null>;
   /** Tells a gateway what was seen of a new version; null if it does not take it in time. */
   reportTrial(address: string, report: TrialReport): Promise<RolloutVerdict | null>;
   /** Closes every connection. */
--- a/src/adapters/connect/createGatewayHandlers/index.ts
+++ b/src/adapters/connect/createGatewayHandlers/index.ts
@@ -2,7 +2,7 @@
 import type { Knowledge } from '../../../application/gossip';
 import type { PermitRequest } from '../../../application/limits';
 import type { TrialReport } from '../../../application/rollouts';
-import type { Statements, StatementsRequest } from '../../../application/rows';
+import type { StatementsResponse, StatementsRequest } from '../../../application/rows';
 import type { PermitDecision } from '../../../domain/limits';
 import type { RolloutVerdict } from '../../../domain/rollouts';
 import { buildKnowledgeMessage, readKnowledgeMessage } from '../_lib/convertKnowledge';
@@ -18,7 +18,7 @@
   readonly handleReservation: (server: string, tokens: number) => number;
   readonly handlePermit: (request: PermitRequest) => PermitDecision;
   readonly releasePermit: (server: string) => void;
-  readonly handleRequest: (request: StatementsRequest) => Promise<Statements>;
+  readonly handleRequest: (request: StatementsRequest) => Promise<StatementsResponse>;
   /** Null if the order is not known here. */
   readonly handleReport: (report: TrialReport) => RolloutVerdict | null;
 }
--- a/src/adapters/http/_lib/createCallerReply/index.ts
+++ b/src/adapters/http/_lib/createCallerReply/index.ts
@@ -45,7 +45,7 @@
       response.shouldKeepAlive = false;
       response.useChunkedEncodingByDefault = false;
     }
-    writeHead(head.status, [...head.passedHeaders, ...framing]);
+    writeHead(head.status, [...head.forwardedHeaders, ...framing]);
   };
 
   const sendRefusal = ({ kind, reason, retryAfterMs }: Refusal): void => {
--- a/src/application/_lib/createPaceHistory/index.ts
+++ b/src/application/_lib/createPaceHistory/index.ts
@@ -1,12 +1,12 @@
 import {
-  computeInitialGaps,
+  computeInitialGapStatistics,
   NO_GAPS,
   updateGapStatistics,
   type FirstTokenSample,
   type GapStatistics,
 } from '../../../domain/detection';
 import type { EnginePaces } from '../../../domain/forwarding';
-import { addToAverage, addToLowEstimate } from '../../../domain/load';
+import { updateMovingAverage, updateUndisturbedEstimate } from '../../../domain/load';
 
 /** How fast the engines of each service answered lately, as this VM saw it. */
 export interface PaceHistory {
@@ -24,7 +24,7 @@
   readInitialGaps(service: string): GapStatistics;
 }
 
-const NO_PACES: EnginePaces = { readingMsPerToken: 0, runMs: 0 };
+const NO_PACES: EnginePaces = { prefillMsPerToken: 0, runMs: 0 };
 
 /** A new run's weight in the mean: a burst shows within some ten of them. */
 const RUN_WEIGHT = 0.1;
@@ -52,18 +52,21 @@
     recordReading: (service, sample) => {
       const before = readPaces(service);
       const perToken = sample.firstTokenMs / Math.max(1, sample.promptCharacters);
-      const readingMsPerToken = addToLowEstimate(before.readingMsPerToken, perToken);
-      paces.set(service, { ...before, readingMsPerToken });
+      const prefillMsPerToken = updateUndisturbedEstimate(before.prefillMsPerToken, perToken);
+      paces.set(service, { ...before, prefillMsPerToken: prefillMsPerToken });
     },
     recordRun: (service, runMs) => {
       const before = readPaces(service);
-      paces.set(service, { ...before, runMs: addToAverage(before.runMs, runMs, RUN_WEIGHT) });
+      paces.set(service, {
+        ...before,
+        runMs: updateMovingAverage(before.runMs, runMs, RUN_WEIGHT),
+      });
     },
     readEnginePaces: readPaces,
     listFirstTokens: (service) => samples.get(service) ?? [],
     recordGap: (service, gapMs) => {
       gaps.set(service, updateGapStatistics(gaps.get(service) ?? NO_GAPS, gapMs));
     },
-    readInitialGaps: (service) => computeInitialGaps(gaps.get(service) ?? NO_GAPS),
+    readInitialGaps: (service) => computeInitialGapStatistics(gaps.get(service) ?? NO_GAPS),
   };
 };
--- a/src/application/claims/createClaims/index.ts
+++ b/src/application/claims/createClaims/index.ts
@@ -1,14 +1,14 @@
 import { err, ok, type Result } from 'neverthrow';
 import {
   buildClaim,
-  buildSuccessor,
+  buildTakeoverClaim,
   chooseAcquireStep,
-  chooseTakeOverStep,
+  chooseTakeoverStep,
   chooseUpdateStep,
   decodeAnswer,
   encodeAnswer,
   type ClaimChange,
-  type ClaimSeed,
+  type Claimant,
   type ClaimStep,
 } from '../../../domain/claim';
 import { ClaimState, type ClaimRow } from '../../../domain/types';
@@ -49,7 +49,7 @@
   const { objectStore, clock, randomness, vm, peerAddress } = dependencies;
   const table = createClaimTable(dependencies);
   const abandoned = createAbandonedClaims(table, clock);
-  const buildSeed = (): ClaimSeed => ({
+  const buildSeed = (): Claimant => ({
     claimId: randomness.readHex(CLAIM_ID_BYTES),
     vm,
     peerAddress,
@@ -108,11 +108,11 @@
     },
 
     takeOverClaim: async (seen) => {
-      const row = buildSuccessor(seen, buildSeed());
+      const row = buildTakeoverClaim(seen, buildSeed());
       const ended = await runClaimSteps(table, clock, {
         row,
         expectedRevision: seen.revision,
-        chooseStep: (sent, reply) => chooseTakeOverStep(seen, sent, reply),
+        chooseStep: (sent, reply) => chooseTakeoverStep(seen, sent, reply),
       });
       return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertEnd);
     },
--- a/src/application/claims/createClaims/test.ts
+++ b/src/application/claims/createClaims/test.ts
@@ -11,7 +11,7 @@
 } from '../../../../standins/fakes';
 import type { ClaimRow } from '../../../domain/types';
 import type { TableStore } from '../../ports';
-import { createGuardedTableStore, TABLE_POLICY } from '../../store';
+import { createResilientTableStore, TABLE_POLICY } from '../../store';
 
 const REQUEST = {
   workspace: 'sello',
@@ -130,7 +130,7 @@
 /** Claims while the write's answer is lost and the table then goes down, and waits for the error. */
 async function claimIntoOutage(idempotent: boolean) {
   const { clock, table, buildVm } = startPlatform();
-  const guarded = createGuardedTableStore(table, TABLE_POLICY, {
+  const guarded = createResilientTableStore(table, TABLE_POLICY, {
     clock,
     randomness: createSeededRandomness(9),
   });
--- a/src/application/configuration/createConfigurationFollower/index.ts
+++ b/src/application/configuration/createConfigurationFollower/index.ts
@@ -38,7 +38,10 @@
   /** Version in force at this VM, 0 if none. */
   readVersion(): number;
   /** Tells of a version that a peer has; a higher one is read at once. */
-  offerVersion(version: number, peer: { readonly vm: string; readonly peerAddress: string }): void;
+  recordPeerVersion(
+    version: number,
+    peer: { readonly vm: string; readonly peerAddress: string },
+  ): void;
   /** Monotonic time at which this VM's newest successful read of the table began, or null. */
   readTableReadAtMs(): number | null;
   /** How long a peer has had a higher version than this VM, in milliseconds; 0 if none has. */
@@ -187,7 +190,7 @@
       cancelTimer();
     },
     readVersion,
-    offerVersion: (version, { vm, peerAddress }) => {
+    recordPeerVersion: (version, { vm, peerAddress }) => {
       if (version <= readVersion() || version <= (offer?.version ?? 0)) {
         return;
       }
--- a/src/application/configuration/createConfigurationFollower/test.ts
+++ b/src/application/configuration/createConfigurationFollower/test.ts
@@ -54,7 +54,7 @@
   await apply(0);
   await clock.advanceAsync(1_200);
   await apply(1);
-  follower.offerVersion(2, PEER);
+  follower.recordPeerVersion(2, PEER);
   await clock.advanceAsync(0);
   t.deepEqual(seen, [1, 2]);
   follower.stop();
@@ -102,7 +102,7 @@
   follower.start();
   await clock.advanceAsync(0);
   isOld = true;
-  follower.offerVersion(3, PEER);
+  follower.recordPeerVersion(3, PEER);
   await clock.advanceAsync(5_000);
   t.is(follower.readVersion(), 2);
   follower.stop();
@@ -120,12 +120,12 @@
   table.setOutage('unavailable');
   const follower = follow();
   follower.start();
-  follower.offerVersion(1, PEER);
+  follower.recordPeerVersion(1, PEER);
   await clock.advanceAsync(3_000);
   t.is(follower.readCurrent(), null);
   t.is(follower.readBehindMs(), 3_000);
   follow.source = peer;
-  follower.offerVersion(1, PEER);
+  follower.recordPeerVersion(1, PEER);
   await clock.advanceAsync(0);
   t.is(follower.readCurrent()?.version, 1);
   t.is(follower.readBehindMs(), 0);
@@ -163,7 +163,7 @@
   await clock.advanceAsync(0);
   table.resetCounts();
   for (let version = 2; version <= 11; version += 1) {
-    follower.offerVersion(version, PEER);
+    follower.recordPeerVersion(version, PEER);
     await clock.advanceAsync(500);
   }
   t.true(table.countReads() >= 10 + 4, `${table.countReads()} reads`);
--- a/src/application/configuration/index.ts
+++ b/src/application/configuration/index.ts
@@ -11,7 +11,7 @@
 export type { ApplyError, ApplyRequest, ConfigurationStoreError } from './types';
 export { waitForVersion } from './waitForVersion';
 export type {
-  AwaitedVm,
+  TargetVm,
   LaggingVm,
   VersionProgress,
   WaitForVersionDependencies,
--- a/src/application/configuration/waitForVersion/index.ts
+++ b/src/application/configuration/waitForVersion/index.ts
@@ -6,7 +6,7 @@
 const ASK_INTERVAL_MS = 250;
 
 /** A VM that is to have the version in force. */
-export interface AwaitedVm {
+export interface TargetVm {
   readonly vm: string;
   readonly peerAddress: string;
 }
@@ -30,7 +30,7 @@
 export interface WaitForVersionDependencies {
   readonly clock: Clock;
   /** VMs that should have it, as known right now; a VM that leaves the list is not waited for. */
-  listVms(): Promise<readonly AwaitedVm[]>;
+  listVms(): Promise<readonly TargetVm[]>;
   /** Version in force at a VM; null if it does not answer. */
   readVersionAt(peerAddress: string): Promise<number | null>;
 }
--- a/src/application/forwarding/_lib/buildServerStatus/index.ts
+++ b/src/application/forwarding/_lib/buildServerStatus/index.ts
@@ -11,7 +11,7 @@
   return {
     entry: record.entry,
     running: record.running,
-    prefillTokens: record.prefillTokens,
+    pendingPrefillTokens: record.prefillTokens,
     copies: record.copies,
     reported: isFresh ? load.running + load.waiting : 0,
     // As in a half-open circuit breaker, one request tests the server; others go elsewhere
--- a/src/application/forwarding/_lib/checkStreamStart/index.ts
+++ b/src/application/forwarding/_lib/checkStreamStart/index.ts
@@ -1,8 +1,8 @@
 import {
-  computeReturnMs,
-  decideStream,
-  hasTimeToRead,
-  type StreamDecision,
+  computeRetryAfterMs,
+  decideStreamAdmission,
+  hasTimeForPrefill,
+  type StreamAdmission,
 } from '../../../../domain/forwarding';
 import type { Refusal, StreamRun, StreamPlacement } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
@@ -16,18 +16,18 @@
   const leftMs = context.deadlineAtMs - dependencies.clock.readMonotonicMs();
   const draw = dependencies.randomness.readFraction();
   const overloadMs = overload.readOverloadMs(context.service);
-  const decide = (): StreamDecision => {
+  const decide = (): StreamAdmission => {
     // A caller that has part of the response waits for the rest: late is better than refused.
     const hasBegun = context.request.lastEventId !== null;
     if (predictedMs === null || isPromptCached || hasBegun) {
       const prefillMs = estimateRunPrefill(run).ownMs;
-      const hasTime = isPromptCached || hasTimeToRead({ leftMs, latencyGoalMs, prefillMs });
+      const hasTime = isPromptCached || hasTimeForPrefill({ leftMs, latencyGoalMs, prefillMs });
       if (hasTime) return { kind: 'send' };
       const reason = 'the prompt takes longer to process than the time left';
-      const returnMs = computeReturnMs({ waitMs: 0, outageMs: overloadMs, leftMs, draw });
+      const returnMs = computeRetryAfterMs({ waitMs: 0, outageMs: overloadMs, leftMs, draw });
       return { kind: 'refuse', reason, returnMs };
     }
-    return decideStream({
+    return decideStreamAdmission({
       predictedMs,
       isFree,
       latencyGoalMs,
--- a/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
@@ -1,7 +1,7 @@
 import {
   countPromptTokens,
-  chooseForwardServer,
-  rankServers,
+  chooseLeastLoadedServer,
+  rankServersByPrompt,
   type ServerEntry,
   type ServerStatus,
 } from '../../../../domain/forwarding';
@@ -53,7 +53,7 @@
 ): StreamPlacement => {
   const { randomness } = run.dependencies;
   const backup = keepsBackups(run, server)
-    ? chooseForwardServer(run.context.servers.listHolders(server), {
+    ? chooseLeastLoadedServer(run.context.servers.listHolders(server), {
         excludedIds: new Set([...excludedIds, server.id]),
         avoidedZone: server.availabilityZone,
         preferredZone: null,
@@ -82,7 +82,7 @@
   excludedIds: ReadonlySet<string>,
 ): StreamPlacement | null => {
   const { availabilityZone, randomness } = run.dependencies;
-  const status = chooseForwardServer(run.context.servers.list(), {
+  const status = chooseLeastLoadedServer(run.context.servers.list(), {
     excludedIds,
     avoidedZone: null,
     preferredZone: availabilityZone,
@@ -124,7 +124,7 @@
 ): readonly ServerStatus[] => {
   const { request, servers } = run.context;
   const allowed = servers.list().filter(({ entry }) => !excludedIds.has(entry.id));
-  return rankServers(allowed, request.promptParts.at(-1)?.id ?? request.requestId, count);
+  return rankServersByPrompt(allowed, request.promptParts.at(-1)?.id ?? request.requestId, count);
 };
 
 /**
--- a/src/application/forwarding/_lib/createServerRecords/index.ts
+++ b/src/application/forwarding/_lib/createServerRecords/index.ts
@@ -1,7 +1,7 @@
 import type { Result } from 'neverthrow';
 import { compareIncarnations, type ServerEntry } from '../../../../domain/forwarding';
 import type { Clock, EventLog, SharedRow } from '../../../ports';
-import type { RowsInfo } from '../../../rows';
+import type { RowsOrigin } from '../../../rows';
 import { createEntryTombstones } from '../createEntryTombstones';
 import { createIncarnationSet } from '../createIncarnationSet';
 import { buildServerRecord, type ServerRecord } from '../buildServerRecord';
@@ -19,7 +19,7 @@
 export interface ServerRecords {
   find(id: string): ServerRecord | undefined;
   list(): readonly ServerRecord[];
-  applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
+  applyRows(rows: readonly SharedRow[], info: RowsOrigin): void;
   /** Marks a server as surely ended: its runs are lost. */
   endServer(id: string): void;
   /** Forgets a server without concluding that it ended. */
@@ -76,7 +76,7 @@
     [...record.lossHandlers].forEach((handleLoss) => handleLoss());
   };
 
-  const handleEntryRemoved = (id: string, info: RowsInfo): void => {
+  const handleEntryRemoved = (id: string, info: RowsOrigin): void => {
     const record = records.get(id);
     if (!record || record.goneAtMs !== Infinity) return;
     const nowMs = clock.readMonotonicMs();
@@ -126,7 +126,7 @@
     return known.entry.isLeaving && !entry.isLeaving && entry.sequence <= known.entry.sequence;
   };
 
-  const applyEntry = (decoded: ServerEntry, { isRestored }: RowsInfo): void => {
+  const applyEntry = (decoded: ServerEntry, { isRestored }: RowsOrigin): void => {
     if (isRestored && isStaleEntry(decoded)) {
       log.info('server entry of a copy ignored', {
         server: decoded.id,
@@ -154,7 +154,7 @@
     }
   };
 
-  const applyValue = (id: string, value: Buffer, info: RowsInfo): void => {
+  const applyValue = (id: string, value: Buffer, info: RowsOrigin): void => {
     const decoded = decode(id, value);
     if (decoded.isOk()) {
       applyEntry(decoded.value, info);
--- a/src/application/forwarding/_lib/findPromptHolder/index.ts
+++ b/src/application/forwarding/_lib/findPromptHolder/index.ts
@@ -20,7 +20,7 @@
   const cached = await Promise.all(
     candidates.map(async (server) => ({
       status: server,
-      tokens: (await client.readHeldParts(server.entry)).get(lastPart.id) ?? 0,
+      tokens: (await client.readCachedPromptParts(server.entry)).get(lastPart.id) ?? 0,
     })),
   );
   const best = cached.reduce(
--- a/src/application/forwarding/_lib/forwardCall/index.ts
+++ b/src/application/forwarding/_lib/forwardCall/index.ts
@@ -1,4 +1,4 @@
-import { chooseForwardServer, RouteKind } from '../../../../domain/forwarding';
+import { chooseLeastLoadedServer, RouteKind } from '../../../../domain/forwarding';
 import type { ForwardContext, ForwardingDependencies, Refusal } from '../../types';
 import { buildQuarantineRefusal } from '../buildQuarantineRefusal';
 import { createCallCrashTracker } from '../createCallCrashTracker';
@@ -66,7 +66,7 @@
       return refuse(dependencies, context, { kind, reason: lastReason, retryAfterMs: 0 });
     }
     if (crashes.hasReachedCrashLimit() || crashes.readQuarantineMs() > 0) break;
-    const status = chooseForwardServer(servers.list(), {
+    const status = chooseLeastLoadedServer(servers.list(), {
       excludedIds,
       avoidedZone: null,
       preferredZone: dependencies.availabilityZone,
@@ -119,7 +119,7 @@
     const tookMs = clock.readMonotonicMs() - sentAtMs;
     if (result.kind !== 'not-run') {
       const isFailure = result.kind === 'failed';
-      servers.recordOutcome(status.entry, { isFailure, took: isFailure ? null : tookMs });
+      servers.recordOutcome(status.entry, { isFailure, duration: isFailure ? null : tookMs });
     }
     if (result.kind !== 'not-run' || result.hasArrived) arrivedAttempts += 1;
     else {
--- a/src/application/forwarding/_lib/forwardStream/index.ts
+++ b/src/application/forwarding/_lib/forwardStream/index.ts
@@ -1,5 +1,5 @@
 import {
-  AfterDisconnect,
+  StreamRetention,
   createGenerationState,
   updateGeneration,
   type GenerationEffect,
@@ -25,7 +25,7 @@
       keyed: false,
       continuable: true,
       maxOutputTokens: Infinity,
-      afterDisconnect: AfterDisconnect.Dropped,
+      streamRetention: StreamRetention.Dropped,
     },
     { offset: request.lastEventId ?? 0 },
   );
--- a/src/application/forwarding/_lib/keepsBackups/index.ts
+++ b/src/application/forwarding/_lib/keepsBackups/index.ts
@@ -7,5 +7,5 @@
   server: ServerEntry,
 ): boolean => {
   const engine = dependencies.tables.readCurrent()?.services.get(context.service)?.engine;
-  return (engine?.keepsBackups ?? false) && !context.servers.isTrial(server);
+  return (engine?.supportsKvBackup ?? false) && !context.servers.isTrial(server);
 };
--- a/src/application/forwarding/_lib/migrateRun/index.ts
+++ b/src/application/forwarding/_lib/migrateRun/index.ts
@@ -1,8 +1,8 @@
 import { ok, type Result } from 'neverthrow';
 import {
-  chooseForwardServer,
-  countNeededTokens,
-  hasCopyRoom,
+  chooseLeastLoadedServer,
+  countNeededKvTokens,
+  hasMemoryForCopy,
   type ServerEntry,
 } from '../../../../domain/forwarding';
 import type { CopyError, KvCopy } from '../../../ports';
@@ -25,7 +25,7 @@
   const holders = run.context.servers
     .listHolders(source)
     .filter(({ entry }) => limits.readLimitPerS(entry.id) === null);
-  const status = chooseForwardServer(holders, {
+  const status = chooseLeastLoadedServer(holders, {
     excludedIds: new Set([source.id]),
     avoidedZone: null,
     preferredZone: source.availabilityZone,
@@ -73,7 +73,7 @@
   const holder = chooseHolder(run, attempt.server);
   const report = holder && (await client.readReport(holder));
   // If memory is scarce, a copy would evict another run, whose prompt must then be processed again.
-  if (!holder || !report || !hasCopyRoom(report, countNeededTokens(request))) return false;
+  if (!holder || !report || !hasMemoryForCopy(report, countNeededKvTokens(request))) return false;
   // Acquired before the run is stopped: without a retry the stopped run would stall.
   if (!retries.acquireRetry(run.context.service, { share: MIGRATION_RETRY_FRACTION })) return false;
   const lostHolder = run.copy?.holders[0] ?? '';
--- a/src/application/forwarding/_lib/openStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/openStreamAttempt/index.ts
@@ -1,5 +1,5 @@
 import { countPromptTokens, type AnswerHead } from '../../../../domain/forwarding';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import type { AttemptAnswer } from '../../../ports';
 import type { HeldCopy, StreamAttempt, StreamRun, StreamPlacement } from '../../types';
 import { closeStreamAttempt } from '../closeStreamAttempt';
@@ -24,7 +24,7 @@
 const buildAttempt = (
   run: StreamRun,
   placement: StreamPlacement,
-  reader: Reader,
+  reader: ReaderId,
 ): StreamAttempt => {
   const { clock, directory } = run.dependencies;
   const { expectedFirstEventMs, isFree, server } = placement;
@@ -52,20 +52,20 @@
 
 const handleErrorResponse = async (
   run: StreamRun,
-  reader: Reader,
+  reader: ReaderId,
   attempt: StreamAttempt,
   { body, head }: AttemptAnswer,
   copy: HeldCopy | null,
 ): Promise<void> => {
-  if (head.isNotRun) {
+  if (head.isNotExecuted) {
     // The rest of the body is read, so that the connection is released.
     releaseCopy(run, copy, attempt.server.id);
     await readBody(body);
     run.dispatch({ kind: 'not-started', reader, refused: false });
     return;
   }
-  run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
-  const read = head.isGenuine ? await readBody(body) : null;
+  run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
+  const read = head.isVerified ? await readBody(body) : null;
   if (read?.isOk()) Object.assign(run, { failedResponse: { head, body: read.value } });
   if (read?.isOk() && head.status < SERVER_ERROR_STATUS) {
     run.dispatch({
@@ -134,7 +134,7 @@
       lastEventId: offset > 0 ? offset : context.request.lastEventId,
       backupAddress: backup?.address ?? null,
       copy,
-      ownConnection: true,
+      newConnection: true,
     },
     attempt.abort.signal,
   );
@@ -153,7 +153,7 @@
     );
     const isRefused = sent.error.kind === 'not-started';
     if (sent.error.kind === 'broken') {
-      context.servers.recordOutcome(server, { isFailure: true, took: null });
+      context.servers.recordOutcome(server, { isFailure: true, duration: null });
     }
     if (isRefused) {
       releaseCopy(run, copy, server.id);
@@ -166,12 +166,12 @@
   }
   const { head } = sent.value;
   recordResponseHead(run.dependencies, server, head, attempt);
-  if (head.status !== OK_STATUS || !head.isGenuine) {
+  if (head.status !== OK_STATUS || !head.isVerified) {
     logDecision(
       run.dependencies,
       context,
       'stream attempt failed',
-      { attempt: reader.attempt, status: head.status, notRun: head.isNotRun },
+      { attempt: reader.attempt, status: head.status, notRun: head.isNotExecuted },
       server,
     );
     return handleErrorResponse(run, reader, attempt, sent.value, copy);
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -1,11 +1,11 @@
 import {
   countPromptTokens,
-  chooseReportedServer,
-  countNeededTokens,
-  countReadingRuns,
-  hasCopyRoom,
-  predictFirstEvent,
-  type ReportedChoiceOptions,
+  chooseServerByReport,
+  countNeededKvTokens,
+  countPrefillingRuns,
+  hasMemoryForCopy,
+  predictFirstEventMs,
+  type ServerByReportOptions,
   type ReportedServer,
 } from '../../../../domain/forwarding';
 import type { StreamRun, StreamPlacement } from '../../types';
@@ -13,7 +13,7 @@
 import { keepsBackups } from '../keepsBackups';
 
 /** Resources that a request needs at a server. */
-type RequestNeeds = Pick<ReportedChoiceOptions, 'neededTokens' | 'promptTokens'>;
+type RequestNeeds = Pick<ServerByReportOptions, 'neededKvTokens' | 'promptTokens'>;
 
 /** Inputs of a placement. */
 interface PlacementOptions {
@@ -25,16 +25,16 @@
 
 const addPendingTokens = (run: StreamRun, one: RespondingServer): ReportedServer => ({
   ...one,
-  unreadTokens: run.dependencies.directory.countPendingPrefillTokens(one.entry.id),
+  pendingPrefillTokens: run.dependencies.directory.countPendingPrefillTokens(one.entry.id),
 });
 
 /** True if the server has no prompt to process before a new one. */
-const isIdle = ({ report, unreadTokens }: ReportedServer): boolean =>
-  unreadTokens === 0 && report.waiting + countReadingRuns(report) === 0;
+const isIdle = ({ report, pendingPrefillTokens }: ReportedServer): boolean =>
+  pendingPrefillTokens === 0 && report.waiting + countPrefillingRuns(report) === 0;
 
 /** True if the run fits into the KV cache without evicting others. */
-const hasRoom = ({ report }: ReportedServer, { neededTokens }: RequestNeeds): boolean =>
-  report.kvTotalTokens === 0 || report.kvUsedTokens + neededTokens <= report.kvTotalTokens;
+const hasRoom = ({ report }: ReportedServer, { neededKvTokens }: RequestNeeds): boolean =>
+  report.kvTotalTokens === 0 || report.kvUsedTokens + neededKvTokens <= report.kvTotalTokens;
 
 /** Builds the placement of an attempt. The backup is in another availability zone. */
 const buildPlacement = (
@@ -43,14 +43,14 @@
   options: PlacementOptions,
 ): StreamPlacement => {
   const { isPromptCached, needs, predictedMs, reported } = options;
-  const isPaceKnown = run.paces.readEnginePaces(run.context.service).readingMsPerToken > 0;
+  const isPaceKnown = run.paces.readEnginePaces(run.context.service).prefillMsPerToken > 0;
   const readingMs = isPaceKnown ? predictedMs : run.context.route.latencyGoalMs;
   const others = reported.filter(
     ({ entry, report }) =>
       entry.availabilityZone !== chosen.entry.availabilityZone &&
-      hasCopyRoom(report, needs.neededTokens),
+      hasMemoryForCopy(report, needs.neededKvTokens),
   );
-  const backup = chooseReportedServer(others, { ...needs, preferredZone: null });
+  const backup = chooseServerByReport(others, { ...needs, preferredZone: null });
   return {
     server: chosen.entry,
     copy: null,
@@ -59,8 +59,8 @@
     estimate: {
       promptTokens: needs.promptTokens,
       waiting: chosen.report.waiting,
-      reading: countReadingRuns(chosen.report),
-      unreadTokens: chosen.unreadTokens,
+      reading: countPrefillingRuns(chosen.report),
+      unreadTokens: chosen.pendingPrefillTokens,
     },
     predictedMs,
     // A cached prompt needs no prefill, so that silence is not explained by it.
@@ -83,13 +83,13 @@
   promptHolder: RespondingServer | null,
 ): StreamPlacement | null => {
   const needs: RequestNeeds = {
-    neededTokens: countNeededTokens(run.context.request),
+    neededKvTokens: countNeededKvTokens(run.context.request),
     promptTokens: countPromptTokens(run.context.request),
   };
-  const predict = ({ report, unreadTokens }: ReportedServer): number =>
-    predictFirstEvent(report, {
+  const predict = ({ report, pendingPrefillTokens }: ReportedServer): number =>
+    predictFirstEventMs(report, {
       ...needs,
-      unreadTokens,
+      pendingPrefillTokens: pendingPrefillTokens,
       paces: run.paces.readEnginePaces(run.context.service),
       latencyGoalMs: run.context.route.latencyGoalMs,
     });
@@ -98,7 +98,7 @@
   const { availabilityZone: preferredZone } = run.dependencies;
   const chosen = promptHolder
     ? addPendingTokens(run, promptHolder)
-    : chooseReportedServer(reported, { ...needs, preferredZone });
+    : chooseServerByReport(reported, { ...needs, preferredZone });
   if (!chosen) return null;
   const initial = { server: chosen, predictedMs: predict(chosen) };
   const { predictedMs, server } =
--- a/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
@@ -1,4 +1,4 @@
-import type { GenerationEffect, Reader } from '../../../../domain/generation';
+import type { GenerationEffect, ReaderId } from '../../../../domain/generation';
 import { RefusalCode } from '../../../../domain/types';
 import type { Permit } from '../../../limits';
 import type { StreamRun, StreamPlacement } from '../../types';
@@ -37,7 +37,7 @@
     ? RETRY_AFTER_MS
     : Math.max(RETRY_AFTER_MS, dependencies.directory.readShortestPauseMs(context.service));
 
-const refuse = (run: StreamRun, reader: Reader, message: string): void =>
+const refuse = (run: StreamRun, reader: ReaderId, message: string): void =>
   run.dispatch({
     kind: 'slot-refused',
     reader,
--- a/src/application/forwarding/_lib/queryServers/index.ts
+++ b/src/application/forwarding/_lib/queryServers/index.ts
@@ -2,7 +2,7 @@
 import type { StreamRun } from '../../types';
 
 /** A queried server and its report. Unread tokens are added when a server is picked. */
-export type RespondingServer = Omit<ReportedServer, 'unreadTokens'>;
+export type RespondingServer = Omit<ReportedServer, 'pendingPrefillTokens'>;
 
 /**
  * Time that other servers get after the first response. Healthy servers take some milliseconds,
--- a/src/application/forwarding/_lib/readStreamEvents/index.ts
+++ b/src/application/forwarding/_lib/readStreamEvents/index.ts
@@ -1,6 +1,6 @@
 import { updateGapStatistics } from '../../../../domain/detection';
 import { countPromptTokens, splitEvents, type StreamEvent } from '../../../../domain/forwarding';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { recordCrash } from '../recordCrash';
 import { startSilenceWatch } from '../startSilenceWatch';
@@ -14,10 +14,10 @@
   const tokens = countPromptTokens(request);
   const isPaceSample = attempt.wasServerIdle && request.lastEventId === null && tokens > 0;
   const took = isPaceSample ? (nowMs - attempt.sentAtMs) / tokens : null;
-  servers.recordOutcome(attempt.server, { isFailure: false, took });
+  servers.recordOutcome(attempt.server, { isFailure: false, duration: took });
 };
 
-const recordActivity = (run: StreamRun, attempt: StreamAttempt, reader: Reader): void => {
+const recordActivity = (run: StreamRun, attempt: StreamAttempt, reader: ReaderId): void => {
   const { clock } = run.dependencies;
   const { request, service } = run.context;
   const nowMs = clock.readMonotonicMs();
@@ -51,7 +51,7 @@
   }
 };
 
-const dispatchEvent = (run: StreamRun, reader: Reader, { bytes, id }: StreamEvent): void => {
+const dispatchEvent = (run: StreamRun, reader: ReaderId, { bytes, id }: StreamEvent): void => {
   const { offset } = run.readState();
   // A resumed run may begin with events that the caller already has.
   if (id !== null && id <= offset) return;
@@ -66,7 +66,7 @@
 export const readStreamEvents = async (
   run: StreamRun,
   attempt: StreamAttempt,
-  reader: Reader,
+  reader: ReaderId,
   body: AsyncIterable<Buffer>,
 ): Promise<void> => {
   const { reply } = run.context;
@@ -92,7 +92,7 @@
     if (attempt.isMigrating) return;
     if (isCurrent()) {
       run.dependencies.directory.recordSuspicion(attempt.server.id, 'broken');
-      run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
+      run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
       recordCrash(run, attempt);
     }
     run.dependencies.log.info('stream broke off', {
--- a/src/application/forwarding/_lib/recordCrash/index.ts
+++ b/src/application/forwarding/_lib/recordCrash/index.ts
@@ -1,4 +1,4 @@
-import { formatIncarnation, hasEndedEarly } from '../../../../domain/forwarding';
+import { formatIncarnation, hasFailedEarly } from '../../../../domain/forwarding';
 import type { StreamAttempt, StreamRun } from '../../types';
 
 /** Records an attempt that broke off as evidence that its request crashes servers, if it is any. */
@@ -6,7 +6,7 @@
   { context, dependencies, fingerprint }: StreamRun,
   { headAtMs, server }: Pick<StreamAttempt, 'headAtMs' | 'server'>,
 ): void => {
-  if (!hasEndedEarly({ headAtMs, nowMs: dependencies.clock.readMonotonicMs() })) return;
+  if (!hasFailedEarly({ headAtMs, nowMs: dependencies.clock.readMonotonicMs() })) return;
   dependencies.crashes.recordOutcome({
     fingerprint,
     requestId: context.request.requestId,
--- a/src/application/forwarding/_lib/recordResponseHead/index.ts
+++ b/src/application/forwarding/_lib/recordResponseHead/index.ts
@@ -8,7 +8,7 @@
   head: AnswerHead,
   { sentAtMs }: { readonly sentAtMs: number },
 ): void => {
-  if (head.isOtherServer) {
+  if (head.isFromOtherServer) {
     directory.recordReplaced(server.id, head.serverId);
     return;
   }
@@ -16,7 +16,7 @@
   if (head.isLeaving) directory.recordLeaving(server.id);
   if (head.pauseMs > 0) directory.recordPause(server.id, head.pauseMs);
   const { limitPerS } = head;
-  if (head.isGenuine || limitPerS !== null) {
+  if (head.isVerified || limitPerS !== null) {
     limits.recordAdvertisedLimit(server.id, { limitPerS, sentAtMs });
   }
 };
--- a/src/application/forwarding/_lib/refuseQuarantined/index.ts
+++ b/src/application/forwarding/_lib/refuseQuarantined/index.ts
@@ -8,7 +8,7 @@
   const quarantineMs = dependencies.crashes.readQuarantineMs(fingerprint);
   if (quarantineMs === 0) return false;
   // An attempt that was already sent may still run.
-  const hasArrived = run.arrivedAttempts > 0 || run.readState().sent;
+  const hasArrived = run.arrivedAttempts > 0 || run.readState().mayHaveStarted;
   logDecision(dependencies, context, 'request in quarantine', {
     fingerprint,
     quarantineMs: Math.round(quarantineMs),
--- a/src/application/forwarding/_lib/sendCallAttempt/index.ts
+++ b/src/application/forwarding/_lib/sendCallAttempt/index.ts
@@ -69,7 +69,7 @@
         lastEventId: null,
         backupAddress: null,
         copy: null,
-        ownConnection: false,
+        newConnection: false,
       },
       AbortSignal.any([reply.callerLeft, timeoutController.signal]),
     );
@@ -79,7 +79,7 @@
     }
     const { body, head } = sent.value;
     recordResponseHead(dependencies, server, head, { sentAtMs });
-    if (!head.isGenuine && !head.isNotRun) {
+    if (!head.isVerified && !head.isNotExecuted) {
       // The expected response may still arrive on this connection, so that it must not be reused.
       timeoutController.abort();
       return {
@@ -90,7 +90,7 @@
     }
     const read = await readBody(body);
     if (reply.callerLeft.aborted) return { kind: 'left' };
-    if (head.isNotRun) {
+    if (head.isNotExecuted) {
       return { kind: 'not-run', reason: `status ${head.status}`, hasArrived: true };
     }
     if (read.isErr())
--- a/src/application/forwarding/_lib/startCopyWatch/index.ts
+++ b/src/application/forwarding/_lib/startCopyWatch/index.ts
@@ -1,4 +1,4 @@
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { hasHealthyCopy } from '../hasHealthyCopy';
@@ -18,7 +18,7 @@
 export const startCopyWatch = (
   run: StreamRun,
   attempt: StreamAttempt,
-  reader: Reader,
+  reader: ReaderId,
 ): (() => void) => {
   const { clock, log, tables } = run.dependencies;
   const { service } = run.context;
@@ -29,7 +29,7 @@
     // share KV caches.
     if (run.context.servers.isTrial(attempt.server)) return CHECK_INTERVAL_MS;
     const engine = tables.readCurrent()?.services.get(service)?.engine;
-    if (!engine?.copiesRuns || !attempt.hasDeliveredEvent || hasHealthyCopy(run))
+    if (!engine?.supportsKvCopy || !attempt.hasDeliveredEvent || hasHealthyCopy(run))
       return CHECK_INTERVAL_MS;
     const hasStopped = await migrateRun(run, attempt);
     // The server closes the stream as well; its last events may arrive before that.
--- a/src/application/forwarding/_lib/startSilenceWatch/index.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/index.ts
@@ -1,11 +1,11 @@
-import { computePrefillLimitMs, computeSilenceLimitMs } from '../../../../domain/detection';
+import { computePrefillLimits, computeSilenceLimits } from '../../../../domain/detection';
 import {
   countPromptTokens,
-  computeEventLimit,
+  computeEventTimeoutMs,
   isRunLost,
   type ServerReport,
 } from '../../../../domain/forwarding';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
@@ -41,21 +41,21 @@
 ): number => {
   const { request, route, service } = run.context;
   const samples = run.paces.listFirstTokens(service);
-  const slowest = computePrefillLimitMs(samples, countPromptTokens(request), { serverDead: true });
-  return computeEventLimit({
+  const slowest = computePrefillLimits(samples, countPromptTokens(request), { isServerDead: true });
+  return computeEventTimeoutMs({
     hasDelivered: hasDeliveredEvent,
     hasCopy: hasHealthyCopy(run),
     isQueued: (report?.waiting ?? 0) > 0,
     gapGoalMs: route.gapGoalMs,
     latencyGoalMs: route.latencyGoalMs,
     slowestPrefillMs: slowest.confirmMs,
-    expectedMs: expectedFirstEventMs,
+    expectedFirstEventMs: expectedFirstEventMs,
   });
 };
 
 const computeProbeDelayMs = (run: StreamRun, attempt: StreamAttempt): number => {
   if (!attempt.hasDeliveredEvent) return PREFILL_PROBE_INTERVAL_MS;
-  const { suspectMs } = computeSilenceLimitMs(attempt.gaps, { serverDead: false });
+  const { suspectMs } = computeSilenceLimits(attempt.gaps, { isServerDead: false });
   return Math.min(suspectMs, run.context.route.gapGoalMs * PROBE_GAP_FRACTION);
 };
 
@@ -68,7 +68,7 @@
 export const startSilenceWatch = (
   run: StreamRun,
   attempt: StreamAttempt,
-  reader: Reader,
+  reader: ReaderId,
 ): (() => void) => {
   const { client, clock, directory, log } = run.dependencies;
   let isStopped = false;
@@ -95,7 +95,7 @@
       },
       attempt.server,
     );
-    run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
+    run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
     run.dispatch({ kind: 'silent', reader, confirmed: true });
   };
 
@@ -121,7 +121,7 @@
       report !== null &&
       isRunLost(report, run.context.request.requestId, {
         hasArrived: attempt.hasDeliveredEvent,
-        unqueuedMs: Math.max(0, clock.readMonotonicMs() - firstUnqueuedAtMs),
+        queueEmptyMs: Math.max(0, clock.readMonotonicMs() - firstUnqueuedAtMs),
         prefill: estimateRunPrefill(run),
       });
     // Reports lag: the first one may be older than the run.
--- a/src/application/forwarding/createCrashHistory/index.ts
+++ b/src/application/forwarding/createCrashHistory/index.ts
@@ -1,5 +1,5 @@
 import {
-  countCrashes,
+  countCrashedServers,
   type Quarantine,
   type RunOutcome,
   type SharedOutcome,
@@ -91,7 +91,7 @@
   const readQuarantineMs = (fingerprint: string): number => {
     if (!outcomesByFingerprint.has(fingerprint)) return 0;
     const crashes = listCrashes(fingerprint);
-    if (countCrashes(crashes) < MAX_CRASHES) return 0;
+    if (countCrashedServers(crashes) < MAX_CRASHES) return 0;
     return Math.max(0, readNewestMs(crashes) + QUARANTINE_MS - clock.readMonotonicMs());
   };
 
@@ -138,7 +138,7 @@
       server: outcome.server,
       source,
       ageMs: Math.round(clock.readMonotonicMs() - outcome.atMs),
-      crashes: countCrashes(listCrashes(fingerprint)),
+      crashes: countCrashedServers(listCrashes(fingerprint)),
       isQuarantined,
     });
     if (isQuarantined && !wasQuarantined) {
--- a/src/application/forwarding/createCrashProbe/index.ts
+++ b/src/application/forwarding/createCrashProbe/index.ts
@@ -1,5 +1,5 @@
 import {
-  chooseForwardServer,
+  chooseLeastLoadedServer,
   formatIncarnation,
   type RunOutcome,
   type ServerEntry,
@@ -57,7 +57,7 @@
   };
 
   const findControlServer = (service: string, excludedId: string): ServerEntry | null =>
-    chooseForwardServer(directory.listServing(service), {
+    chooseLeastLoadedServer(directory.listServing(service), {
       excludedIds: new Set([excludedId]),
       avoidedZone: null,
       preferredZone: null,
--- a/src/application/forwarding/createForwarder/index.ts
+++ b/src/application/forwarding/createForwarder/index.ts
@@ -2,7 +2,7 @@
   checkRequestKey,
   chooseTarget,
   computePriority,
-  computeReturnMs,
+  computeRetryAfterMs,
   findRoute,
   isReturning,
   RouteKind,
@@ -65,7 +65,7 @@
     const table = tables.readCurrent();
     if (!table) {
       const reason = 'no configuration is known yet';
-      const retryAfterMs = computeReturnMs({
+      const retryAfterMs = computeRetryAfterMs({
         waitMs: NO_CONFIGURATION_RETRY_MS,
         outageMs: (clock.readMonotonicMs() - startedAtMs) * OUTAGE_FACTOR,
         leftMs: request.deadlineMs ?? Infinity,
@@ -97,8 +97,8 @@
       priority: computePriority(route, access.value.holder),
       isReturning: isReturning({
         deadlineMs: request.deadlineMs,
-        longestMs,
-        shortestReturnMs: route.latencyGoalMs * SHORTEST_RETURN_FRACTION,
+        longestDeadlineMs: longestMs,
+        minRetryAfterMs: route.latencyGoalMs * SHORTEST_RETURN_FRACTION,
       }),
       servers: rollouts.openRequest({ service, route: route.name }),
       reply,
--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -1,4 +1,4 @@
-import { formatIncarnation, isAddressKept, type ServerEntry } from '../../../domain/forwarding';
+import { formatIncarnation, isAddressReserved, type ServerEntry } from '../../../domain/forwarding';
 import type { ServerRecord, PeerPrompt } from '../_lib/buildServerRecord';
 import { buildServerStatus } from '../_lib/buildServerStatus';
 import { createServerRecords, type ServerRecordsDependencies } from '../_lib/createServerRecords';
@@ -171,9 +171,13 @@
       const record = records.find(id);
       if (!record) return;
       records.endServer(id);
-      const { aliveAtMs, entry } = record;
-      const times = { aliveAtMs, nowMs: clock.readMonotonicMs(), reuseAfterMs };
-      if (successorId === null || !isAddressKept(times)) return;
+      const { aliveAtMs: lastAnswerAtMs, entry } = record;
+      const times = {
+        lastAnswerAtMs: lastAnswerAtMs,
+        nowMs: clock.readMonotonicMs(),
+        reuseAfterMs,
+      };
+      if (successorId === null || !isAddressReserved(times)) return;
       const successor = { ...entry, id: successorId, isLeaving: false, bornMs: null };
       if (records.addInferred(successor, 'met')) handleInferred(successor);
     },
@@ -196,7 +200,8 @@
         .filter(({ aliveAtMs, isInferred, consecutiveSuspicions }) =>
           isInferred
             ? nowMs - aliveAtMs > INFERRED_CHECK_AFTER_MS
-            : consecutiveSuspicions > 0 && isAddressKept({ aliveAtMs, nowMs, reuseAfterMs }),
+            : consecutiveSuspicions > 0 &&
+              isAddressReserved({ lastAnswerAtMs: aliveAtMs, nowMs, reuseAfterMs }),
         )
         .map(({ entry }) => entry);
     },
--- a/src/application/forwarding/createServerDirectory/test.ts
+++ b/src/application/forwarding/createServerDirectory/test.ts
@@ -82,10 +82,10 @@
   const releaseCopy = directory.addCopy('a');
   const read = () => directory.listServing('s')[0];
   t.is(read()?.running, 1);
-  t.is(read()?.prefillTokens, 8000);
+  t.is(read()?.pendingPrefillTokens, 8000);
   t.is(read()?.copies, 1);
   work.recordFirstEvent();
-  t.is(read()?.prefillTokens, 0);
+  t.is(read()?.pendingPrefillTokens, 0);
   work.release();
   work.release();
   releaseCopy();
--- a/src/application/forwarding/types/ForwardContext.ts
+++ b/src/application/forwarding/types/ForwardContext.ts
@@ -1,5 +1,5 @@
 import type { ForwardedRequest, KeyHolder, Route } from '../../../domain/forwarding';
-import type { RequestServers } from '../../rollouts';
+import type { EligibleServers } from '../../rollouts';
 import type { CallerReply } from './CallerReply';
 
 /** A request that is being forwarded. */
@@ -13,7 +13,7 @@
   /** True if the caller retries after a refusal. Such a caller does not retry a second time. */
   readonly isReturning: boolean;
   /** Servers that may serve the request. */
-  readonly servers: RequestServers;
+  readonly servers: EligibleServers;
   readonly reply: CallerReply;
   /** Monotonic time at which the caller, or the route, stops waiting. */
   readonly deadlineAtMs: number;
--- a/src/application/forwarding/types/ForwardingDependencies.ts
+++ b/src/application/forwarding/types/ForwardingDependencies.ts
@@ -1,6 +1,6 @@
 import type { Clock, EventLog, ForwardClient, Randomness } from '../../ports';
 import type { PermitClient, ServerLimits } from '../../limits';
-import type { Rollouts } from '../../rollouts';
+import type { RolloutRegistry } from '../../rollouts';
 import type { CrashProbe } from '../createCrashProbe';
 import type { CrashHistory } from '../createCrashHistory';
 import type { RetryBudget } from '../createRetryBudget';
@@ -24,7 +24,7 @@
   readonly meter: ForwardingMeter;
   readonly randomness: Randomness;
   readonly retries: RetryBudget;
-  readonly rollouts: Pick<Rollouts, 'openRequest'>;
+  readonly rollouts: Pick<RolloutRegistry, 'openRequest'>;
   readonly lender: RetryLender;
   readonly tables: RouteTableHolder;
   /** Tells other VMs that a prompt was just sent to a server. */
--- a/src/application/forwarding/types/ServerDirectory.ts
+++ b/src/application/forwarding/types/ServerDirectory.ts
@@ -1,12 +1,12 @@
 import type { ServerEntry, ServerLoad, ServerStatus } from '../../../domain/forwarding';
 import type { SharedRow } from '../../ports';
-import type { RowsInfo } from '../../rows';
+import type { RowsOrigin } from '../../rows';
 import type { ServerWork, ServerWorkOptions } from '../_lib/startServerWork';
 import type { SuspicionCause } from './SuspicionCause';
 
 /** The known backend servers, their health and the work that this VM has at each. */
 export interface ServerDirectory {
-  applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
+  applyRows(rows: readonly SharedRow[], info: RowsOrigin): void;
   /** Lists the servers of a service that accept new work. */
   listServing(service: string): readonly ServerStatus[];
   /** Finds a server that accepts new work; null if it is leaving, paused or gone. */
--- a/src/application/generations/_lib/computeAttemptLimits/index.ts
+++ b/src/application/generations/_lib/computeAttemptLimits/index.ts
@@ -1,6 +1,6 @@
 import {
-  computePrefillLimitMs,
-  computeSilenceLimitMs,
+  computePrefillLimits,
+  computeSilenceLimits,
   type FirstTokenSample,
   type SilenceLimits,
 } from '../../../../domain/detection';
@@ -35,15 +35,17 @@
     _handle,
     { firstTokens, promptCharacters, serverActive, serverDead },
   ) => {
-    const limits = computePrefillLimitMs(firstTokens, promptCharacters, { serverDead });
+    const limits = computePrefillLimits(firstTokens, promptCharacters, {
+      isServerDead: serverDead,
+    });
     const factor = serverActive ? QUEUED_FACTOR : 1;
     return { suspectMs: limits.suspectMs * factor, confirmMs: limits.confirmMs * factor };
   },
   [AttemptPhase.Streaming]: (handle, { serverDead }) =>
-    computeSilenceLimitMs(handle.gaps, { serverDead }),
+    computeSilenceLimits(handle.gaps, { isServerDead: serverDead }),
   [AttemptPhase.Resuming]: (handle) => {
     if (handle.gaps.count === 0) return RESUME_LIMITS;
-    const own = computeSilenceLimitMs(handle.gaps, { serverDead: false });
+    const own = computeSilenceLimits(handle.gaps, { isServerDead: false });
     return {
       suspectMs: Math.max(RESUME_LIMITS.suspectMs, own.suspectMs),
       confirmMs: Math.max(RESUME_LIMITS.confirmMs, own.confirmMs),
--- a/src/application/generations/_lib/convertEngineError/index.ts
+++ b/src/application/generations/_lib/convertEngineError/index.ts
@@ -1,4 +1,4 @@
-import type { GenerationInput, Reader } from '../../../../domain/generation';
+import type { GenerationInput, ReaderId } from '../../../../domain/generation';
 import type { EngineError } from '../../../ports';
 
 /** Reasons of the engine client that mean that no connection could be made. */
@@ -7,7 +7,7 @@
 type Converters = {
   readonly [Kind in EngineError['kind']]: (
     error: Extract<EngineError, { kind: Kind }>,
-    reader: Reader,
+    reader: ReaderId,
   ) => GenerationInput;
 };
 
@@ -31,10 +31,10 @@
  * @param reader - Attempt and connection that it came from.
  * @returns Input of the generation.
  */
-export const convertEngineError = (error: EngineError, reader: Reader): GenerationInput => {
+export const convertEngineError = (error: EngineError, reader: ReaderId): GenerationInput => {
   const convert = CONVERTERS[error.kind] as (
     converted: EngineError,
-    from: Reader,
+    from: ReaderId,
   ) => GenerationInput;
   return convert(error, reader);
 };
--- a/src/application/generations/_lib/createAnswerRun/index.ts
+++ b/src/application/generations/_lib/createAnswerRun/index.ts
@@ -51,6 +51,6 @@
       deadlineMs: Infinity,
       log,
     },
-    { ...createGenerationState(policy, { offset }), phase: 'finished', sent: true },
+    { ...createGenerationState(policy, { offset }), phase: 'finished', mayHaveStarted: true },
   );
 };
--- a/src/application/generations/_lib/readStream/index.ts
+++ b/src/application/generations/_lib/readStream/index.ts
@@ -1,5 +1,5 @@
 import { updateGapStatistics } from '../../../../domain/detection';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import { BackendHealth, type TokenBatch } from '../../../../domain/types';
 import type { EngineStream } from '../../../ports';
 import type { AttemptHandle, RunContext } from '../../types';
@@ -49,7 +49,7 @@
 export const readStream = async (
   context: RunContext,
   handle: AttemptHandle,
-  reader: Reader,
+  reader: ReaderId,
   stream: EngineStream,
 ): Promise<void> => {
   for await (const result of stream.batches) {
--- a/src/application/generations/_lib/startAttempt/index.ts
+++ b/src/application/generations/_lib/startAttempt/index.ts
@@ -1,5 +1,5 @@
 import { err, ok, type Result } from 'neverthrow';
-import type { GenerationEffect, Reader } from '../../../../domain/generation';
+import type { GenerationEffect, ReaderId } from '../../../../domain/generation';
 import {
   RefusalCode,
   type GenerationRequest,
@@ -48,7 +48,7 @@
 const sendAttempt = async (
   context: RunContext,
   handle: AttemptHandle,
-  reader: Reader,
+  reader: ReaderId,
   options: { readonly request: GenerationRequest; readonly service: Service; readonly slot: Slot },
 ): Promise<void> => {
   const { dependencies } = context;
--- a/src/application/gossip/_lib/createMemberList/index.ts
+++ b/src/application/gossip/_lib/createMemberList/index.ts
@@ -1,4 +1,8 @@
-import { choosePartners, computeNameId, FULL_MESH_VMS } from '../../../../domain/membership';
+import {
+  chooseGossipPartners,
+  computeNameId,
+  MAX_FULL_MESH_VMS,
+} from '../../../../domain/membership';
 import type { Clock } from '../../../ports';
 import type { Knowledge, Member } from '../../types';
 
@@ -26,7 +30,7 @@
   /** Those to exchange news with: all of a small fleet, some of a large one, always the same. */
   listPartners(): readonly Member[];
   /** True: news must be passed on, as each VM tells some others only. */
-  isLarge(): boolean;
+  needsRelay(): boolean;
 }
 
 /**
@@ -93,12 +97,12 @@
     listLive,
     listPartners: () => {
       const live = listLive();
-      if (live.length < FULL_MESH_VMS) return live;
+      if (live.length < MAX_FULL_MESH_VMS) return live;
       const candidates = live.map(({ vm }) => ({ vm, failedAtMs: failedAtMs.get(vm) ?? null }));
       const options = { nowMs: clock.readMonotonicMs(), backoffMs: PARTNER_BACKOFF_MS };
-      const chosen = new Set(choosePartners(self, candidates, options));
+      const chosen = new Set(chooseGossipPartners(self, candidates, options));
       return live.filter(({ vm }) => chosen.has(vm));
     },
-    isLarge: () => listLive().length >= FULL_MESH_VMS,
+    needsRelay: () => listLive().length >= MAX_FULL_MESH_VMS,
   };
 };
--- a/src/application/gossip/_lib/createNewsGatherer/index.ts
+++ b/src/application/gossip/_lib/createNewsBatcher/index.ts
@@ -18,18 +18,18 @@
 };
 
 /** What a gatherer needs. */
-export interface NewsGathererDependencies {
+export interface NewsBatcherDependencies {
   readonly clock: Clock;
   /** Tells others what was gathered. */
-  readonly tell: (news: News) => void;
+  readonly sendNews: (news: News) => void;
 }
 
 /** Gathers news for a moment, so that what comes together is told together. */
-export interface NewsGatherer {
+export interface NewsBatcher {
   /** Takes news that are to be told; those told within the last second are left out. */
-  gather(news: News): void;
+  addNews(news: News): void;
   /** Takes note that others know of these already. */
-  recordPassed(news: News): void;
+  recordRelayed(news: News): void;
   stop(): void;
 }
 
@@ -71,7 +71,7 @@
 const countNews = (news: News): number => listKeys(news).length;
 
 /** Creates a gatherer; nothing waits to be told. */
-export const createNewsGatherer = ({ clock, tell }: NewsGathererDependencies): NewsGatherer => {
+export const createNewsBatcher = ({ clock, sendNews }: NewsBatcherDependencies): NewsBatcher => {
   /** By server or VM: when news of it was passed on last. */
   const passedAtMs = new Map<string, number>();
   let waiting: News = NO_NEWS;
@@ -111,12 +111,12 @@
       waiting = NO_NEWS;
       dueMs = Infinity;
       cancelTimer = null;
-      if (!isStopped) tell(gathered);
+      if (!isStopped) sendNews(gathered);
     });
   };
 
   return {
-    gather: (news) => {
+    addNews: (news) => {
       dropOldPassed();
       const fresh = filterNew(news);
       if (countNews(fresh) === 0) return;
@@ -125,7 +125,7 @@
       waiting = buildNews((kind) => [...before[kind], ...fresh[kind]]);
       schedule(countNews(fresh) > fresh.members.length ? GATHER_MS : GATHER_MEMBERS_MS);
     },
-    recordPassed,
+    recordRelayed: recordPassed,
     stop: () => {
       isStopped = true;
       cancelTimer?.();
--- a/src/application/gossip/_lib/drawSome/index.ts
+++ b/src/application/gossip/_lib/drawSample/index.ts
@@ -1,7 +1,7 @@
 import type { Randomness } from '../../../ports';
 
 /** Draws up to `count` different items at random, each as likely as any other. */
-export const drawSome = <T>(
+export const drawSample = <T>(
   items: readonly T[],
   count: number,
   randomness: Randomness,
--- a/src/application/gossip/_lib/listTableChanges/index.ts
+++ b/src/application/gossip/_lib/listTableChanges/index.ts
@@ -1,8 +1,8 @@
-import type { PassedRows, TableChanges } from '../../types';
+import type { RelayedRows, TableChanges } from '../../types';
 
 /** Lists the changes that a VM lacks which named these versions, table by table. */
 export const listTableChanges = (
-  followers: ReadonlyMap<string, PassedRows>,
+  followers: ReadonlyMap<string, RelayedRows>,
   versions: ReadonlyMap<string, number> | undefined,
 ): TableChanges[] =>
   [...followers].flatMap(([table, follower]) => {
--- a/src/application/gossip/_lib/recordJoined/index.ts
+++ b/src/application/gossip/_lib/logJoinedMembers/index.ts
@@ -5,7 +5,7 @@
 const MAX_LOGGED_MEMBERS = 10;
 
 /** Writes one line of the VMs that a message made known, if there are any. */
-export const recordJoined = (log: EventLog, from: string, joined: readonly Member[]): void => {
+export const logJoinedMembers = (log: EventLog, from: string, joined: readonly Member[]): void => {
   if (joined.length === 0) return;
   const named = joined.slice(0, MAX_LOGGED_MEMBERS);
   const peers = named.map(({ address, vm }) => `${vm} ${address}`).join(', ');
--- a/src/application/gossip/createGossip/index.ts
+++ b/src/application/gossip/createGossip/index.ts
@@ -4,10 +4,10 @@
 import { startLoop } from '../../time';
 import { computeOutcomesDigest } from '../_lib/computeOutcomesDigest';
 import { createMemberList } from '../_lib/createMemberList';
-import { createNewsGatherer, NO_NEWS, type News } from '../_lib/createNewsGatherer';
-import { drawSome } from '../_lib/drawSome';
+import { createNewsBatcher, NO_NEWS, type News } from '../_lib/createNewsBatcher';
+import { drawSample } from '../_lib/drawSample';
 import { listTableChanges } from '../_lib/listTableChanges';
-import { recordJoined } from '../_lib/recordJoined';
+import { logJoinedMembers } from '../_lib/logJoinedMembers';
 import type { GossipDependencies, Knowledge, Member } from '../types';
 
 /** Passes on what this VM knows, and learns what others know. */
@@ -99,12 +99,12 @@
   });
 
   let tell: (gathered: News) => void = () => undefined;
-  const gatherer = createNewsGatherer({ clock, tell: (gathered) => tell(gathered) });
+  const gatherer = createNewsBatcher({ clock, sendNews: (gathered) => tell(gathered) });
 
   const mergeKnowledge = (taken: Knowledge): void => {
     const joined = [taken.sender, ...taken.members].filter((member) => members.record(member));
     members.recordHeard(taken.heard);
-    recordJoined(log, taken.sender.vm, joined);
+    logJoinedMembers(log, taken.sender.vm, joined);
     versionsOf.set(taken.sender.vm, taken.versions);
     taken.changes.forEach(({ after, rows, table, version }) =>
       followers.get(table)?.mergeChanges({ rows, version }, after),
@@ -115,15 +115,15 @@
     const fresh = taken.outcomes.filter(outcomes.mergeOutcome);
     const changed = taken.verdicts.filter(verdicts.mergeVerdict);
     const limited = taken.limits.filter(limits.mergeLimit);
-    if (members.isLarge()) {
-      gatherer.gather({
+    if (members.needsRelay()) {
+      gatherer.addNews({
         ...taken,
         members: joined,
         outcomes: fresh,
         verdicts: changed,
         limits: limited,
       });
-    } else gatherer.recordPassed({ ...taken, members: [] });
+    } else gatherer.recordRelayed({ ...taken, members: [] });
   };
 
   const askMembers = (knowledge: Knowledge): Knowledge => ({
@@ -151,13 +151,13 @@
 
   const exchangeOnce = async (): Promise<void> => {
     // One that is cut off asks any: its partners may be cut off as well.
-    const [drawn] = drawSome(
+    const [drawn] = drawSample(
       isCutOff() ? members.listLive() : members.listPartners(),
       1,
       randomness,
     );
     const seeds = seedAddresses.filter((address) => address !== self.address);
-    const [seed] = drawSome(seeds, 1, randomness);
+    const [seed] = drawSample(seeds, 1, randomness);
     const wantsSeed = drawn === undefined || randomness.readFraction() < SEED_CHANCE;
     if (seed !== undefined && wantsSeed) await exchange(seed, null, NO_NEWS);
     else if (drawn) await exchange(drawn.address, drawn.vm, NO_NEWS);
@@ -200,7 +200,7 @@
       mergeKnowledge(taken);
       if (!taken.isMembersAsked) return buildKnowledge(taken.versions, NO_NEWS);
       const missing = members.listMissing(taken.heard).filter(({ vm }) => vm !== taken.sender.vm);
-      const told = drawSome(missing, MAX_TOLD_MEMBERS, randomness);
+      const told = drawSample(missing, MAX_TOLD_MEMBERS, randomness);
       const answer = buildKnowledge(taken.versions, { ...NO_NEWS, members: told });
       const isSame = answer.outcomesDigest === taken.outcomesDigest;
       return {
@@ -210,14 +210,14 @@
       };
     },
     sendSuspicion: (server, cause) => {
-      gatherer.gather({ ...NO_NEWS, suspicions: [{ server, cause, ageMs: 0 }] });
+      gatherer.addNews({ ...NO_NEWS, suspicions: [{ server, cause, ageMs: 0 }] });
     },
-    sendInferred: (server) => gatherer.gather({ ...NO_NEWS, inferred: [server] }),
-    sendOutcome: (outcome) => gatherer.gather({ ...NO_NEWS, outcomes: [outcome] }),
-    sendVerdict: (verdict) => gatherer.gather({ ...NO_NEWS, verdicts: [verdict] }),
-    sendLimit: (limit) => gatherer.gather({ ...NO_NEWS, limits: [limit] }),
+    sendInferred: (server) => gatherer.addNews({ ...NO_NEWS, inferred: [server] }),
+    sendOutcome: (outcome) => gatherer.addNews({ ...NO_NEWS, outcomes: [outcome] }),
+    sendVerdict: (verdict) => gatherer.addNews({ ...NO_NEWS, verdicts: [verdict] }),
+    sendLimit: (limit) => gatherer.addNews({ ...NO_NEWS, limits: [limit] }),
     drawAddresses: (count) =>
-      drawSome(members.listLive(), count, randomness).map(({ address }) => address),
+      drawSample(members.listLive(), count, randomness).map(({ address }) => address),
     listMembers: members.listLive,
     countVms: () => members.listLive().length + 1,
   };
--- a/src/application/gossip/index.ts
+++ b/src/application/gossip/index.ts
@@ -3,8 +3,8 @@
   GossipCalls,
   Knowledge,
   Member,
-  PassedOutcomes,
-  PassedRows,
+  RelayedOutcomes,
+  RelayedRows,
   SharedSuspicion,
   TableChanges,
 } from './types';
--- a/src/application/gossip/types/GossipDependencies.ts
+++ b/src/application/gossip/types/GossipDependencies.ts
@@ -1,8 +1,8 @@
 import type { ServerEntry } from '../../../domain/forwarding';
 import type { GossipedLimits } from '../../limits';
 import type { Clock, EventLog, Randomness } from '../../ports';
-import type { PassedVerdicts } from '../../rollouts';
-import type { GossipCalls, Member, PassedOutcomes, PassedRows, SharedSuspicion } from '.';
+import type { VerdictGossip } from '../../rollouts';
+import type { GossipCalls, Member, RelayedOutcomes, RelayedRows, SharedSuspicion } from '.';
 
 /** What gossip needs. */
 export interface GossipDependencies {
@@ -11,11 +11,11 @@
   readonly seedAddresses: readonly string[];
   readonly calls: GossipCalls;
   /** Followers whose rows are passed on, by table. */
-  readonly followers: ReadonlyMap<string, PassedRows>;
+  readonly followers: ReadonlyMap<string, RelayedRows>;
   /** What is known of requests that end their servers. */
-  readonly outcomes: PassedOutcomes;
+  readonly outcomes: RelayedOutcomes;
   /** What is known of roll-outs. */
-  readonly verdicts: PassedVerdicts;
+  readonly verdicts: VerdictGossip;
   /** What is known of servers' rate limits. */
   readonly limits: GossipedLimits;
   readonly clock: Clock;
--- a/src/application/gossip/types/index.ts
+++ b/src/application/gossip/types/index.ts
@@ -65,14 +65,14 @@
 }
 
 /** What gossip asks of the history of crashes. */
-export interface PassedOutcomes {
+export interface RelayedOutcomes {
   /** True if it was news. */
   mergeOutcome(outcome: SharedOutcome): boolean;
   listOutcomes(): readonly SharedOutcome[];
 }
 
 /** What gossip asks of a follower whose rows it passes on. */
-export type PassedRows = Pick<
+export type RelayedRows = Pick<
   RowFollower,
   'isStoreReachable' | 'listChanges' | 'mergeChanges' | 'readVersion'
 >;
--- a/src/application/keeper/createKeeper/index.ts
+++ b/src/application/keeper/createKeeper/index.ts
@@ -166,8 +166,8 @@
       fencingToken,
       nowMs,
       maxLoads: deps.maxLoads,
-      resendMs: RESEND_MS,
-      besideMs: BESIDE_MS,
+      resendAfterMs: RESEND_MS,
+      sideBySideTimeoutMs: BESIDE_MS,
       loadsBlocked: nowMs < loadsBlockedUntilMs,
     });
     removeFulfilled(states, plan);
--- a/src/application/lease/createLeaseHolder/index.ts
+++ b/src/application/lease/createLeaseHolder/index.ts
@@ -1,16 +1,16 @@
 import type { Result } from 'neverthrow';
 import {
-  addLeaseSighting,
+  updateLeaseObservation,
   decodeLeaseRow,
   encodeLeaseRow,
   isOrderAllowed,
   isTakeoverDue,
   LEASE_DURATION_MS,
   ORDER_MARGIN_MS,
-  RENEW_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
   TAKEOVER_MARGIN_MS,
 } from '../../../domain/lease';
-import type { HeldLease, LeaseRow, LeaseSighting } from '../../../domain/lease';
+import type { HeldLease, LeaseRow, LeaseObservation } from '../../../domain/lease';
 import type {
   Clock,
   EventLog,
@@ -78,7 +78,7 @@
   const { region, vm, table, clock, randomness, log } = deps;
   const holder = `${vm}-${randomness.readHex(HOLDER_ID_BYTES)}`;
   let held: HeldLease | null = null;
-  let sighting: LeaseSighting | null = null;
+  let sighting: LeaseObservation | null = null;
   let leastRevision = 0;
   let stopped = false;
   let cancelTimer = (): void => {};
@@ -105,7 +105,7 @@
       return false;
     }
     const row = decoded === null ? null : decoded.unwrapOr(null);
-    sighting = addLeaseSighting(sighting, row, clock.readMonotonicMs());
+    sighting = updateLeaseObservation(sighting, row, clock.readMonotonicMs());
     return true;
   };
   const isWritten = async (
@@ -132,7 +132,7 @@
     if (stopped) return;
     if (held === null) log.info('lease taken', { region, revision });
     held = { revision, renewedAtMs, durationMs };
-    sighting = addLeaseSighting(sighting, row, clock.readMonotonicMs());
+    sighting = updateLeaseObservation(sighting, row, clock.readMonotonicMs());
   };
   const runTurn = async (): Promise<void> => {
     const isRead = await readRow();
@@ -144,7 +144,10 @@
     }
     if (stopped) return;
     const jitter = 1 + WATCH_JITTER * (2 * randomness.readFraction() - 1);
-    cancelTimer = clock.startTimer(held === null ? WATCH_MS * jitter : RENEW_MS, runTurn);
+    cancelTimer = clock.startTimer(
+      held === null ? WATCH_MS * jitter : LEASE_RENEWAL_INTERVAL_MS,
+      runTurn,
+    );
   };
 
   return {
--- a/src/application/limits/createLimitOwner/index.ts
+++ b/src/application/limits/createLimitOwner/index.ts
@@ -71,7 +71,7 @@
         sentAtMs: window.sentAtMs,
         limitPerS: Math.min(limitPerS, limits.readLimitPerS(server) ?? Infinity),
         nowMs,
-        askers: recentAskers.length,
+        askingVms: recentAskers.length,
         draw: randomness.readFraction(),
         slack: isConfirmation ? CONFIRMATION_SLACK_REQUESTS : 0,
       });
--- a/src/application/membership/_lib/createRegistration/index.ts
+++ b/src/application/membership/_lib/createRegistration/index.ts
@@ -1,7 +1,7 @@
 import { decodeRegistration, encodeRegistration } from '../../../../domain/membership';
 import type { PeerRecord } from '../../../../domain/membership';
 import type { Clock, EventLog, Randomness, TableItem, TableStore } from '../../../ports';
-import type { MemberSources } from '../../../peers';
+import type { MemberDiscovery } from '../../../peers';
 
 /** Partition of the registration rows. */
 export const VM_PARTITION = 'vm';
@@ -21,7 +21,7 @@
 export interface RegistrationDependencies {
   readonly readSelf: () => PeerRecord;
   readonly table: TableStore;
-  readonly members: MemberSources;
+  readonly members: MemberDiscovery;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
--- a/src/application/membership/_lib/createVmListPoller/index.ts
+++ b/src/application/membership/_lib/createVmListPoller/index.ts
@@ -1,6 +1,6 @@
 import type { VmRecord } from '../../../../domain/types';
 import type { Clock, EventLog, HealthRegistry, Randomness, VmList } from '../../../ports';
-import type { MemberSources } from '../../../peers';
+import type { MemberDiscovery } from '../../../peers';
 
 /** Mean time between two chances to poll the list. */
 export const LIST_ROUND_MS = 2_000;
@@ -15,7 +15,7 @@
 export interface VmListPollerDependencies {
   readonly self: string;
   readonly vmList: VmList;
-  readonly members: MemberSources;
+  readonly members: MemberDiscovery;
   readonly health: HealthRegistry | null;
   readonly clock: Clock;
   readonly randomness: Randomness;
--- a/src/application/peers/_lib/createNewsTaker/index.ts
+++ b/src/application/peers/_lib/createFactMerger/index.ts
@@ -6,13 +6,13 @@
 import type { Fact, LoadFact, ServerStateFact } from '../../../../domain/membership';
 import { isNewerReport } from '../../../../domain/load';
 import type { HealthRegistry, LoadView } from '../../../ports';
-import type { FactBoard } from '../createFactBoard';
+import type { FactStore } from '../createFactStore';
 import type { MemberTable } from '../createMemberTable';
 
 /** What the taker needs. */
-export interface NewsTakerDependencies {
+export interface FactMergerDependencies {
   readonly self: string;
-  readonly board: FactBoard;
+  readonly factStore: FactStore;
   readonly members: MemberTable;
   readonly health: HealthRegistry | null;
   readonly load: LoadView | null;
@@ -27,8 +27,8 @@
 }
 
 /** Takes facts that a peer told. */
-export interface NewsTaker {
-  recordFacts(facts: readonly Fact[], origin: FactOrigin): void;
+export interface FactMerger {
+  mergeFacts(facts: readonly Fact[], origin: FactOrigin): void;
   /** The held state of a server's report by its name id. */
   findServerName(id: number): string | null;
   /** Remembers a server's name, so that facts with its id are understood. */
@@ -46,8 +46,8 @@
  * Creates the taker of peers' facts: what is new goes to the ports and on the board, from which it
  * is passed on; what is old changes nothing.
  */
-export function createNewsTaker(deps: NewsTakerDependencies): NewsTaker {
-  const { board, members, health, load, readNowMs } = deps;
+export function createFactMerger(deps: FactMergerDependencies): FactMerger {
+  const { factStore, members, health, load, readNowMs } = deps;
   const serverNames = new Map<number, string | null>();
 
   const addServerName = (backendServer: string): void => {
@@ -59,22 +59,22 @@
 
   const recordLoad = (fact: LoadFact, origin: FactOrigin): void => {
     const name = findServerName(fact.id);
-    const state = name === null ? null : board.find(`state:${name}`);
-    const held = board.find(`load:${name}`);
+    const state = name === null ? null : factStore.find(`state:${name}`);
+    const held = factStore.find(`load:${name}`);
     if (state?.kind !== 'server-state') return;
     const report = convertFactsToReport(state, fact, readNowMs());
     const known = held?.kind === 'load' ? convertFactsToReport(state, held, readNowMs()) : null;
     if (!isNewerReport(report, known)) return;
-    board.write(`load:${name}`, fact, origin.vm);
+    factStore.write(`load:${name}`, fact, origin.vm);
     load?.recordReport(report);
   };
 
   const recordServerState = (fact: ServerStateFact, origin: FactOrigin): void => {
     addServerName(fact.backendServer);
     const key = `state:${fact.backendServer}`;
-    const held = board.find(key);
+    const held = factStore.find(key);
     if (JSON.stringify(held) === JSON.stringify(fact)) return;
-    board.write(key, fact, origin.vm);
+    factStore.write(key, fact, origin.vm);
     // Both ways: a server replaced under its name must get work again.
     const wasLeaving = held?.kind === 'server-state' && held.leaving;
     if (fact.leaving !== wasLeaving) health?.recordLeaving(fact.backendServer, fact.leaving);
@@ -85,7 +85,7 @@
   const handlers: Handlers = {
     peer: ({ record }, origin) => {
       if (record.vm === deps.self || !members.mergeRecord(record)) return;
-      board.write(`peer:${record.vm}`, { kind: 'peer', record }, origin.vm);
+      factStore.write(`peer:${record.vm}`, { kind: 'peer', record }, origin.vm);
     },
     pulse: (fact, origin) => {
       const member = members.findById(fact.id);
@@ -98,32 +98,32 @@
       member.beats = fact.beats;
       // The first pulse seen may be a dead VM's last: only a rise proves that it lives.
       if (!isFirst && origin.writtenAfterMs !== null) member.heardAtMs = origin.writtenAfterMs;
-      board.write(`pulse:${member.record.vm}`, fact, origin.vm);
+      factStore.write(`pulse:${member.record.vm}`, fact, origin.vm);
     },
     region: (fact, origin) => {
       const key = `region:${fact.region}`;
-      const held = board.find(key);
+      const held = factStore.find(key);
       if (origin.writtenAfterMs === null) return;
       if (held?.kind === 'region' && held.ageMs <= fact.ageMs) return;
-      board.write(key, fact, origin.vm);
+      factStore.write(key, fact, origin.vm);
     },
     suspicion: ({ suspicion }, origin) => {
       const key = `suspicion:${suspicion.backendServer}`;
-      const held = board.find(key);
+      const held = factStore.find(key);
       const isKnown =
         held?.kind === 'suspicion' && JSON.stringify(held.suspicion) === JSON.stringify(suspicion);
       if (isKnown) return;
-      board.write(key, { kind: 'suspicion', suspicion }, origin.vm);
+      factStore.write(key, { kind: 'suspicion', suspicion }, origin.vm);
       health?.recordSuspicion(suspicion);
     },
     leaving: (fact, origin) => {
       const key = `leaving:${fact.backendServer}`;
-      if (board.find(key) !== null) return;
-      board.write(key, fact, origin.vm);
+      if (factStore.find(key) !== null) return;
+      factStore.write(key, fact, origin.vm);
       health?.recordLeaving(fact.backendServer, true);
     },
     recovery: ({ backendServer }) => {
-      board.remove(`suspicion:${backendServer}`);
+      factStore.remove(`suspicion:${backendServer}`);
       health?.recordRecovery(backendServer);
     },
     send: ({ id, running }, origin) => {
@@ -152,7 +152,7 @@
   };
 
   return {
-    recordFacts: (facts, origin) => {
+    mergeFacts: (facts, origin) => {
       facts.forEach((fact) => recordFact(fact, origin));
       // Also without change: the view drops the sends of a peer that says nothing.
       if (sends.has(origin.vm)) recordSends(origin.vm);
--- a/src/application/peers/_lib/createPusher/index.ts
+++ b/src/application/peers/_lib/createFactPusher/index.ts
@@ -8,15 +8,15 @@
 const PUSH_CONCURRENCY = 16;
 
 /** What the pusher needs. */
-export interface PusherDependencies {
+export interface FactPusherDependencies {
   readonly clock: Clock;
   readonly listReceivers: () => readonly string[];
   readonly sendFacts: (vm: string, facts: readonly Fact[]) => Promise<void>;
 }
 
 /** Sends urgent facts to all VMs of the region at once. */
-export interface Pusher {
-  sendSoon(fact: Fact): void;
+export interface FactPusher {
+  pushFact(fact: Fact): void;
   stop(): void;
 }
 
@@ -26,7 +26,7 @@
  * Without it a VM would hear of a dead engine only with its next rounds, and the generations there
  * would hang on until each of them saw the silence for itself.
  */
-export function createPusher(deps: PusherDependencies): Pusher {
+export function createFactPusher(deps: FactPusherDependencies): FactPusher {
   let pending: Fact[] = [];
   let cancelTimer = (): void => {};
 
@@ -37,7 +37,7 @@
   };
 
   return {
-    sendSoon: (fact) => {
+    pushFact: (fact) => {
       pending.push(fact);
       if (pending.length === 1) cancelTimer = deps.clock.startTimer(PUSH_DELAY_MS, sendPending);
     },
--- a/src/application/peers/_lib/createFactBoard/index.ts
+++ b/src/application/peers/_lib/createFactStore/index.ts
@@ -1,7 +1,7 @@
 import type { Fact } from '../../../../domain/membership';
 
 /** Facts for peers; each carries the change counter at which it came, so that only news is sent. */
-export interface FactBoard {
+export interface FactStore {
   /** Writes a fact in the place of the one with the same key. `from` is the VM it came from. */
   write(key: string, fact: Fact, from: string): void;
   remove(key: string): void;
@@ -9,12 +9,12 @@
   /** Monotonic time at which the fact was written here, in milliseconds, or null. */
   readWrittenAtMs(key: string): number | null;
   /** Facts that came after counter `since`, but for those that `receiver` itself sent. */
-  listSince(since: number, receiver: string): readonly HeldFact[];
+  listSince(since: number, receiver: string): readonly StoredFact[];
   readSequence(): number;
 }
 
 /** A fact with the VM that it came from. */
-export interface HeldFact {
+export interface StoredFact {
   readonly fact: Fact;
   readonly from: string;
 }
@@ -37,7 +37,7 @@
  * @param startSequence - first value of the change counter. Random, so that an acknowledgement
  * meant for an earlier process of this VM is told apart: it lies outside what this one has counted.
  */
-export function createFactBoard(startSequence: number, readNowMs: () => number): FactBoard {
+export function createFactStore(startSequence: number, readNowMs: () => number): FactStore {
   const entries = new Map<string, Entry>();
   let sequence = startSequence;
 
--- a/src/application/peers/_lib/createRounds/index.ts
+++ b/src/application/peers/_lib/createGossipRounds/index.ts
@@ -1,4 +1,4 @@
-import { choosePartners } from '../../../../domain/membership';
+import { chooseGossipPartners } from '../../../../domain/membership';
 import type { Fact, News, PeerRecord } from '../../../../domain/membership';
 import type { Clock, Randomness } from '../../../ports';
 import type { PeerCalls } from '../../types';
@@ -26,7 +26,7 @@
 const UNKNOWN_VM = '';
 
 /** What the rounds need. */
-export interface RoundsDependencies {
+export interface GossipRoundsDependencies {
   readonly seeds: readonly string[];
   readonly clock: Clock;
   readonly randomness: Randomness;
@@ -39,7 +39,7 @@
 }
 
 /** Exchanges news in rounds. */
-export interface Rounds {
+export interface GossipRounds {
   start(): void;
   stop(): void;
   /** VMs of the region to which a push goes. */
@@ -51,7 +51,7 @@
 }
 
 /** Creates the rounds. */
-export function createRounds(deps: RoundsDependencies): Rounds {
+export function createGossipRounds(deps: GossipRoundsDependencies): GossipRounds {
   const { clock, randomness, calls, members, view, writer, readSelf } = deps;
   let stopped = false;
   let cancelTimer = (): void => {};
@@ -76,7 +76,7 @@
     return chosen === undefined ? [] : [chosen.record.vm];
   };
   const chooseStable = (candidates: readonly Member[]): readonly string[] =>
-    choosePartners(
+    chooseGossipPartners(
       readSelf().vm,
       candidates.map(({ record, failedAtMs }) => ({ vm: record.vm, failedAtMs })),
       { nowMs: clock.readMonotonicMs(), backoffMs: PARTNER_BACKOFF_MS },
@@ -88,7 +88,7 @@
     return chooseRandom(members.list().filter((member) => !view.isHeard(member)));
   };
   const chooseElsewhere = (): readonly string[] => {
-    const probability = CROSS_REGION_EXCHANGES / view.countHeardHere();
+    const probability = CROSS_REGION_EXCHANGES / view.countHeardInRegion();
     if (randomness.readFraction() >= probability) return [];
     return chooseRandom(members.list().filter((member) => !isHere(member)));
   };
--- a/src/application/peers/_lib/createHealthSource/index.ts
+++ b/src/application/peers/_lib/createHealthPublisher/index.ts
@@ -1,16 +1,16 @@
 import { BackendHealth } from '../../../../domain/types';
 import type { Fact } from '../../../../domain/membership';
 import type { HealthRegistry } from '../../../ports';
-import type { FactBoard } from '../createFactBoard';
+import type { FactStore } from '../createFactStore';
 
 /** What the source needs. */
-export interface HealthSourceDependencies {
+export interface HealthPublisherDependencies {
   readonly self: string;
-  readonly board: FactBoard;
+  readonly factStore: FactStore;
   readonly health: HealthRegistry;
   /** True while a peer's facts are taken: changes made by them are not news of this VM. */
-  readonly isTaking: () => boolean;
-  readonly sendSoon: (fact: Fact) => void;
+  readonly isMerging: () => boolean;
+  readonly pushFact: (fact: Fact) => void;
 }
 
 type ChangeHandlers = Readonly<Record<BackendHealth, (backendServer: string) => void>>;
@@ -20,11 +20,11 @@
  *
  * @returns a function that stops it
  */
-export function createHealthSource(deps: HealthSourceDependencies): () => void {
-  const { self, board, health, sendSoon } = deps;
+export function createHealthPublisher(deps: HealthPublisherDependencies): () => void {
+  const { self, factStore, health, pushFact } = deps;
   const addFact = (key: string, fact: Fact): void => {
-    board.write(key, fact, self);
-    sendSoon(fact);
+    factStore.write(key, fact, self);
+    pushFact(fact);
   };
   const addSuspicion = (backendServer: string): void => {
     const suspicion = health
@@ -34,9 +34,9 @@
     addFact(`suspicion:${backendServer}`, { kind: 'suspicion', suspicion });
   };
   const removeSuspicion = (backendServer: string): void => {
-    if (board.find(`suspicion:${backendServer}`) === null) return;
-    board.remove(`suspicion:${backendServer}`);
-    sendSoon({ kind: 'recovery', backendServer });
+    if (factStore.find(`suspicion:${backendServer}`) === null) return;
+    factStore.remove(`suspicion:${backendServer}`);
+    pushFact({ kind: 'recovery', backendServer });
   };
   const handlers: ChangeHandlers = {
     [BackendHealth.Suspected]: addSuspicion,
@@ -47,10 +47,10 @@
     },
     [BackendHealth.Serving]: (backendServer) => {
       removeSuspicion(backendServer);
-      board.remove(`leaving:${backendServer}`);
+      factStore.remove(`leaving:${backendServer}`);
     },
   };
   return health.addListener((backendServer, state) => {
-    if (!deps.isTaking()) handlers[state](backendServer);
+    if (!deps.isMerging()) handlers[state](backendServer);
   });
 }
--- a/src/application/peers/_lib/createOwnFacts/index.ts
+++ b/src/application/peers/_lib/createLocalFacts/index.ts
@@ -2,12 +2,12 @@
   computeIncarnationTag,
   computeNameId,
   convertReportToFacts,
-  isLoadChanged,
+  isLoadUpdateDue,
 } from '../../../../domain/membership';
 import type { PeerRecord } from '../../../../domain/membership';
 import type { LoadReport } from '../../../../domain/types';
 import type { LoadView } from '../../../ports';
-import type { FactBoard } from '../createFactBoard';
+import type { FactStore } from '../createFactStore';
 
 /** A load report is passed on at least this often, however little it changes. */
 export const LOAD_REFRESH_MS = 2_000;
@@ -16,25 +16,25 @@
  * Shortest time between two reports of one server, for each server of the region: with 200 servers a
  * report is passed on each 3 s at most, which keeps the bytes within a node's budget.
  */
-export const LOAD_LEAST_MS_PER_SERVER = 15;
+export const LOAD_MIN_INTERVAL_MS_PER_SERVER = 15;
 
 /** What the own facts need. */
-export interface OwnFactsDependencies {
-  readonly board: FactBoard;
+export interface LocalFactsDependencies {
+  readonly factStore: FactStore;
   readonly load: LoadView | null;
   readonly readSelf: () => PeerRecord;
   readonly readNowMs: () => number;
 }
 
 /** Keeps this VM's own facts on the board. */
-export interface OwnFacts {
+export interface LocalFacts {
   /** Puts what changed since the last call on the board. */
   refresh(beats: number): void;
 }
 
 /** Creates the keeper of own facts. */
-export function createOwnFacts(deps: OwnFactsDependencies): OwnFacts {
-  const { board, load, readSelf, readNowMs } = deps;
+export function createLocalFacts(deps: LocalFactsDependencies): LocalFacts {
+  const { factStore, load, readSelf, readNowMs } = deps;
   const sends = new Map<string, number>();
   let pulsed = -1;
 
@@ -42,19 +42,24 @@
     const nowMs = readNowMs();
     const name = report.backendServer;
     const { state, load: fact } = convertReportToFacts(report, nowMs);
-    const onBoard = board.find(`load:${name}`);
+    const onBoard = factStore.find(`load:${name}`);
     const sent =
       onBoard?.kind === 'load'
-        ? { fact: onBoard, sentAtMs: board.readWrittenAtMs(`load:${name}`) ?? nowMs }
+        ? { fact: onBoard, sentAtMs: factStore.readWrittenAtMs(`load:${name}`) ?? nowMs }
         : null;
-    const leastMs = serverCount * LOAD_LEAST_MS_PER_SERVER;
-    const refreshMs = Math.max(LOAD_REFRESH_MS, leastMs);
-    const options = { slots: report.slots, nowMs, leastMs, refreshMs };
-    if (!isLoadChanged(sent, fact, options)) return;
-    if (JSON.stringify(board.find(`state:${name}`)) !== JSON.stringify(state)) {
-      board.write(`state:${name}`, state, readSelf().vm);
+    const minIntervalMs = serverCount * LOAD_MIN_INTERVAL_MS_PER_SERVER;
+    const refreshIntervalMs = Math.max(LOAD_REFRESH_MS, minIntervalMs);
+    const options = {
+      slots: report.slots,
+      nowMs,
+      minIntervalMs: minIntervalMs,
+      refreshIntervalMs: refreshIntervalMs,
+    };
+    if (!isLoadUpdateDue(sent, fact, options)) return;
+    if (JSON.stringify(factStore.find(`state:${name}`)) !== JSON.stringify(state)) {
+      factStore.write(`state:${name}`, state, readSelf().vm);
     }
-    board.write(`load:${name}`, fact, readSelf().vm);
+    factStore.write(`load:${name}`, fact, readSelf().vm);
   };
 
   const refreshSends = (): void => {
@@ -65,23 +70,23 @@
       const running = current.get(name) ?? 0;
       if (running === (sends.get(name) ?? 0)) return;
       sends.set(name, running);
-      board.write(`send:${name}`, { kind: 'send', id: computeNameId(name), running }, '');
+      factStore.write(`send:${name}`, { kind: 'send', id: computeNameId(name), running }, '');
     });
   };
 
   return {
     refresh: (beats) => {
       const record = readSelf();
-      const held = board.find(`peer:${record.vm}`);
+      const held = factStore.find(`peer:${record.vm}`);
       if (held?.kind !== 'peer' || JSON.stringify(held.record) !== JSON.stringify(record)) {
-        board.write(`peer:${record.vm}`, { kind: 'peer', record }, record.vm);
+        factStore.write(`peer:${record.vm}`, { kind: 'peer', record }, record.vm);
       }
       if (beats !== pulsed) {
         pulsed = beats;
         const incarnationTag = computeIncarnationTag(record.incarnation);
         const id = computeNameId(record.vm);
         const pulse = { kind: 'pulse', id, incarnationTag, beats } as const;
-        board.write(`pulse:${record.vm}`, pulse, record.vm);
+        factStore.write(`pulse:${record.vm}`, pulse, record.vm);
       }
       const reports = load?.listReports() ?? [];
       reports.forEach((report) => refreshReport(report, reports.length));
--- a/src/application/peers/_lib/createMemberSources/index.ts
+++ b/src/application/peers/_lib/createMemberDiscovery/index.ts
@@ -1,37 +1,37 @@
 import type { VmRecord } from '../../../../domain/types';
 import type { Clock } from '../../../ports';
-import type { FactBoard } from '../createFactBoard';
+import type { FactStore } from '../createFactStore';
 import type { MemberTable } from '../createMemberTable';
-import { FORGET_LIMIT_MS } from '../createMembershipView';
+import { FORGET_TIMEOUT_MS } from '../createMembershipView';
 import type { PartnerTable } from '../createPartnerTable';
 
 /** Who names VMs from outside: the platform's list, or the registrations in the table. */
-export type MemberSource = 'list' | 'registrations';
+export type DiscoverySource = 'list' | 'registrations';
 
 /** A VM as an outside source names it; a source without incarnations leaves it out. */
-export interface NamedVm extends VmRecord {
+export interface DiscoveredVm extends VmRecord {
   readonly incarnation?: number;
 }
 
 /** What the sources need. */
-export interface MemberSourcesDependencies {
+export interface MemberDiscoveryDependencies {
   readonly self: string;
   readonly clock: Clock;
-  readonly board: FactBoard;
+  readonly factStore: FactStore;
   readonly members: MemberTable;
   readonly partners: PartnerTable;
 }
 
 /** Joins what outside sources say with the members. */
-export interface MemberSources {
+export interface MemberDiscovery {
   /** Names all VMs that the source holds right now. */
-  recordMembers(source: MemberSource, records: readonly NamedVm[]): void;
+  recordMembers(source: DiscoverySource, records: readonly DiscoveredVm[]): void;
 }
 
 /** Creates the join of the outside sources. */
-export function createMemberSources(deps: MemberSourcesDependencies): MemberSources {
-  const { members, board, partners } = deps;
-  const named: Record<MemberSource, ReadonlySet<string>> = {
+export function createMemberDiscovery(deps: MemberDiscoveryDependencies): MemberDiscovery {
+  const { members, factStore, partners } = deps;
+  const named: Record<DiscoverySource, ReadonlySet<string>> = {
     list: new Set(),
     registrations: new Set(),
   };
@@ -40,8 +40,8 @@
   const removeMember = (vm: string): void => {
     members.remove(vm);
     partners.remove(vm);
-    board.remove(`peer:${vm}`);
-    board.remove(`pulse:${vm}`);
+    factStore.remove(`peer:${vm}`);
+    factStore.remove(`pulse:${vm}`);
     unheardSince.delete(vm);
   };
   const isRegistered = (vm: string): boolean => named.list.has(vm) || named.registrations.has(vm);
@@ -52,7 +52,7 @@
       member.registered = isRegistered(vm);
       if (!unheardSince.has(vm)) unheardSince.set(vm, nowMs);
       const lastMs = Math.max(member.heardAtMs ?? 0, unheardSince.get(vm) ?? nowMs);
-      if (!member.registered && nowMs - lastMs > FORGET_LIMIT_MS) removeMember(vm);
+      if (!member.registered && nowMs - lastMs > FORGET_TIMEOUT_MS) removeMember(vm);
     }
   };
 
--- a/src/application/peers/_lib/createMembershipView/index.ts
+++ b/src/application/peers/_lib/createMembershipView/index.ts
@@ -1,18 +1,18 @@
 import type { PeerRecord } from '../../../../domain/membership';
 import type { PeerFreshness, PeerView } from '../../types';
-import type { FactBoard } from '../createFactBoard';
+import type { FactStore } from '../createFactStore';
 import type { Member, MemberTable } from '../createMemberTable';
 
 /** A VM whose last sign of life is older is not counted as heard. */
-export const HEARD_LIMIT_MS = 5_000;
+export const HEARD_TIMEOUT_MS = 5_000;
 /** A VM unheard for this long is forgotten, unless it is registered. */
-export const FORGET_LIMIT_MS = 600_000;
+export const FORGET_TIMEOUT_MS = 600_000;
 
 /** What the view needs. */
 export interface MembershipViewDependencies {
   readonly readSelf: () => PeerRecord;
   readonly members: MemberTable;
-  readonly board: FactBoard;
+  readonly factStore: FactStore;
   readonly readNowMs: () => number;
   readonly readVersion: () => number;
   readonly readNewestReadAgeMs: () => number | null;
@@ -22,9 +22,9 @@
 export interface MembershipView {
   isHeard(member: Member): boolean;
   /** VMs heard in this region, with this one. */
-  countHeardHere(): number;
+  countHeardInRegion(): number;
   /** VMs known in this region, without this one. */
-  countMembersHere(): number;
+  countMembersInRegion(): number;
   listPeers(): readonly PeerView[];
   /** Names of VMs of this region that live and are not leaving, with this one. */
   listLiveVms(): readonly string[];
@@ -34,9 +34,9 @@
 
 /** Creates the view of the other VMs. */
 export function createMembershipView(deps: MembershipViewDependencies): MembershipView {
-  const { readSelf, members, board, readNowMs } = deps;
+  const { readSelf, members, factStore, readNowMs } = deps;
   const isHeard = ({ heardAtMs }: Member): boolean =>
-    heardAtMs !== null && readNowMs() - heardAtMs < HEARD_LIMIT_MS;
+    heardAtMs !== null && readNowMs() - heardAtMs < HEARD_TIMEOUT_MS;
   const isHere = ({ record }: Member): boolean => record.region === readSelf().region;
   const countHeardHere = (): number =>
     members.list().filter((member) => isHere(member) && isHeard(member)).length + 1;
@@ -45,8 +45,8 @@
     const regions = [...new Set(elsewhere.map(({ record }) => record.region))];
     return regions
       .map((region) => {
-        const digest = board.find(`region:${region}`);
-        const isFresh = digest?.kind === 'region' && digest.ageMs < HEARD_LIMIT_MS;
+        const digest = factStore.find(`region:${region}`);
+        const isFresh = digest?.kind === 'region' && digest.ageMs < HEARD_TIMEOUT_MS;
         const direct = elsewhere.filter(
           (member) => member.record.region === region && isHeard(member),
         ).length;
@@ -69,8 +69,8 @@
 
   return {
     isHeard,
-    countHeardHere,
-    countMembersHere: () => members.list().filter(isHere).length,
+    countHeardInRegion: countHeardHere,
+    countMembersInRegion: () => members.list().filter(isHere).length,
     listPeers: () => [convertSelf(), ...members.list().map(convertMember)],
     listLiveVms: () => [
       readSelf().vm,
--- a/src/application/peers/_lib/createNewsReader/index.ts
+++ b/src/application/peers/_lib/createNewsReader/index.ts
@@ -2,8 +2,8 @@
 import type { Fact, News } from '../../../../domain/membership';
 import type { VersionSource } from '../../types';
 import type { MemberTable } from '../createMemberTable';
-import type { NewsTaker } from '../createNewsTaker';
-import type { OwnClock } from '../createOwnClock';
+import type { FactMerger } from '../createFactMerger';
+import type { EchoClock } from '../createEchoClock';
 import type { PartnerTable } from '../createPartnerTable';
 
 /** What the reader needs. */
@@ -11,8 +11,8 @@
   readonly region: string;
   readonly members: MemberTable;
   readonly partners: PartnerTable;
-  readonly ownClock: OwnClock;
-  readonly taker: NewsTaker;
+  readonly echoClock: EchoClock;
+  readonly merger: FactMerger;
   readonly versions: VersionSource;
 }
 
@@ -20,7 +20,7 @@
 export interface NewsReader {
   readNews(news: News): void;
   /** Monotonic time of the newest table read that peers told of, or null. */
-  readHeardReadAtMs(): number | null;
+  readNewestPeerReadAtMs(): number | null;
 }
 
 /** The sender's own record and heartbeat, which the header carries. */
@@ -35,7 +35,7 @@
 
 /** Creates the reader of news. */
 export function createNewsReader(deps: NewsReaderDependencies): NewsReader {
-  const { members, partners, ownClock, taker, versions } = deps;
+  const { members, partners, echoClock, merger, versions } = deps;
   let heardReadAtMs: number | null = null;
 
   const recordReadAge = (ageMs: number | null, writtenAfterMs: number | null): void => {
@@ -50,9 +50,9 @@
       const known = members.find(vm);
       // News of an earlier process that comes late would undo what its successor told.
       if (known !== null && incarnation < known.record.incarnation) return;
-      const writtenAfterMs = ownClock.convertEcho(news.echoClockMs);
+      const writtenAfterMs = echoClock.convertEcho(news.echoClockMs);
       partners.recordNews(news);
-      taker.recordFacts([...listHeaderFacts(news, deps.region), ...news.facts], {
+      merger.mergeFacts([...listHeaderFacts(news, deps.region), ...news.facts], {
         vm,
         writtenAfterMs,
       });
@@ -64,9 +64,9 @@
       }
       recordReadAge(news.newestReadAgeMs, writtenAfterMs);
       if (news.configurationVersion > versions.readVersion()) {
-        versions.offerVersion(news.configurationVersion, { vm, peerAddress });
+        versions.recordPeerVersion(news.configurationVersion, { vm, peerAddress });
       }
     },
-    readHeardReadAtMs: () => heardReadAtMs,
+    readNewestPeerReadAtMs: () => heardReadAtMs,
   };
 }
--- a/src/application/peers/_lib/createNewsWriter/index.ts
+++ b/src/application/peers/_lib/createNewsWriter/index.ts
@@ -1,8 +1,8 @@
 import type { Fact, News, PeerRecord } from '../../../../domain/membership';
 import type { VersionSource } from '../../types';
-import type { FactBoard, HeldFact } from '../createFactBoard';
-import type { OwnClock } from '../createOwnClock';
-import type { OwnFacts } from '../createOwnFacts';
+import type { FactStore, StoredFact } from '../createFactStore';
+import type { EchoClock } from '../createEchoClock';
+import type { LocalFacts } from '../createLocalFacts';
 import type { PartnerTable } from '../createPartnerTable';
 import { isFactForRegion } from '../isFactForRegion';
 
@@ -15,13 +15,13 @@
 /** What the writer needs. */
 export interface NewsWriterDependencies {
   readonly readSelf: () => PeerRecord;
-  readonly board: FactBoard;
+  readonly factStore: FactStore;
   readonly partners: PartnerTable;
-  readonly ownFacts: OwnFacts;
-  readonly ownClock: OwnClock;
+  readonly localFacts: LocalFacts;
+  readonly echoClock: EchoClock;
   readonly versions: VersionSource;
   readonly readNewestReadAgeMs: () => number | null;
-  readonly countHeardHere: () => number;
+  readonly countHeardInRegion: () => number;
   /** True: each VM of the region has a link with each other one. */
   readonly isFullMesh: () => boolean;
 }
@@ -36,38 +36,38 @@
 
 /** Creates the writer of news. */
 export function createNewsWriter(deps: NewsWriterDependencies): NewsWriter {
-  const { board, partners, ownClock, versions } = deps;
+  const { factStore, partners, echoClock, versions } = deps;
 
   const writeHeader = (receiver: NewsReceiver) => {
     const partner = partners.find(receiver.vm);
     return {
       sender: deps.readSelf(),
-      beats: ownClock.countBeats(),
-      sequence: board.readSequence(),
+      beats: echoClock.countHeartbeats(),
+      sequence: factStore.readSequence(),
       acknowledged: partner.received,
       configurationVersion: versions.readVersion(),
       newestReadAgeMs: deps.readNewestReadAgeMs(),
-      clockMs: ownClock.readShownMs(),
+      clockMs: echoClock.readWireMs(),
       echoClockMs: partner.clockMs,
     };
   };
   const listOwnRegion = (isSameRegion: boolean): readonly Fact[] => {
     if (isSameRegion) return [];
     const { region } = deps.readSelf();
-    return [{ kind: 'region', region, heard: deps.countHeardHere(), ageMs: 0 }];
+    return [{ kind: 'region', region, heard: deps.countHeardInRegion(), ageMs: 0 }];
   };
 
   // Where all are linked, everyone hears of a load from those who polled it: passing it on as well
   // was most of the bytes of a region of nine.
-  const isWorthRelaying = ({ fact, from }: HeldFact): boolean =>
+  const isWorthRelaying = ({ fact, from }: StoredFact): boolean =>
     fact.kind !== 'load' || from === deps.readSelf().vm || !deps.isFullMesh();
 
   return {
     writeNews: (receiver) => {
-      deps.ownFacts.refresh(ownClock.countBeats());
+      deps.localFacts.refresh(echoClock.countHeartbeats());
       const since = partners.find(receiver.vm).acknowledged;
       const isSameRegion = receiver.region === deps.readSelf().region;
-      const facts = board
+      const facts = factStore
         .listSince(since, receiver.vm)
         .filter(isWorthRelaying)
         .map(({ fact }) => fact)
--- a/src/application/peers/createPeerExchange/index.ts
+++ b/src/application/peers/createPeerExchange/index.ts
@@ -1,21 +1,21 @@
-import { FULL_MESH_VMS } from '../../../domain/membership';
+import { MAX_FULL_MESH_VMS } from '../../../domain/membership';
 import type { PeerRecord, News } from '../../../domain/membership';
 import type { Clock, HealthRegistry, LoadView, Randomness } from '../../ports';
-import { createFactBoard } from '../_lib/createFactBoard';
-import { createHealthSource } from '../_lib/createHealthSource';
-import { createMemberSources } from '../_lib/createMemberSources';
-import type { MemberSources } from '../_lib/createMemberSources';
+import { createFactStore } from '../_lib/createFactStore';
+import { createHealthPublisher } from '../_lib/createHealthPublisher';
+import { createMemberDiscovery } from '../_lib/createMemberDiscovery';
+import type { MemberDiscovery } from '../_lib/createMemberDiscovery';
 import { createMembershipView } from '../_lib/createMembershipView';
 import type { MembershipView } from '../_lib/createMembershipView';
 import { createMemberTable } from '../_lib/createMemberTable';
 import { createNewsReader } from '../_lib/createNewsReader';
-import { createNewsTaker } from '../_lib/createNewsTaker';
+import { createFactMerger } from '../_lib/createFactMerger';
 import { createNewsWriter } from '../_lib/createNewsWriter';
-import { createOwnClock } from '../_lib/createOwnClock';
-import { createOwnFacts } from '../_lib/createOwnFacts';
+import { createEchoClock } from '../_lib/createEchoClock';
+import { createLocalFacts } from '../_lib/createLocalFacts';
 import { createPartnerTable } from '../_lib/createPartnerTable';
-import { createPusher } from '../_lib/createPusher';
-import { createRounds } from '../_lib/createRounds';
+import { createFactPusher } from '../_lib/createFactPusher';
+import { createGossipRounds } from '../_lib/createGossipRounds';
 import type { PeerCalls, VersionSource } from '../types';
 
 /** Change counters start at random below this, see `createFactBoard`. */
@@ -40,7 +40,7 @@
 
 /** Exchange of news with the other VMs. */
 export interface PeerExchange
-  extends Omit<MembershipView, 'isHeard' | 'countHeardHere' | 'countMembersHere'>, MemberSources {
+  extends Omit<MembershipView, 'isHeard' | 'countHeardHere' | 'countMembersHere'>, MemberDiscovery {
   /** Takes a peer's news and gives this VM's. */
   handleNews(news: News): News;
   /** Tells peers whether this VM is leaving. */
@@ -64,10 +64,10 @@
  */
 export function createPeerExchange(deps: PeerExchangeDependencies): PeerExchange {
   const { clock, randomness, versions, health, load, self } = deps;
-  const ownClock = createOwnClock({ clock, randomness });
+  const ownClock = createEchoClock({ clock, randomness });
   const { readNowMs } = ownClock;
   const startSequence = 1 + Math.floor(randomness.readFraction() * SEQUENCE_RANGE);
-  const board = createFactBoard(startSequence, readNowMs);
+  const board = createFactStore(startSequence, readNowMs);
   const members = createMemberTable();
   const partners = createPartnerTable();
   let leaving = false;
@@ -75,38 +75,45 @@
   let stopHealthSource = (): void => {};
   const readSelf = (): PeerRecord => ({ ...self, leaving });
 
-  const taker = createNewsTaker({ self: self.vm, board, members, health, load, readNowMs });
+  const taker = createFactMerger({
+    self: self.vm,
+    factStore: board,
+    members,
+    health,
+    load,
+    readNowMs,
+  });
   const reader = createNewsReader({
     ...deps,
     region: self.region,
     members,
     partners,
-    ownClock,
-    taker,
+    echoClock: ownClock,
+    merger: taker,
   });
   const readNewestReadAgeMs = (): number | null => {
-    const times = [reader.readHeardReadAtMs(), versions.readTableReadAtMs()];
+    const times = [reader.readNewestPeerReadAtMs(), versions.readTableReadAtMs()];
     const known = times.filter((time) => time !== null);
     return known.length === 0 ? null : readNowMs() - Math.max(...known);
   };
   const view = createMembershipView({
     readSelf,
     members,
-    board,
+    factStore: board,
     readNowMs,
     readVersion: versions.readVersion,
     readNewestReadAgeMs,
   });
   const writer = createNewsWriter({
     readSelf,
-    board,
+    factStore: board,
     partners,
-    ownFacts: createOwnFacts({ board, load, readSelf, readNowMs }),
-    ownClock,
+    localFacts: createLocalFacts({ factStore: board, load, readSelf, readNowMs }),
+    echoClock: ownClock,
     versions,
     readNewestReadAgeMs,
-    countHeardHere: view.countHeardHere,
-    isFullMesh: () => view.countMembersHere() < FULL_MESH_VMS,
+    countHeardInRegion: view.countHeardInRegion,
+    isFullMesh: () => view.countMembersInRegion() < MAX_FULL_MESH_VMS,
   });
   const readNews = (news: News): void => {
     // Changes that a peer's news makes must not be pushed again as if this VM had found them out.
@@ -115,8 +122,8 @@
     reader.readNews(news);
     isTaking = false;
   };
-  const rounds = createRounds({ ...deps, members, view, writer, readSelf, readNews });
-  const pusher = createPusher({
+  const rounds = createGossipRounds({ ...deps, members, view, writer, readSelf, readNews });
+  const pusher = createFactPusher({
     clock,
     listReceivers: rounds.listReachable,
     sendFacts: rounds.sendFacts,
@@ -124,7 +131,7 @@
 
   return {
     ...view,
-    ...createMemberSources({ self: self.vm, clock, board, members, partners }),
+    ...createMemberDiscovery({ self: self.vm, clock, factStore: board, members, partners }),
     handleNews: (news) => {
       readNews(news);
       const receiver = news.sender;
@@ -132,18 +139,18 @@
     },
     recordOwnLeaving: (isLeaving) => {
       leaving = isLeaving;
-      pusher.sendSoon({ kind: 'peer', record: readSelf() });
+      pusher.pushFact({ kind: 'peer', record: readSelf() });
     },
     sendVersion: rounds.sendVersion,
     start: () => {
       if (health !== null) {
-        const { sendSoon } = pusher;
-        stopHealthSource = createHealthSource({
+        const { pushFact } = pusher;
+        stopHealthSource = createHealthPublisher({
           self: self.vm,
-          board,
+          factStore: board,
           health,
-          isTaking: () => isTaking,
-          sendSoon,
+          isMerging: () => isTaking,
+          pushFact: pushFact,
         });
       }
       rounds.start();
--- a/src/application/peers/index.ts
+++ b/src/application/peers/index.ts
@@ -1,4 +1,4 @@
-export type { MemberSource, MemberSources, NamedVm } from './_lib/createMemberSources';
+export type { DiscoverySource, MemberDiscovery, DiscoveredVm } from './_lib/createMemberDiscovery';
 export { createPeerExchange } from './createPeerExchange';
 export type { PeerExchange, PeerExchangeDependencies } from './createPeerExchange';
 export type {
--- a/src/application/peers/types/VersionSource.ts
+++ b/src/application/peers/types/VersionSource.ts
@@ -3,7 +3,10 @@
   /** Version in force at this VM, 0 if none. */
   readVersion(): number;
   /** Tells of a higher version that a peer has; the follower then reads it from the table. */
-  offerVersion(version: number, peer: { readonly vm: string; readonly peerAddress: string }): void;
+  recordPeerVersion(
+    version: number,
+    peer: { readonly vm: string; readonly peerAddress: string },
+  ): void;
   /** Monotonic time at which this VM's newest successful read of the table began, or null. */
   readTableReadAtMs(): number | null;
 }
--- a/src/application/ports/ForwardClient.ts
+++ b/src/application/ports/ForwardClient.ts
@@ -31,7 +31,7 @@
   /** Copy from which the run goes on; null to read the prompt. */
   readonly copy: KvCopy | null;
   /** True: on a connection made for it. One that was idle may be dead: what is sent on it is lost. */
-  readonly ownConnection: boolean;
+  readonly newConnection: boolean;
 }
 
 /** An answer whose body is still arriving. */
@@ -87,7 +87,7 @@
   /** Asks who serves at a server's address; null if nobody says so at once. */
   readIdentity(server: ServerEntry, healthPath: string): Promise<ServerIdentity | null>;
   /** Tokens that a server keeps of parts of prompts, by id; empty if it does not answer. */
-  readHeldParts(server: ServerEntry): Promise<ReadonlyMap<string, number>>;
+  readCachedPromptParts(server: ServerEntry): Promise<ReadonlyMap<string, number>>;
   /** Closes idle connections of a server that is gone. */
   removeServer(id: string): void;
 }
--- a/src/application/ports/LoadView.ts
+++ b/src/application/ports/LoadView.ts
@@ -1,7 +1,7 @@
 import type { CacheEvent, LoadReport } from '../../domain/types';
 
 /** Attempts that a peer has running on a server. */
-export interface PeerSends {
+export interface PeerAttempts {
   readonly backendServer: string;
   readonly running: number;
 }
@@ -11,8 +11,8 @@
   /** Takes a report if it is newer than the one held. */
   recordReport(report: LoadReport): void;
   recordCacheEvents(backendServer: string, events: readonly CacheEvent[]): void;
-  recordPeerSends(vm: string, sends: readonly PeerSends[]): void;
+  recordPeerSends(vm: string, sends: readonly PeerAttempts[]): void;
   listReports(): readonly LoadReport[];
   /** Own running attempts by server, for sharing with peers. */
-  listOwnSends(): readonly PeerSends[];
+  listOwnSends(): readonly PeerAttempts[];
 }
--- a/src/application/ports/index.ts
+++ b/src/application/ports/index.ts
@@ -13,7 +13,7 @@
   Generations,
 } from './Generations';
 export type { HealthRegistry } from './HealthRegistry';
-export type { PeerSends, LoadView } from './LoadView';
+export type { PeerAttempts, LoadView } from './LoadView';
 export type { ObjectStore } from './ObjectStore';
 export type { EncodedConfiguration, PeerConfigurations } from './PeerConfigurations';
 export type { PeerGenerations } from './PeerGenerations';
--- a/src/application/routing/createLoadPoller/index.ts
+++ b/src/application/routing/createLoadPoller/index.ts
@@ -2,7 +2,7 @@
 import { ServiceKind } from '../../../domain/types';
 import type { BackendServer, Configuration } from '../../../domain/types';
 import type { Clock, ConfigurationView, EngineClient } from '../../ports';
-import type { RoutingLoad } from '../types';
+import type { RouterLoadView } from '../types';
 
 /** VMs that poll one server: two, so that one may die without a gap in the reports. */
 const POLLERS_PER_SERVER = 2;
@@ -23,7 +23,7 @@
 export interface LoadPollerDependencies {
   readonly engines: EngineClient;
   readonly configuration: ConfigurationView;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly clock: Clock;
   readonly vm: string;
   readonly region: string;
@@ -65,7 +65,7 @@
     const startedMs = clock.readMonotonicMs();
     const events = await engines.listCacheEvents(server, load.readCacheSequence(server.name));
     if (stopped || events.isErr()) return;
-    load.recordZoneMs(server.availabilityZone, clock.readMonotonicMs() - startedMs);
+    load.recordZoneRoundTripMs(server.availabilityZone, clock.readMonotonicMs() - startedMs);
     load.recordCacheEvents(server.name, events.value);
   };
   /** Calls `poll` for each server of `list`, again and again, but never twice at once for one. */
--- a/src/application/routing/createLoadView/index.ts
+++ b/src/application/routing/createLoadView/index.ts
@@ -1,13 +1,13 @@
 import {
-  addToAverage,
+  updateMovingAverage,
   computeFreshness,
-  estimateRunning,
+  estimateRunningRequests,
   isNewerReport,
 } from '../../../domain/load';
 import type { LoadReport } from '../../../domain/types';
 import type { Clock } from '../../ports';
 import { createPrefixIndex } from '../createPrefixIndex';
-import type { RoutingLoad } from '../types';
+import type { RouterLoadView } from '../types';
 
 /** Peers' sends are dropped after this long without news: ten missed exchanges of about 1 s. */
 export const PEER_SENDS_TTL_MS = 10_000;
@@ -84,7 +84,7 @@
  * Each send, end and peers' news since the newest report was sampled is kept as a change, so that
  * the estimate moves at once and not only with the next report.
  */
-export function createLoadView({ clock }: LoadViewDependencies): RoutingLoad {
+export function createLoadView({ clock }: LoadViewDependencies): RouterLoadView {
   const loads = new Map<string, ServerLoad>();
   const peers = new Map<string, PeerNews>();
   const zones = new Map<string, number>();
@@ -117,7 +117,7 @@
     const { report, own, peers: known, others, meanOthers, peersSince } = load;
     // A request met at a random moment is more likely a long one: hence the squares.
     const holdMs = load.holdMs > 0 ? load.holdSquareMs / load.holdMs : 0;
-    load.running = estimateRunning({
+    load.running = estimateRunningRequests({
       own,
       peers: known,
       others: report === null ? null : others + peersSince,
@@ -200,12 +200,12 @@
         .filter(([, { own }]) => own > 0)
         .map(([backendServer, { own }]) => ({ backendServer, running: own })),
     findReport: (name) => loads.get(name)?.report ?? null,
-    readRunning: readLoad,
+    readRunningEstimate: readLoad,
     findCachedTokens: prefixIndex.findCachedTokens,
     readCacheSequence: prefixIndex.readSequence,
-    readZoneMs: (zone) => zones.get(zone) ?? 0,
-    recordZoneMs: (zone, roundTripMs) => {
-      zones.set(zone, addToAverage(zones.get(zone) ?? 0, roundTripMs, ZONE_WEIGHT));
+    readZoneRoundTripMs: (zone) => zones.get(zone) ?? 0,
+    recordZoneRoundTripMs: (zone, roundTripMs) => {
+      zones.set(zone, updateMovingAverage(zones.get(zone) ?? 0, roundTripMs, ZONE_WEIGHT));
     },
     recordSend: (name, prefixes) => {
       recordOwn(name, 1);
@@ -213,12 +213,12 @@
     },
     recordEnd: (name, holdMs) => {
       const load = readLoad(name);
-      load.holdMs = addToAverage(load.holdMs, holdMs, HOLD_WEIGHT);
-      load.holdSquareMs = addToAverage(load.holdSquareMs, holdMs * holdMs, HOLD_WEIGHT);
+      load.holdMs = updateMovingAverage(load.holdMs, holdMs, HOLD_WEIGHT);
+      load.holdSquareMs = updateMovingAverage(load.holdSquareMs, holdMs * holdMs, HOLD_WEIGHT);
       recordOwn(name, -1);
       sendNotice(name);
     },
-    recordFull: (name, slots) => {
+    recordServerFull: (name, slots) => {
       const load = readLoad(name);
       if (load.report !== null) recordChange(name, Math.max(0, slots - load.running), false);
     },
--- a/src/application/routing/createLoadView/test.ts
+++ b/src/application/routing/createLoadView/test.ts
@@ -42,11 +42,11 @@
   view.recordSend('review-1', []);
   setTime(1500);
   view.recordReport(buildReport(1, 5, 1500));
-  t.is(view.readRunning('review-1').running, 6);
+  t.is(view.readRunningEstimate('review-1').running, 6);
   view.recordEnd('review-1', 60_000);
-  t.is(view.readRunning('review-1').running, 5);
+  t.is(view.readRunningEstimate('review-1').running, 5);
   view.recordReport(buildReport(1, 0, 1600));
-  t.is(view.readRunning('review-1').running, 5);
+  t.is(view.readRunningEstimate('review-1').running, 5);
 });
 
 test('peers sends count at once, replace the last ones, and are dropped when the peer is silent', (t) => {
@@ -55,13 +55,13 @@
   const stop = view.addListener((name) => noticed.push(name));
   view.recordPeerSends('vm-2', [{ backendServer: 'review-1', running: 3 }]);
   view.recordPeerSends('vm-3', [{ backendServer: 'review-1', running: 2 }]);
-  t.is(view.readRunning('review-1').running, 5);
+  t.is(view.readRunningEstimate('review-1').running, 5);
   view.recordPeerSends('vm-2', []);
-  t.is(view.readRunning('review-1').running, 2);
+  t.is(view.readRunningEstimate('review-1').running, 2);
   stop();
   setTime(1000 + PEER_SENDS_TTL_MS + 1);
   view.recordPeerSends('vm-2', []);
-  t.is(view.readRunning('review-1').running, 0);
+  t.is(view.readRunningEstimate('review-1').running, 0);
   t.is(noticed.length, 3);
 });
 
@@ -73,5 +73,5 @@
   view.recordEnd('review-1', 60_000);
   t.deepEqual(view.listOwnSends(), []);
   view.recordSend('review-1', []);
-  t.is(view.readRunning('review-1').running, 1);
+  t.is(view.readRunningEstimate('review-1').running, 1);
 });
--- a/src/application/routing/createPrefixIndex/index.ts
+++ b/src/application/routing/createPrefixIndex/index.ts
@@ -1,4 +1,4 @@
-import { computeTrust, LOWEST_TRUST } from '../../../domain/load';
+import { computePrefixTrust, MIN_PREFIX_TRUST } from '../../../domain/load';
 import { PREFIX_CUT_CHARACTERS } from '../../../domain/routing';
 import type { CacheEvent } from '../../../domain/types';
 import type { Clock } from '../../ports';
@@ -106,8 +106,8 @@
           const cache = caches.get(server);
           const held = cache?.held.get(prefix);
           if (cache === undefined || held === undefined) return;
-          const trust = computeTrust(cache.missed - held.missedBefore, nowMs - held.atMs);
-          if (trust < LOWEST_TRUST) removePrefix(server, prefix);
+          const trust = computePrefixTrust(cache.missed - held.missedBefore, nowMs - held.atMs);
+          if (trust < MIN_PREFIX_TRUST) removePrefix(server, prefix);
           else found.set(server, (index + 1) * TOKENS_PER_CUT * trust);
         });
       }
--- a/src/application/routing/createQualityTracker/index.ts
+++ b/src/application/routing/createQualityTracker/index.ts
@@ -1,13 +1,13 @@
 import {
-  chooseEjected,
+  chooseServersToEject,
   computeSpeedRatio,
-  GOOD_QUALITY,
+  INITIAL_QUALITY,
   updateQuality,
 } from '../../../domain/outlier';
-import type { QualitySign, ServerQuality } from '../../../domain/outlier';
+import type { QualityObservation, ServerQuality } from '../../../domain/outlier';
 import type { BackendServer } from '../../../domain/types';
 import type { Clock, ConfigurationView } from '../../ports';
-import type { RoutingLoad } from '../types';
+import type { RouterLoadView } from '../types';
 
 /** Time between two looks at all servers; about as often as their reports come. */
 const REVIEW_INTERVAL_MS = 500;
@@ -15,12 +15,12 @@
 /** What the quality tracker needs. */
 export interface QualityTrackerDependencies {
   readonly configuration: ConfigurationView;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly clock: Clock;
 }
 
 /** A figure that stays up to date. */
-export interface SpeedFigure {
+export interface SpeedEstimate {
   /** Speed relative to comparable servers, lowered by failures; 1 is usual. */
   readonly speed: number;
 }
@@ -31,7 +31,7 @@
   /** Compares the speeds in the newest reports; does nothing if it was done just before. */
   updateSpeeds(): void;
   /** Finds the figure of a server; the same object for as long as this tracker lives. */
-  readSpeed(backendServer: string): SpeedFigure;
+  readSpeedEstimate(backendServer: string): SpeedEstimate;
   isEjected(backendServer: string): boolean;
   /** Calls `listener` when a server is ejected and when its ejection ends. */
   addListener(listener: (backendServer: string, ejected: boolean) => void): void;
@@ -57,7 +57,7 @@
 
   const sendNotice = (name: string, ejected: boolean): void =>
     listeners.forEach((listener) => listener(name, ejected));
-  const readQuality = (name: string): ServerQuality => qualities.get(name) ?? GOOD_QUALITY;
+  const readQuality = (name: string): ServerQuality => qualities.get(name) ?? INITIAL_QUALITY;
   const readFigure = (name: string): { speed: number } => {
     const figure = figures.get(name) ?? { speed: 1 };
     figures.set(name, figure);
@@ -67,14 +67,14 @@
     qualities.set(name, quality);
     readFigure(name).speed = quality.speed * (1 - quality.failures);
   };
-  const recordSign = (name: string, sign: QualitySign): void =>
+  const recordSign = (name: string, sign: QualityObservation): void =>
     writeQuality(name, updateQuality(readQuality(name), sign));
   const listServers = (): readonly BackendServer[] =>
     dependencies.configuration.readCurrent()?.configuration.backendServers ?? [];
   const ejectWorst = (group: readonly BackendServer[]): void => {
     const nowMs = clock.readMonotonicMs();
     const candidates = group.map(({ name }) => ({ name, quality: readQuality(name) }));
-    chooseEjected(candidates, nowMs).forEach(({ name, quality }) => {
+    chooseServersToEject(candidates, nowMs).forEach(({ name, quality }) => {
       writeQuality(name, quality);
       sendNotice(name, true);
       clock.startTimer(quality.ejectedUntilMs - nowMs, () => sendNotice(name, false));
@@ -111,7 +111,7 @@
         ejectWorst(group);
       });
     },
-    readSpeed: readFigure,
+    readSpeedEstimate: readFigure,
     isEjected: (name) => (qualities.get(name)?.ejectedUntilMs ?? 0) > clock.readMonotonicMs(),
     addListener: (listener) => {
       listeners.add(listener);
--- a/src/application/routing/createQualityTracker/test.ts
+++ b/src/application/routing/createQualityTracker/test.ts
@@ -59,9 +59,9 @@
 test('a slow server gets less, then nothing, and comes back after a time', (t) => {
   const bench = createBench();
   bench.report({ a: 10 });
-  const first = bench.tracker.readSpeed('a').speed;
+  const first = bench.tracker.readSpeedEstimate('a').speed;
   t.true(first < 1 && first > 0.5);
-  t.is(bench.tracker.readSpeed('b').speed, 1);
+  t.is(bench.tracker.readSpeedEstimate('b').speed, 1);
   for (let round = 0; round < 12; round += 1) bench.report({ a: 10 });
   t.true(bench.tracker.isEjected('a'));
   t.deepEqual(bench.changes, ['a true']);
--- a/src/application/routing/createRouter/index.ts
+++ b/src/application/routing/createRouter/index.ts
@@ -12,20 +12,20 @@
   Slot,
 } from '../../ports';
 import { createDecisionRecorder } from '../createDecisionRecorder';
-import { createPlacement } from '../createPlacement';
-import type { Placed } from '../createPlacement';
+import { createServerSelector } from '../createServerSelector';
+import type { SelectedServer } from '../createServerSelector';
 import { createQualityTracker } from '../createQualityTracker';
 import { createServerPools } from '../createServerPools';
 import { createServiceMeter } from '../createServiceMeter';
 import type { QueuedDemand } from '../createWaitQueue';
 import { createWaitQueues } from '../createWaitQueues';
-import type { RoutingLoad, ServerPool, ServingRouter } from '../types';
+import type { RouterLoadView, ServerPool, ServingRouter } from '../types';
 
 /** What the router needs. */
 export interface RouterDependencies {
   readonly configuration: ConfigurationView;
   readonly health: HealthRegistry;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly decisions: DecisionLog;
   readonly clock: Clock;
   readonly randomness: Randomness;
@@ -43,7 +43,7 @@
 }
 
 /** Describes a choice for the decision log. */
-function renderChoice({ firstTokenMs, running, cachedTokens }: Placed): string {
+function renderChoice({ firstTokenMs, running, cachedTokens }: SelectedServer): string {
   const figures = `first token in ${firstTokenMs.toFixed(1)} ms, ${running.toFixed(1)} running`;
   return cachedTokens > 0 ? `${figures}, ${Math.round(cachedTokens)} tokens cached` : figures;
 }
@@ -59,19 +59,19 @@
   const meter = createServiceMeter();
   const quality = createQualityTracker({ configuration, load, clock });
   const pools = createServerPools({ health, load, quality });
-  const placement = createPlacement({ ...dependencies, meter, quality });
+  const placement = createServerSelector({ ...dependencies, meter, quality });
   const queues = createWaitQueues({ clock });
   const recorder = createDecisionRecorder(dependencies.decisions);
   let budget = { credits: RETRY_BURST };
 
   const refuse = (demand: Demand, pool: ServerPool, refusal: Refusal): Result<never, Refusal> => {
     const outcome = { kind: 'refuse', choice: '', reason: refusal.code } as const;
-    recorder.record(demand, pool.version, pools.listReady(pool), outcome);
+    recorder.record(demand, pool.version, pools.readReadyPool(pool), outcome);
     return err(refusal);
   };
   const trySend = ({ demand, pool }: QueuedDemand): Slot | null => {
-    const ready = pools.listReady(pool);
-    const placed = placement.findServer(demand, ready);
+    const ready = pools.readReadyPool(pool);
+    const placed = placement.selectServer(demand, ready);
     if (placed === null) return null;
     const outcome = {
       kind: demand.purpose === DemandPurpose.Resume ? 'resume' : 'route',
@@ -79,7 +79,7 @@
       reason: renderChoice(placed),
     } as const;
     recorder.record(demand, pool.version, ready, outcome);
-    return placement.acquirePlaced(demand, placed);
+    return placement.acquireSlot(demand, placed);
   };
   /** A waiter may only go where the configuration in force now allows it. */
   const trySendWaiting = (queued: QueuedDemand): Result<Slot, Refusal> | null => {
@@ -96,12 +96,12 @@
   };
   const buildQueued = (demand: Demand, pool: ServerPool): QueuedDemand => {
     const { service, workspace, maxOutputTokens } = demand;
-    const output = meter.predictTokens(service, workspace, maxOutputTokens);
+    const output = meter.predictOutputTokens(service, workspace, maxOutputTokens);
     return {
       demand,
       pool,
       cost: output + demand.promptTokens * PROMPT_COST,
-      assumedIntervalMs: meter.readHoldMs(service) / Math.max(1, pools.listReady(pool).slots),
+      assumedIntervalMs: meter.readHoldMs(service) / Math.max(1, pools.readReadyPool(pool).slots),
     };
   };
   /** Counts a first attempt, or takes a credit for an extra one; tells whether it may be made. */
@@ -123,7 +123,7 @@
       const waitMs = meter.readHoldMs(demand.service);
       return refuse(demand, pool, buildRefusal(RefusalCode.RetryBudgetSpent, message, waitMs));
     }
-    const ready = pools.listReady(pool);
+    const ready = pools.readReadyPool(pool);
     const canServe = ready.candidates.some((name) => !demand.excludedServers.includes(name));
     if (!canServe) {
       const message = `no backend server is ready for service "${demand.service}"`;
@@ -135,7 +135,7 @@
     if (queue.countWaiting() === 0 || demand.purpose !== DemandPurpose.Start) {
       const slot = trySend(queued);
       if (slot !== null) {
-        queue.recordSent(queued);
+        queue.recordUnqueued(queued);
         return ok(slot);
       }
     }
@@ -143,7 +143,7 @@
       const message = 'there is no room for a hedge';
       return refuse(demand, pool, buildRefusal(RefusalCode.QueueFull, message, 0));
     }
-    const room = queue.checkRoom(queued);
+    const room = queue.checkAdmission(queued);
     if (room.isErr()) return refuse(demand, pool, room.error);
     recorder.record(demand, pool.version, ready, {
       kind: 'queue',
@@ -161,7 +161,7 @@
     serveQueues();
   });
   const handleChange = (): void => {
-    pools.recordChange();
+    pools.invalidateReadyPools();
     serveQueues();
   };
   health.addListener(handleChange);
--- a/src/application/routing/createServerPools/index.ts
+++ b/src/application/routing/createServerPools/index.ts
@@ -1,19 +1,19 @@
 import { err, ok } from 'neverthrow';
 import type { Result } from 'neverthrow';
-import { findClassPolicy } from '../../../domain/admission';
-import type { ServerRoom } from '../../../domain/admission';
+import { findWorkClassPolicy } from '../../../domain/admission';
+import type { ServerSlots } from '../../../domain/admission';
 import { filterAllowedServers, filterBackendServers } from '../../../domain/routing';
 import { WorkClass } from '../../../domain/types';
 import type { BackendServer, Refusal, VersionedConfiguration } from '../../../domain/types';
 import type { HealthRegistry } from '../../ports';
 import type { QualityTracker } from '../createQualityTracker';
-import type { ReadyPool, ReadyServer, RoutingLoad, ServerPool } from '../types';
+import type { ReadyPool, ReadyServer, RouterLoadView, ServerPool } from '../types';
 
 /** What the server pools need. */
 export interface ServerPoolsDependencies {
   readonly health: HealthRegistry;
-  readonly load: RoutingLoad;
-  readonly quality: Pick<QualityTracker, 'isEjected' | 'readSpeed'>;
+  readonly load: RouterLoadView;
+  readonly quality: Pick<QualityTracker, 'isEjected' | 'readSpeedEstimate'>;
 }
 
 /** Servers by workspace and service, worked out once and kept until something changes. */
@@ -25,9 +25,9 @@
     service: string,
   ): Result<ServerPool, Refusal>;
   /** The ready ones of a pool, worked out once until a health, report or ejection changes. */
-  listReady(pool: ServerPool): ReadyPool;
+  readReadyPool(pool: ServerPool): ReadyPool;
   /** Notes that health or ejections have changed. */
-  recordChange(): void;
+  invalidateReadyPools(): void;
 }
 
 interface CachedReady {
@@ -46,18 +46,18 @@
   reportedSlots: number,
   lookupServices: ReadonlySet<string>,
   lookupReserve: number,
-): ServerRoom {
+): ServerSlots {
   const slots = reportedSlots > 0 ? Math.min(server.slots, reportedSlots) : server.slots;
   const servesLookups = server.services.some((service) => lookupServices.has(service));
   return { slots, reservedSlots: servesLookups ? Math.ceil(slots * lookupReserve) : 0 };
 }
 
 /** Builds the limits of each class of work. */
-function buildLimits(room: ServerRoom): Readonly<Record<WorkClass, number>> {
+function buildLimits(room: ServerSlots): Readonly<Record<WorkClass, number>> {
   return {
-    lookup: findClassPolicy(WorkClass.Lookup).computeLimit(room),
-    long: findClassPolicy(WorkClass.Long).computeLimit(room),
-    plain: findClassPolicy(WorkClass.Plain).computeLimit(room),
+    lookup: findWorkClassPolicy(WorkClass.Lookup).computeLimit(room),
+    long: findWorkClassPolicy(WorkClass.Long).computeLimit(room),
+    plain: findWorkClassPolicy(WorkClass.Plain).computeLimit(room),
   };
 }
 
@@ -113,19 +113,19 @@
       const room = buildRoom(server, reported, lookupServices, limits.lookupReserve);
       return {
         server,
-        room,
+        capacity: room,
         group: buildGroupName(server),
         groupIndex: groups.indexOf(buildGroupName(server)),
         zoneIndex: zones.indexOf(server.availabilityZone),
-        limits: buildLimits(room),
-        load: load.readRunning(server.name),
-        quality: quality.readSpeed(server.name),
+        requestLimits: buildLimits(room),
+        runningEstimate: load.readRunningEstimate(server.name),
+        speedEstimate: quality.readSpeedEstimate(server.name),
       };
     });
     return {
       servers: listed,
       positions: new Map(listed.map(({ server }, index) => [server.name, index])),
-      slots: listed.reduce((sum, { room }) => sum + room.slots, 0),
+      slots: listed.reduce((sum, { capacity }) => sum + capacity.slots, 0),
       groups,
       zones,
       candidates: servers.map(({ name }) => name),
@@ -146,7 +146,7 @@
       if (pool.isOk()) pools.set(key, pool);
       return pool;
     },
-    listReady: (pool) => {
+    readReadyPool: (pool) => {
       const epoch = changes + load.readReadinessEpoch();
       const cached = readies.get(pool);
       if (cached?.epoch === epoch) return cached.ready;
@@ -154,7 +154,7 @@
       if (pool.version === version) readies.set(pool, { epoch, ready });
       return ready;
     },
-    recordChange: () => {
+    invalidateReadyPools: () => {
       changes += 1;
     },
   };
--- a/src/application/routing/createPlacement/index.ts
+++ b/src/application/routing/createServerSelector/index.ts
@@ -1,18 +1,18 @@
-import { findClassPolicy } from '../../../domain/admission';
+import { findWorkClassPolicy } from '../../../domain/admission';
 import { chooseServer, estimateFirstTokenMs } from '../../../domain/routing';
 import type { Demand } from '../../../domain/types';
 import type { Clock, Randomness, Slot, SlotOutcome } from '../../ports';
 import type { QualityTracker } from '../createQualityTracker';
 import type { ServiceMeter } from '../createServiceMeter';
 import { createSlot } from '../createSlot';
-import type { ReadyPool, ReadyServer, RoutingLoad } from '../types';
+import type { ReadyPool, ReadyServer, RouterLoadView } from '../types';
 
 /** Added to the priority of a resume, so that the engines serve it before new work of its class. */
 const RESUME_PRIORITY = 5;
 
 /** What placing needs. */
-export interface PlacementDependencies {
-  readonly load: RoutingLoad;
+export interface ServerSelectorDependencies {
+  readonly load: RouterLoadView;
   readonly meter: ServiceMeter;
   readonly quality: QualityTracker;
   readonly clock: Clock;
@@ -20,7 +20,7 @@
 }
 
 /** A server chosen for a demand. */
-export interface Placed {
+export interface SelectedServer {
   readonly ready: ReadyServer;
   readonly firstTokenMs: number;
   readonly cachedTokens: number;
@@ -28,11 +28,11 @@
 }
 
 /** Chooses servers by their estimated time to the first token, and hands out their slots. */
-export interface Placement {
+export interface ServerSelector {
   /** Chooses a server with room, or null. */
-  findServer(demand: Demand, ready: ReadyPool): Placed | null;
+  selectServer(demand: Demand, ready: ReadyPool): SelectedServer | null;
   /** Takes the slot on the chosen server. */
-  acquirePlaced(demand: Demand, placed: Placed): Slot;
+  acquireSlot(demand: Demand, placed: SelectedServer): Slot;
 }
 
 /**
@@ -56,16 +56,16 @@
 const NO_CACHED_TOKENS: ReadonlyMap<string, number> = new Map();
 
 /** Creates the placement of demands on servers. */
-export function createPlacement(dependencies: PlacementDependencies): Placement {
+export function createServerSelector(dependencies: ServerSelectorDependencies): ServerSelector {
   const { load, meter, quality, clock, randomness } = dependencies;
 
   const recordOutcome = (
     demand: Demand,
-    { ready: { server, room, group }, cachedTokens, running }: Placed,
+    { ready: { server, capacity, group }, cachedTokens, running }: SelectedServer,
     sentMs: number,
     { outcome, firstTokenMs, outputTokens }: SlotOutcome,
   ): void => {
-    if (outcome === 'not-started') load.recordFull(server.name, room.slots + 1);
+    if (outcome === 'not-started') load.recordServerFull(server.name, capacity.slots + 1);
     if (outcome === 'finished' || outcome === 'failed') {
       quality.recordAttempt(server.name, outcome === 'failed');
     }
@@ -78,30 +78,30 @@
       uncachedTokens: demand.promptTokens - cachedTokens,
       outputTokens,
       finished: outcome === 'finished',
-      unqueued: running < room.slots,
+      unqueued: running < capacity.slots,
     });
     // Last, because it wakes those who wait, and they are judged by the measures above.
     load.recordEnd(server.name, clock.readMonotonicMs() - sentMs);
   };
 
   return {
-    findServer: (demand, pool) => {
+    selectServer: (demand, pool) => {
       const { servers, groups, zones } = pool;
       const { workClass, excludedServers, promptTokens, prefixes } = demand;
-      const { overtakes } = findClassPolicy(workClass);
+      const { isServedFirst } = findWorkClassPolicy(workClass);
       const cached = prefixes.length > 0 ? load.findCachedTokens(prefixes) : NO_CACHED_TOKENS;
       const holdMs = meter.readHoldMs(demand.service);
       const prefills = groups.map((group) => meter.readPrefillMsPerToken(demand.service, group));
-      const zonesMs = zones.map(load.readZoneMs);
+      const zonesMs = zones.map(load.readZoneRoundTripMs);
       const columns = createColumns();
       const addServer = (position: number): void => {
         const ready = servers[position];
         if (ready === undefined) return;
-        const { running } = ready.load;
-        if (running >= ready.limits[workClass]) return;
+        const { running } = ready.runningEstimate;
+        if (running >= ready.requestLimits[workClass]) return;
         const { name } = ready.server;
         if (excludedServers.length > 0 && excludedServers.includes(name)) return;
-        const { slots } = ready.room;
+        const { slots } = ready.capacity;
         columns.positions.push(position);
         columns.load.push(running / slots);
         columns.firstTokenMs.push(
@@ -109,12 +109,12 @@
             running,
             slots,
             holdMs,
-            overtakes,
+            skipsQueue: isServedFirst,
             promptTokens,
             cachedTokens: cached.size > 0 ? (cached.get(name) ?? 0) : 0,
             prefillMsPerToken: prefills[ready.groupIndex] ?? 0,
-            zoneMs: zonesMs[ready.zoneIndex] ?? 0,
-            speed: ready.quality.speed,
+            zoneRoundTripMs: zonesMs[ready.zoneIndex] ?? 0,
+            speed: ready.speedEstimate.speed,
           }),
         );
       };
@@ -131,14 +131,14 @@
         ready,
         firstTokenMs: columns.firstTokenMs[chosen] ?? 0,
         cachedTokens: cached.get(ready.server.name) ?? 0,
-        running: ready.load.running,
+        running: ready.runningEstimate.running,
       };
     },
-    acquirePlaced: (demand, placed) => {
+    acquireSlot: (demand, placed) => {
       const { server } = placed.ready;
       const sentMs = clock.readMonotonicMs();
       const priority =
-        findClassPolicy(demand.workClass).enginePriority +
+        findWorkClassPolicy(demand.workClass).enginePriority +
         (demand.purpose === 'resume' ? RESUME_PRIORITY : 0);
       load.recordSend(server.name, demand.prefixes);
       return createSlot(server, priority, (outcome) =>
--- a/src/application/routing/createServiceMeter/index.ts
+++ b/src/application/routing/createServiceMeter/index.ts
@@ -1,6 +1,6 @@
-import { addToAverage, addToLowEstimate } from '../../../domain/load';
+import { updateMovingAverage, updateUndisturbedEstimate } from '../../../domain/load';
 import { addOutputSample, predictOutputTokens } from '../../../domain/prediction';
-import type { OutputSamples } from '../../../domain/prediction';
+import type { OutputLengthSamples } from '../../../domain/prediction';
 
 /** Weight of a new measure: about the last ten requests count. */
 const MEASURE_WEIGHT = 0.1;
@@ -47,14 +47,14 @@
   readPrefillMsPerToken(service: string, group: string): number;
   /** Time to the first token after which a hedge pays, in milliseconds; null before any measure. */
   estimateHedgeDelayMs(service: string): number | null;
-  predictTokens(service: string, workspace: string, maxOutputTokens: number): number;
+  predictOutputTokens(service: string, workspace: string, maxOutputTokens: number): number;
 }
 
 /** Creates the meter of services. */
 export function createServiceMeter(): ServiceMeter {
   const measures = new Map<string, ServiceMeasures>();
   const groupPrefills = new Map<string, number>();
-  const samples = new Map<string, OutputSamples>();
+  const samples = new Map<string, OutputLengthSamples>();
   /** Predictions without the limit of a request, until the next sample. */
   const predictions = new Map<string, number>();
 
@@ -71,14 +71,14 @@
       const { firstTokenMs } = attempt;
       if (firstTokenMs > 0 && attempt.unqueued) {
         const perToken = firstTokenMs / Math.max(1, attempt.uncachedTokens);
-        held.prefillMsPerToken = addToLowEstimate(held.prefillMsPerToken, perToken);
+        held.prefillMsPerToken = updateUndisturbedEstimate(held.prefillMsPerToken, perToken);
         const key = buildKey(attempt.service, attempt.group);
         const before = groupPrefills.get(key) ?? 0;
-        groupPrefills.set(key, addToLowEstimate(before, perToken));
-        held.firstTokenMs = addToAverage(held.firstTokenMs, firstTokenMs, MEASURE_WEIGHT);
+        groupPrefills.set(key, updateUndisturbedEstimate(before, perToken));
+        held.firstTokenMs = updateMovingAverage(held.firstTokenMs, firstTokenMs, MEASURE_WEIGHT);
       }
       if (!attempt.finished) return;
-      held.holdMs = addToAverage(held.holdMs, attempt.holdMs, MEASURE_WEIGHT);
+      held.holdMs = updateMovingAverage(held.holdMs, attempt.holdMs, MEASURE_WEIGHT);
       const key = buildKey(attempt.service, attempt.workspace);
       samples.set(key, addOutputSample(samples.get(key) ?? { tokens: [] }, attempt.outputTokens));
       predictions.delete(key);
@@ -92,7 +92,7 @@
       const usualMs = measures.get(service)?.firstTokenMs ?? 0;
       return usualMs > 0 ? usualMs * HEDGE_FACTOR : null;
     },
-    predictTokens: (service, workspace, maxOutputTokens) => {
+    predictOutputTokens: (service, workspace, maxOutputTokens) => {
       const key = buildKey(service, workspace);
       const held = samples.get(key);
       if (held === undefined) return maxOutputTokens;
--- a/src/application/routing/createWaitQueue/index.ts
+++ b/src/application/routing/createWaitQueue/index.ts
@@ -2,13 +2,13 @@
 import type { Result } from 'neverthrow';
 import {
   compareWaiters,
-  computeFairTag,
+  computeStartTag,
   estimateWaitMs,
-  hasQueueRoom,
-  removeFairCost,
+  hasQueueCapacity,
+  removeQueuedCost,
 } from '../../../domain/admission';
-import type { FairShares, Waiter } from '../../../domain/admission';
-import { addToAverage } from '../../../domain/load';
+import type { FairQueueState, Waiter } from '../../../domain/admission';
+import { updateMovingAverage } from '../../../domain/load';
 import { DemandPurpose, RefusalCode } from '../../../domain/types';
 import type { Demand, Refusal } from '../../../domain/types';
 import type { Clock, Slot } from '../../ports';
@@ -31,18 +31,18 @@
 }
 
 /** Tries to give a waiter its slot: null if there is no room, a refusal if it lost its leave. */
-export type SendAttempt = (queued: QueuedDemand) => Result<Slot, Refusal> | null;
+export type TrySend = (queued: QueuedDemand) => Result<Slot, Refusal> | null;
 
 /** A bounded queue of one class of work within one set of places. */
 export interface WaitQueue {
   /** Serves in order of fair share as long as `trySend` gives slots. */
-  serve(trySend: SendAttempt): void;
+  serve(trySend: TrySend): void;
   /** Checks whether the demand may wait; a refusal is final and comes at once. */
-  checkRoom(queued: QueuedDemand): Result<void, Refusal>;
+  checkAdmission(queued: QueuedDemand): Result<void, Refusal>;
   /** Waits for a slot until the deadline or the caller's signal. */
   waitForSlot(queued: QueuedDemand, signal: AbortSignal): Promise<Result<Slot, Refusal>>;
   /** Counts work that was sent without waiting, so that it weighs on the share too. */
-  recordSent(queued: QueuedDemand): void;
+  recordUnqueued(queued: QueuedDemand): void;
   countWaiting(): number;
 }
 
@@ -62,7 +62,7 @@
 
 /** Creates a bounded queue that serves workspaces by weighted fair shares. */
 export function createWaitQueue({ clock }: { readonly clock: Clock }): WaitQueue {
-  let shares: FairShares = { virtualTime: 0, finishTags: new Map() };
+  let shares: FairQueueState = { virtualTime: 0, finishTags: new Map() };
   let waiting: readonly WaitingDemand[] = [];
   let nextId = 0;
   let intervalMs = 0;
@@ -78,19 +78,20 @@
   };
   const measureInterval = (): void => {
     const nowMs = clock.readMonotonicMs();
-    if (servedMs !== null) intervalMs = addToAverage(intervalMs, nowMs - servedMs, INTERVAL_WEIGHT);
+    if (servedMs !== null)
+      intervalMs = updateMovingAverage(intervalMs, nowMs - servedMs, INTERVAL_WEIGHT);
     // The time from an empty queue to the next waiter says nothing about the rate.
     servedMs = waiting.length > 0 ? nowMs : null;
   };
   const addTag = ({ demand, pool, cost }: QueuedDemand): number => {
-    const tag = computeFairTag(shares, demand.workspace, pool.weight, cost);
-    shares = tag.shares;
+    const tag = computeStartTag(shares, demand.workspace, pool.weight, cost);
+    shares = tag.state;
     return tag.startTag;
   };
 
   const giveUp = (waiter: WaitingDemand, message: string): void => {
     removeWaiter(waiter);
-    shares = removeFairCost(shares, waiter.workspace, waiter.pool.weight, waiter.cost);
+    shares = removeQueuedCost(shares, waiter.workspace, waiter.pool.weight, waiter.cost);
     waiter.finish(err(buildLateRefusal(message, readInterval(waiter))));
   };
 
@@ -111,15 +112,15 @@
         waiter.finish(outcome);
       });
     },
-    checkRoom: (queued) => {
+    checkAdmission: (queued) => {
       const { demand, pool } = queued;
       if (hadItsTurn(demand)) return ok();
       const interval = readInterval(queued);
       const own = waiting.filter(({ demand: other }) => other.workspace === demand.workspace);
-      const hasRoom = hasQueueRoom({
+      const hasRoom = hasQueueCapacity({
         waiting: waiting.length,
         waitingOfWorkspace: own.length,
-        bound: pool.limits.maxQueuedLong,
+        maxWaiting: pool.limits.maxQueuedLong,
         relativeWeight: pool.relativeWeight,
       });
       if (!hasRoom) {
@@ -128,7 +129,7 @@
         const retryAfterMs = Math.ceil(estimateWaitMs(ahead, interval));
         return err({ code: RefusalCode.QueueFull, message, retryAfterMs });
       }
-      const { startTag } = computeFairTag(shares, demand.workspace, pool.weight, queued.cost);
+      const { startTag } = computeStartTag(shares, demand.workspace, pool.weight, queued.cost);
       const ahead = waiting.filter(
         (other) => other.comesFirst || other.startTag <= startTag,
       ).length;
@@ -165,7 +166,7 @@
         if (waiting.length === 0) servedMs = clock.readMonotonicMs();
         waiting = [...waiting, waiter].sort(compareWaiters);
       }),
-    recordSent: (queued) => recordServed(addTag(queued)),
+    recordUnqueued: (queued) => recordServed(addTag(queued)),
     countWaiting: () => waiting.length,
   };
 }
--- a/src/application/routing/createWaitQueues/index.ts
+++ b/src/application/routing/createWaitQueues/index.ts
@@ -1,15 +1,15 @@
-import { findClassPolicy } from '../../../domain/admission';
+import { findWorkClassPolicy } from '../../../domain/admission';
 import type { WorkClass } from '../../../domain/types';
 import type { Clock } from '../../ports';
 import { createWaitQueue } from '../createWaitQueue';
-import type { SendAttempt, WaitQueue } from '../createWaitQueue';
+import type { TrySend, WaitQueue } from '../createWaitQueue';
 import type { ServerPool } from '../types';
 
 /** The queues of this VM: one for each class of work and set of places. */
 export interface WaitQueues {
   findQueue(pool: ServerPool, workClass: WorkClass): WaitQueue;
   /** Serves all queues, quick work first. */
-  serve(trySend: SendAttempt): void;
+  serve(trySend: TrySend): void;
   countWaiting(): number;
 }
 
@@ -30,7 +30,7 @@
 
   return {
     findQueue: (pool, workClass) => {
-      const rank = findClassPolicy(workClass).queueRank;
+      const rank = findWorkClassPolicy(workClass).queueRank;
       const key = `${rank}\n${pool.placesKey}`;
       const held = queues.get(key) ?? { rank, queue: createWaitQueue(dependencies) };
       queues.set(key, held);
--- a/src/application/routing/index.ts
+++ b/src/application/routing/index.ts
@@ -4,7 +4,7 @@
 export type { LoadViewDependencies } from './createLoadView';
 export { createRouter } from './createRouter';
 export type { RouterDependencies } from './createRouter';
-export type { RoutingLoad, ServingRouter } from './types';
+export type { RouterLoadView, ServingRouter } from './types';
 export { runHedged } from './runHedged';
 export type {
   HedgeDependencies,
--- a/src/application/routing/types/ServerPool.ts
+++ b/src/application/routing/types/ServerPool.ts
@@ -1,6 +1,6 @@
-import type { ServerRoom } from '../../../domain/admission';
-import type { SpeedFigure } from '../createQualityTracker';
-import type { RunningFigure } from './RoutingLoad';
+import type { ServerSlots } from '../../../domain/admission';
+import type { SpeedEstimate } from '../createQualityTracker';
+import type { RunningEstimate } from './RouterLoadView';
 import type { AllowedServers } from '../../../domain/routing';
 import type { BackendServer, FilteredServer, Limits, WorkClass } from '../../../domain/types';
 
@@ -19,16 +19,16 @@
 /** A server that can take work now. */
 export interface ReadyServer {
   readonly server: BackendServer;
-  readonly room: ServerRoom;
+  readonly capacity: ServerSlots;
   /** Names the group of comparable servers: those that serve the same services. */
   readonly group: string;
   /** Positions of its group and its zone in the lists of the pool. */
   readonly groupIndex: number;
   readonly zoneIndex: number;
   /** Requests there below which one of each class may still be sent. */
-  readonly limits: Readonly<Record<WorkClass, number>>;
-  readonly load: RunningFigure;
-  readonly quality: SpeedFigure;
+  readonly requestLimits: Readonly<Record<WorkClass, number>>;
+  readonly runningEstimate: RunningEstimate;
+  readonly speedEstimate: SpeedEstimate;
 }
 
 /** The part of a pool that can take work now. */
--- a/src/application/routing/types/index.ts
+++ b/src/application/routing/types/index.ts
@@ -1,3 +1,3 @@
-export type { RoutingLoad, RunningFigure } from './RoutingLoad';
+export type { RouterLoadView, RunningEstimate } from './RouterLoadView';
 export type { ReadyPool, ReadyServer, ServerPool } from './ServerPool';
 export type { ServingRouter } from './ServingRouter';
--- a/src/application/rows/_lib/createAgeRecord/index.ts
+++ b/src/application/rows/_lib/createAgeTracker/index.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../../../ports';
 
 /** Knows how old the newest knowledge of a table is. */
-export interface AgeRecord {
+export interface AgeTracker {
   /** The table had no newer change at this monotonic time than those that are known. */
   recordAsOf(atMs: number): void;
   /** Age in milliseconds; infinite before anything is known. */
@@ -15,9 +15,9 @@
  * larger of both differences counts. A time of day that jumps forward makes knowledge look too old,
  * which costs one more call; one that jumps back changes nothing.
  */
-export const createAgeRecord = (
+export const createAgeTracker = (
   clock: Pick<Clock, 'readMonotonicMs' | 'readWallMs'>,
-): AgeRecord => {
+): AgeTracker => {
   let asOfMs = -Infinity;
   let asOfWallMs = -Infinity;
   const readAgeMs = (): number =>
--- a/src/application/rows/_lib/createCallRecord/index.ts
+++ b/src/application/rows/_lib/createCallTracker/index.ts
@@ -11,33 +11,33 @@
 }
 
 /** What a record of calls needs. */
-export interface CallRecordDependencies {
+export interface CallTrackerDependencies {
   readonly table: string;
   readonly clock: Clock;
   readonly log: EventLog;
   /** Called when an outage begins. */
-  readonly handleLost: () => void;
+  readonly handleOutageStart: () => void;
 }
 
 /** Knows how the calls for a table went, and whether the store answers. */
-export interface CallRecord {
+export interface CallTracker {
   startCall(call: StoreCall['call'], waitMs: number): StoreCall;
   recordSuccess(call: StoreCall): void;
   recordFailure(call: StoreCall, error: RowError, version: number): void;
   /** Failures since the last success. */
-  countFailures(): number;
+  countConsecutiveFailures(): number;
   isInOutage(): boolean;
   /** Monotonic time at which the newest outage ended, or null. */
   readOutageEndedAtMs(): number | null;
 }
 
 /** Creates the record of the calls for one table. */
-export const createCallRecord = ({
+export const createCallTracker = ({
   clock,
-  handleLost,
+  handleOutageStart,
   log,
   table,
-}: CallRecordDependencies): CallRecord => {
+}: CallTrackerDependencies): CallTracker => {
   let failures = 0;
   let outageStartedAtMs: number | null = null;
   let outageEndedAtMs: number | null = null;
@@ -78,9 +78,9 @@
       if (outageStartedAtMs !== null) return;
       outageStartedAtMs = clock.readMonotonicMs();
       log.warn('store lost', { table, reason: error.reason, version });
-      handleLost();
+      handleOutageStart();
     },
-    countFailures: () => failures,
+    countConsecutiveFailures: () => failures,
     isInOutage: () => outageStartedAtMs !== null,
     readOutageEndedAtMs: () => outageEndedAtMs,
   };
--- a/src/application/rows/_lib/createEraRecord/index.ts
+++ b/src/application/rows/_lib/createRestoreDetector/index.ts
@@ -2,25 +2,29 @@
 import type { Clock, EventLog } from '../../../ports';
 
 /** What a record of eras needs. */
-export interface EraRecordDependencies {
+export interface RestoreDetectorDependencies {
   readonly table: string;
   readonly clock: Pick<Clock, 'readMonotonicMs'>;
   readonly log: EventLog;
 }
 
 /** Knows when it showed that the store came back from a copy. */
-export interface EraRecord {
+export interface RestoreDetector {
   /** Takes the version of all rows of a table; true if they are of a later era than those held. */
-  recordWhole(version: number, heldVersion: number): boolean;
+  recordSnapshot(version: number, heldVersion: number): boolean;
   /** Monotonic time at which it showed last, or null. */
   readRestoredAtMs(): number | null;
 }
 
 /** Creates the record of a table; the store has not come back from a copy. */
-export const createEraRecord = ({ clock, log, table }: EraRecordDependencies): EraRecord => {
+export const createRestoreDetector = ({
+  clock,
+  log,
+  table,
+}: RestoreDetectorDependencies): RestoreDetector => {
   let restoredAtMs: number | null = null;
   return {
-    recordWhole: (version, heldVersion) => {
+    recordSnapshot: (version, heldVersion) => {
       const { era, revision } = parseRowVersion(version);
       const held = parseRowVersion(heldVersion);
       const isFirst = heldVersion === 0;
--- a/src/application/rows/_lib/createSourceRecord/index.ts
+++ b/src/application/rows/_lib/createSourceTracker/index.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../../../ports';
 
 /** Remembers which VMs could not tell what the store holds. */
-export interface SourceRecord {
+export interface SourceTracker {
   /** The VM did not answer: it is left out for a while. */
   recordFailure(vm: string): void;
   /** The VM knows nothing young itself; `isCutOff`: as the store does not answer it. */
@@ -13,7 +13,7 @@
   /** Whether the VM was cut off from the store a moment ago. */
   isCutOff(vm: string): boolean;
   /** So many VMs are cut off from the store at once that the store itself must be away. */
-  isStoreAway(): boolean;
+  isStoreUnavailable(): boolean;
 }
 
 /** A VM that ended stays in the list of members for some seconds more. */
@@ -32,7 +32,7 @@
 const AWAY_VMS = 3;
 
 /** Creates the record; all VMs may be asked. */
-export const createSourceRecord = (clock: Pick<Clock, 'readMonotonicMs'>): SourceRecord => {
+export const createSourceTracker = (clock: Pick<Clock, 'readMonotonicMs'>): SourceTracker => {
   const failedUntilMs = new Map<string, number>();
   const staleUntilMs = new Map<string, number>();
   const cutOffUntilMs = new Map<string, number>();
@@ -72,6 +72,6 @@
       const isLeftOut = (vm: string): boolean => staleUntilMs.has(vm) || cutOffUntilMs.has(vm);
       return vms.filter(({ vm }) => !failedUntilMs.has(vm) && (isAway || !isLeftOut(vm)));
     },
-    isStoreAway,
+    isStoreUnavailable: isStoreAway,
   };
 };
--- a/src/application/rows/_lib/createStatementDesk/index.ts
+++ b/src/application/rows/_lib/createStatementResponder/index.ts
@@ -1,8 +1,8 @@
 import type { Clock } from '../../../ports';
-import type { RowFollower, Statements, StatementsRequest } from '../../types';
+import type { RowFollower, StatementsResponse, StatementsRequest } from '../../types';
 
 /** What a desk needs. */
-export interface StatementDeskDependencies {
+export interface StatementResponderDependencies {
   readonly followers: ReadonlyMap<
     string,
     Pick<RowFollower, 'buildStatement' | 'readAgeMs' | 'readVersion'>
@@ -10,16 +10,16 @@
   /** Whether this VM's own calls to the store failed a moment ago, whatever others told it since. */
   readonly isCutOff: () => boolean;
   /** Knowledge that is younger by this much is worth an answer. */
-  readonly gainMs: number;
+  readonly minGainMs: number;
   readonly clock: Clock;
 }
 
 /** Answers other VMs that ask what is known here. */
-export interface StatementDesk {
+export interface StatementResponder {
   /** Answers as soon as there is more to tell, or the request's time is over. */
-  handleRequest(request: StatementsRequest): Promise<Statements>;
+  handleRequest(request: StatementsRequest): Promise<StatementsResponse>;
   /** More is known: answers who waits for it. */
-  handleAdvance(): void;
+  handleUpdate(): void;
   /** Answers all that wait, as nothing more will come from here. */
   answerAll(): void;
 }
@@ -31,16 +31,16 @@
 const MAX_HELD = 256;
 
 /** Creates the desk at which other VMs ask. */
-export const createStatementDesk = ({
+export const createStatementResponder = ({
   clock,
   followers,
-  gainMs,
+  minGainMs,
   isCutOff,
-}: StatementDeskDependencies): StatementDesk => {
+}: StatementResponderDependencies): StatementResponder => {
   /** Requests that are held back, oldest first: each looks whether there is more to tell. */
   const held = new Set<(mustAnswer: boolean) => void>();
 
-  const buildAnswer = (request: StatementsRequest, heldMs: number): Statements => ({
+  const buildAnswer = (request: StatementsRequest, heldMs: number): StatementsResponse => ({
     heldMs,
     isCutOff: isCutOff(),
     tables: request.held.flatMap(({ table, version }) => {
@@ -57,7 +57,7 @@
           request.held.some(({ ageMs, table, version }) => {
             const follower = followers.get(table);
             if (!follower) return false;
-            const isYounger = follower.readAgeMs() + gainMs <= ageMs + heldMs;
+            const isYounger = follower.readAgeMs() + minGainMs <= ageMs + heldMs;
             return isYounger || follower.readVersion() > version;
           });
         let cancelTimer = (): void => undefined;
@@ -74,7 +74,7 @@
         look(waitMs === 0);
         if (held.size > MAX_HELD) [...held][0]?.(true);
       }),
-    handleAdvance: () => [...held].forEach((look) => look(false)),
+    handleUpdate: () => [...held].forEach((look) => look(false)),
     answerAll: () => [...held].forEach((look) => look(true)),
   };
 };
--- a/src/application/rows/_lib/createStoreTime/index.ts
+++ b/src/application/rows/_lib/createStoreClockConverter/index.ts
@@ -9,7 +9,7 @@
 }
 
 /** Tells at which time of the local clock the store gave an answer. */
-export interface StoreTime {
+export interface StoreClockConverter {
   /** Returns a monotonic time that is surely not later than the answer's. */
   convertAnswer(answer: TimedAnswer): number;
 }
@@ -21,7 +21,9 @@
  * tells look older by the whole wait. The difference between the clocks is at least that between the
  * sending of any call and its answer; calls that are answered at once give it to a few milliseconds.
  */
-export const createStoreTime = (clock: Pick<Clock, 'readMonotonicMs'>): StoreTime => {
+export const createStoreClockConverter = (
+  clock: Pick<Clock, 'readMonotonicMs'>,
+): StoreClockConverter => {
   let leastDifferenceMs = -Infinity;
   return {
     convertAnswer: ({ sentAtMs, storeMs }) => {
--- a/src/application/rows/_lib/createStoreTime/test.ts
+++ b/src/application/rows/_lib/createStoreClockConverter/test.ts
@@ -1,10 +1,10 @@
 import test from 'ava';
 import { createFakeClock } from '../../../../../standins/fakes';
-import { createStoreTime } from '.';
+import { createStoreClockConverter } from '.';
 
 test('an answer to a call that waited is as young as itself, not as the call', (t) => {
   const clock = createFakeClock();
-  const time = createStoreTime(clock);
+  const time = createStoreClockConverter(clock);
   clock.advance(1000);
   // The store's clock is 70 s ahead; this call took 4 ms.
   clock.advance(4);
@@ -15,7 +15,7 @@
 
 test('an answer that was long on its way is as old as that', (t) => {
   const clock = createFakeClock();
-  const time = createStoreTime(clock);
+  const time = createStoreClockConverter(clock);
   clock.advance(4);
   time.convertAnswer({ sentAtMs: 0, storeMs: 70_002 });
   clock.advance(900);
@@ -24,7 +24,7 @@
 
 test('a clock that begins anew, or none, leaves the time at which the call was sent', (t) => {
   const clock = createFakeClock();
-  const time = createStoreTime(clock);
+  const time = createStoreClockConverter(clock);
   clock.advance(4);
   time.convertAnswer({ sentAtMs: 0, storeMs: 70_002 });
   clock.advance(96);
@@ -34,7 +34,7 @@
 
 test('an answer is never taken for later than it came, also after the local clock stood still', (t) => {
   const clock = createFakeClock();
-  const time = createStoreTime(clock);
+  const time = createStoreClockConverter(clock);
   clock.advance(4);
   time.convertAnswer({ sentAtMs: 0, storeMs: 70_002 });
   clock.advance(10);
--- a/src/application/rows/_lib/createHeldRows/index.ts
+++ b/src/application/rows/_lib/createTableReplica/index.ts
@@ -1,15 +1,15 @@
 import type { RowChanges, SharedRow } from '../../../ports';
 
 /** The rows of a table as far as they are known. */
-export interface HeldRows {
+export interface TableReplica {
   /** Version up to which no change is missing; 0 before anything is known. */
   readVersion(): number;
   /** Takes rows that are newer than those held; returns these. */
   mergeRows(changes: readonly SharedRow[]): readonly SharedRow[];
   /** Takes all rows of a moment: those held that it lacks count as removed. Returns what is news. */
-  mergeWhole(whole: RowChanges): readonly SharedRow[];
+  mergeSnapshot(whole: RowChanges): readonly SharedRow[];
   /** No change up to the version is missing any more. */
-  recordComplete(version: number): void;
+  advanceVersion(version: number): void;
   /** Rows that changed after the version; null if that is not known any more. */
   listChanges(afterVersion: number): RowChanges | null;
 }
@@ -18,7 +18,7 @@
 const MAX_REMOVED_ROWS = 2000;
 
 /** Creates the rows of a table; none is known. A row never goes back to an older version. */
-export const createHeldRows = (): HeldRows => {
+export const createTableReplica = (): TableReplica => {
   const rows = new Map<string, SharedRow>();
   let version = 0;
   /** Changes up to this version may be missing among the removed rows that are remembered. */
@@ -46,7 +46,7 @@
   return {
     readVersion: () => version,
     mergeRows,
-    mergeWhole: (whole) => {
+    mergeSnapshot: (whole) => {
       const told = new Map(whole.rows.map((row) => [row.key, row]));
       // Another VM's rows may have a removal of an earlier era, which is older than the row held.
       const isMissing = ({ key, version: heldVersion }: SharedRow): boolean => {
@@ -64,7 +64,7 @@
       version = Math.max(version, whole.version);
       return news;
     },
-    recordComplete: (upTo) => {
+    advanceVersion: (upTo) => {
       version = Math.max(version, upTo);
     },
     listChanges: (afterVersion) => {
--- a/src/application/rows/_lib/checkStatements/index.ts
+++ b/src/application/rows/_lib/validateStatements/index.ts
@@ -1,5 +1,5 @@
 import { err, ok, type Result } from 'neverthrow';
-import type { Statements, StatementsRequest, TableStatement } from '../../types';
+import type { StatementsResponse, StatementsRequest, TableStatement } from '../../types';
 
 const isCount = (value: number): boolean => Number.isSafeInteger(value) && value >= 0;
 
@@ -22,10 +22,10 @@
 };
 
 /** Checks what another VM answered; an error says what is wrong, and nothing of it is taken. */
-export const checkStatements = (
-  statements: Statements,
+export const validateStatements = (
+  statements: StatementsResponse,
   request: StatementsRequest,
-): Result<Statements, string> => {
+): Result<StatementsResponse, string> => {
   if (!(statements.heldMs >= 0)) return err('a time held that is none');
   const problem = statements.tables.map((one) => findProblem(one, request)).find(Boolean);
   return problem ? err(problem) : ok(statements);
--- a/src/application/rows/_lib/checkStatements/test.ts
+++ b/src/application/rows/_lib/validateStatements/test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import type { StatementsRequest, TableStatement } from '../../types';
-import { checkStatements } from '.';
+import { validateStatements } from '.';
 
 const REQUEST: StatementsRequest = {
   held: [{ table: 'op', version: 5, ageMs: 100 }],
@@ -17,7 +17,7 @@
 };
 
 const check = (change: Partial<TableStatement>, heldMs = 10) =>
-  checkStatements({ heldMs, isCutOff: false, tables: [{ ...SOUND, ...change }] }, REQUEST);
+  validateStatements({ heldMs, isCutOff: false, tables: [{ ...SOUND, ...change }] }, REQUEST);
 
 test('what was asked for is taken, also all rows, and from a VM that knows less', (t) => {
   t.true(check({}).isOk());
--- a/src/application/rows/createFollowerPair/index.ts
+++ b/src/application/rows/createFollowerPair/index.ts
@@ -1,4 +1,4 @@
-import { createStoreTime } from '../_lib/createStoreTime';
+import { createStoreClockConverter } from '../_lib/createStoreClockConverter';
 import { createRowFollower } from '../createRowFollower';
 import type { RowFollower, RowFollowerDependencies } from '../types';
 
@@ -14,10 +14,10 @@
   'burstPauseMs' | 'clock' | 'handleAdvance' | 'log' | 'randomness' | 'store'
 > {
   /** Its calls wait briefly; their answers show what the other table's calls miss. */
-  readonly guard: FollowedTable;
-  readonly guarded: FollowedTable;
+  readonly primary: FollowedTable;
+  readonly secondary: FollowedTable;
   /** Wait of a call whose loss nothing else shows, in milliseconds. */
-  readonly aloneWaitMs: number;
+  readonly shortWaitMs: number;
   /** What is known may grow this old between two answers, in milliseconds; infinite: no bound. */
   readonly freshMs: number;
   /** Knowledge older than this counts as cut off while another VM's is taken. */
@@ -26,8 +26,8 @@
 
 /** Followers of two tables of one store. */
 export interface FollowerPair {
-  readonly guard: RowFollower;
-  readonly guarded: RowFollower;
+  readonly primary: RowFollower;
+  readonly secondary: RowFollower;
   /** Whether the store is followed from here; it is, until said otherwise. */
   setFollowing(isFollowing: boolean): void;
   /** Asks the store once for what is missing; false if it does not answer. */
@@ -52,10 +52,10 @@
  * one of both.
  */
 export const createFollowerPair = ({
-  aloneWaitMs,
+  shortWaitMs,
   freshMs,
-  guard: guardTable,
-  guarded: guardedTable,
+  primary: guardTable,
+  secondary: guardedTable,
   ...shared
 }: FollowerPairDependencies): FollowerPair => {
   let isFollowing = true;
@@ -63,9 +63,9 @@
   let isGuardReachable = (): boolean => false;
   const common = {
     ...shared,
-    storeTime: createStoreTime(shared.clock),
+    storeClock: createStoreClockConverter(shared.clock),
     isFollowing: () => isFollowing,
-    waitForTurn: () =>
+    waitUntilFollowing: () =>
       new Promise<void>((resolve) => {
         if (isFollowing) resolve();
         else waiters.push(resolve);
@@ -74,19 +74,19 @@
   const guarded = createRowFollower({
     ...common,
     ...guardedTable,
-    readWaitMs: () => (isGuardReachable() ? GUARDED_WAIT_MS : aloneWaitMs),
+    readWaitMs: () => (isGuardReachable() ? GUARDED_WAIT_MS : shortWaitMs),
   });
   const guard = createRowFollower({
     ...common,
     ...guardTable,
-    readWaitMs: (ageMs) => (ageMs < freshMs ? Math.min(aloneWaitMs, freshMs - ageMs) : 0),
+    readWaitMs: (ageMs) => (ageMs < freshMs ? Math.min(shortWaitMs, freshMs - ageMs) : 0),
     handleAnswer: guarded.checkAnswer,
-    handleLost: () => guarded.dropCall(`${guardTable.table} is lost`),
+    handleOutageStart: () => guarded.abortCall(`${guardTable.table} is lost`),
   });
   isGuardReachable = guard.isStoreReachable;
   return {
-    guard,
-    guarded,
+    primary: guard,
+    secondary: guarded,
     setFollowing: (next) => {
       isFollowing = next;
       if (!next) return;
--- a/src/application/rows/createRowFollower/index.ts
+++ b/src/application/rows/createRowFollower/index.ts
@@ -1,11 +1,11 @@
 import type { RowChanges, SharedRow } from '../../ports';
 import { hasMissedRows } from '../../../domain/forwarding';
 import { waitDelay } from '../../time';
-import { createAgeRecord } from '../_lib/createAgeRecord';
-import { createCallRecord, type StoreCall } from '../_lib/createCallRecord';
-import { createEraRecord } from '../_lib/createEraRecord';
-import { createHeldRows } from '../_lib/createHeldRows';
-import type { RowFollower, RowFollowerDependencies, RowsInfo } from '../types';
+import { createAgeTracker } from '../_lib/createAgeTracker';
+import { createCallTracker, type StoreCall } from '../_lib/createCallTracker';
+import { createRestoreDetector } from '../_lib/createRestoreDetector';
+import { createTableReplica } from '../_lib/createTableReplica';
+import type { RowFollower, RowFollowerDependencies, RowsOrigin } from '../types';
 
 const MIN_RETRY_MS = 100;
 const MAX_RETRY_MS = 1000;
@@ -24,10 +24,11 @@
  * goes back to an older version, whichever source tells of it.
  */
 export const createRowFollower = (dependencies: RowFollowerDependencies): RowFollower => {
-  const { clock, handleRows, isFollowing, log, randomness, store, storeTime, table } = dependencies;
-  const held = createHeldRows();
-  const age = createAgeRecord(clock);
-  const eras = createEraRecord({ table, clock, log });
+  const { clock, handleRows, isFollowing, log, randomness, store, storeClock, table } =
+    dependencies;
+  const held = createTableReplica();
+  const age = createAgeTracker(clock);
+  const eras = createRestoreDetector({ table, clock, log });
   const abort = new AbortController();
   /** The call that waits, and why it is given up, if it is. */
   let waiting: StoreCall | null = null;
@@ -39,11 +40,11 @@
   let toldOutageEndedAtMs: number | null = null;
   /** Whole reads in a row that the store could not go on from. */
   let vainReads = 0;
-  const calls = createCallRecord({
+  const calls = createCallTracker({
     table,
     clock,
     log,
-    handleLost: () => dependencies.handleLost?.(),
+    handleOutageStart: () => dependencies.handleOutageStart?.(),
   });
 
   const readOutageEndedAtMs = (): number | null => {
@@ -57,7 +58,7 @@
 
   const tellRows = (
     news: readonly SharedRow[],
-    { isRestored, source }: Pick<RowsInfo, 'isRestored' | 'source'>,
+    { isRestored, source }: Pick<RowsOrigin, 'isRestored' | 'source'>,
   ): void => {
     if (news.length > 0) {
       log.info('rows taken', { table, source, rows: news.length, version: held.readVersion() });
@@ -68,19 +69,19 @@
 
   const recordAsOf = (atMs: number): void => {
     age.recordAsOf(atMs);
-    dependencies.handleAdvance?.();
+    dependencies.handleUpdate?.();
   };
 
   /** Takes an answer of the store; `isWhole`: all rows, not changes. */
   const takeAnswer = (call: StoreCall, answer: RowChanges, isWhole: boolean): void => {
     calls.recordSuccess(call);
-    const asOfMs = storeTime.convertAnswer({
+    const asOfMs = storeClock.convertAnswer({
       sentAtMs: call.sentAtMs,
       storeMs: answer.storeMs ?? null,
     });
-    const isRestored = isWhole && eras.recordWhole(answer.version, held.readVersion());
-    const news = isWhole ? held.mergeWhole(answer) : held.mergeRows(answer.rows);
-    held.recordComplete(answer.version);
+    const isRestored = isWhole && eras.recordSnapshot(answer.version, held.readVersion());
+    const news = isWhole ? held.mergeSnapshot(answer) : held.mergeRows(answer.rows);
+    held.advanceVersion(answer.version);
     tellRows(news, { source: 'store', isRestored });
     recordAsOf(asOfMs);
     dependencies.handleAnswer?.(answer, asOfMs);
@@ -132,7 +133,8 @@
 
   const followOnce = async (): Promise<void> => {
     // After a failure a call that waits could not tell the end of an outage from its going on.
-    const waitMs = calls.countFailures() > 0 ? 0 : dependencies.readWaitMs(age.readAgeMs());
+    const waitMs =
+      calls.countConsecutiveFailures() > 0 ? 0 : dependencies.readWaitMs(age.readAgeMs());
     const call = calls.startCall('feed', waitMs);
     waiting = call;
     dropReason = null;
@@ -148,11 +150,11 @@
       if (mustReadAll || (isNew && !isStoreEmpty)) await readAll();
       else {
         // Who knows nothing yet has no other VM to follow.
-        if (!isNew) await dependencies.waitForTurn();
+        if (!isNew) await dependencies.waitUntilFollowing();
         if (!abort.signal.aborted) await followOnce();
       }
       // The first whole read after a loss is not put off.
-      const failures = Math.max(calls.countFailures(), vainReads - 1);
+      const failures = Math.max(calls.countConsecutiveFailures(), vainReads - 1);
       if (failures > 0) {
         const boundMs = Math.min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** (failures - 1));
         await waitDelay(clock, boundMs * (0.5 + randomness.readFraction() / 2));
@@ -168,10 +170,10 @@
 
   const mergeChanges = (changes: RowChanges, afterVersion: number): void => {
     const isWhole = afterVersion === 0;
-    const isRestored = isWhole && eras.recordWhole(changes.version, held.readVersion());
-    const news = isWhole ? held.mergeWhole(changes) : held.mergeRows(changes.rows);
+    const isRestored = isWhole && eras.recordSnapshot(changes.version, held.readVersion());
+    const news = isWhole ? held.mergeSnapshot(changes) : held.mergeRows(changes.rows);
     // Only news that begin where this VM stands leave no gap.
-    if (afterVersion <= held.readVersion()) held.recordComplete(changes.version);
+    if (afterVersion <= held.readVersion()) held.advanceVersion(changes.version);
     tellRows(news, { source: 'peer', isRestored });
   };
 
@@ -218,9 +220,13 @@
       if (held.readVersion() === 0) return;
       const otherRows = answer.rows.map((row) => row.version);
       const isBehind = (): boolean =>
-        hasMissedRows({ held: held.readVersion(), newest: answer.version, otherRows });
+        hasMissedRows({
+          held: held.readVersion(),
+          newest: answer.version,
+          otherRowVersions: otherRows,
+        });
       if (!isBehind()) {
-        held.recordComplete(answer.version);
+        held.advanceVersion(answer.version);
         recordAsOf(asOfMs);
         return;
       }
@@ -229,7 +235,7 @@
         if (overtaken && overtaken === waiting && isBehind()) dropCall('overtaken');
       });
     },
-    dropCall,
+    abortCall: dropCall,
     readOnce: async () => {
       if (held.readVersion() === 0 || mustReadAll) return readAll();
       const call = calls.startCall('feed', 0);
--- a/src/application/rows/createRowFollower/test.ts
+++ b/src/application/rows/createRowFollower/test.ts
@@ -2,8 +2,8 @@
 import { err, ok, type Result } from 'neverthrow';
 import { createFakeClock, createSeededRandomness } from '../../../../standins/fakes';
 import type { EventFields, RowChanges, RowError, SharedRow } from '../../ports';
-import { createStoreTime } from '../_lib/createStoreTime';
-import type { RowsInfo } from '../types';
+import { createStoreClockConverter } from '../_lib/createStoreClockConverter';
+import type { RowsOrigin } from '../types';
 import { createRowFollower } from '.';
 
 const buildRow = (key: string, version: number, value: string | null = key): SharedRow => ({
@@ -18,7 +18,7 @@
   const reads: Result<RowChanges, RowError>[] = [];
   const feeds: Result<RowChanges, RowError>[] = [];
   const asked: number[] = [];
-  const taken: { readonly rows: readonly SharedRow[]; readonly info: RowsInfo }[] = [];
+  const taken: { readonly rows: readonly SharedRow[]; readonly info: RowsOrigin }[] = [];
   const lines: (EventFields & { readonly message: string })[] = [];
   const take = (message: string, fields: EventFields): void => {
     lines.push({ message, ...fields });
@@ -33,9 +33,9 @@
         return feeds.shift() ?? never;
       },
     },
-    storeTime: createStoreTime(clock),
+    storeClock: createStoreClockConverter(clock),
     readWaitMs: () => 2500,
-    waitForTurn: async () => undefined,
+    waitUntilFollowing: async () => undefined,
     isFollowing: () => true,
     staleMs: Infinity,
     burstPauseMs: 600,
--- a/src/application/rows/createSharedReading/index.ts
+++ b/src/application/rows/createZoneReplication/index.ts
@@ -1,41 +1,47 @@
-import type { Sharing } from '../../../domain/forwarding';
+import type { StalenessLimits } from '../../../domain/forwarding';
 import { chooseRowReader, type RowReaderCandidate } from '../../../domain/membership';
 import type { Clock, EventLog, Randomness } from '../../ports';
 import { startLoop } from '../../time';
-import { checkStatements } from '../_lib/checkStatements';
-import { createSourceRecord } from '../_lib/createSourceRecord';
-import { createStatementDesk, type StatementDesk } from '../_lib/createStatementDesk';
+import { validateStatements } from '../_lib/validateStatements';
+import { createSourceTracker } from '../_lib/createSourceTracker';
+import {
+  createStatementResponder,
+  type StatementResponder,
+} from '../_lib/createStatementResponder';
 import type { FollowerPair } from '../createFollowerPair';
-import type { RowFollower, Statements, StatementsRequest } from '../types';
+import type { RowFollower, StatementsResponse, StatementsRequest } from '../types';
 
 /** A VM that may tell what the store holds. */
-export interface RowReader extends RowReaderCandidate {
+export interface StoreReaderVm extends RowReaderCandidate {
   readonly address: string;
 }
 
 /** What sharing needs. */
-export interface SharedReadingDependencies {
-  readonly self: RowReader;
+export interface ZoneReplicationDependencies {
+  readonly self: StoreReaderVm;
   /** Null: every VM follows the store itself. */
-  readonly sharing: Sharing | null;
+  readonly sharing: StalenessLimits | null;
   readonly pair: FollowerPair;
   /** The followers of the pair, by table. */
   readonly followers: ReadonlyMap<string, RowFollower>;
   /** Other VMs heard of lately. */
-  readonly listMembers: () => readonly RowReader[];
+  readonly listMembers: () => readonly StoreReaderVm[];
   /** Asks a VM; null if it does not answer in time. */
-  readonly askVm: (
+  readonly requestStatements: (
     address: string,
     request: StatementsRequest,
     timeoutMs: number,
-  ) => Promise<Statements | null>;
+  ) => Promise<StatementsResponse | null>;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
 }
 
 /** Lets one VM of a zone read the store for all. */
-export interface SharedReading extends Pick<StatementDesk, 'handleAdvance' | 'handleRequest'> {
+export interface ZoneReplication extends Pick<
+  StatementResponder,
+  'handleAdvance' | 'handleRequest'
+> {
   start(): void;
   stop(): void;
   /** Whether this VM follows the store itself. */
@@ -72,8 +78,8 @@
  * whatever the cause, asks the store itself; so a reader that dies, stands still, is cut off or tells
  * old things costs calls, never a change.
  */
-export const createSharedReading = ({
-  askVm,
+export const createZoneReplication = ({
+  requestStatements,
   clock,
   followers,
   listMembers,
@@ -82,14 +88,14 @@
   randomness,
   self,
   sharing,
-}: SharedReadingDependencies): SharedReading => {
-  const sources = createSourceRecord(clock);
+}: ZoneReplicationDependencies): ZoneReplication => {
+  const sources = createSourceTracker(clock);
   const freshMs = sharing?.freshMs ?? Infinity;
   const staleMs = sharing?.staleMs ?? Infinity;
   const isStoreLost = (): boolean => [...followers.values()].some((one) => !one.isStoreReachable());
-  const desk = createStatementDesk({
+  const desk = createStatementResponder({
     followers,
-    gainMs: freshMs / 4,
+    minGainMs: freshMs / 4,
     clock,
     isCutOff: () => sources.isCutOff(self.vm) || isStoreLost(),
   });
@@ -97,19 +103,19 @@
   let nextCheckMs = -Infinity;
   let stopLoop = (): void => undefined;
 
-  const listZone = (): readonly RowReader[] =>
+  const listZone = (): readonly StoreReaderVm[] =>
     listMembers().filter(({ availabilityZone }) => availabilityZone === self.availabilityZone);
 
   const isReader = (): boolean => source === null || source === self.vm;
 
-  const setSource = (next: RowReader): void => {
+  const setSource = (next: StoreReaderVm): void => {
     pair.setFollowing(next.vm === self.vm);
     if (source === next.vm) return;
     log.info('rows source chosen', {
       source: next.vm === self.vm ? 'store' : next.vm,
       before: source ?? '',
       ageMs: Math.round(pair.readAgeMs()),
-      isStoreAway: sources.isStoreAway(),
+      isStoreAway: sources.isStoreUnavailable(),
     });
     source = next.vm;
   };
@@ -125,8 +131,8 @@
 
   /** Takes what a VM told; returns how long to wait before the next request. */
   const takeStatements = (
-    reader: RowReader,
-    { heldMs, isCutOff, tables }: Statements,
+    reader: StoreReaderVm,
+    { heldMs, isCutOff, tables }: StatementsResponse,
     sentAtMs: number,
   ): number => {
     // Of the time that the call took, only that for which it was held is known not to be delay.
@@ -141,15 +147,15 @@
     }
     log.warn('rows source stale', { source: reader.vm, isCutOff, ageMs: Math.round(ageMs) });
     sources.recordStale(reader.vm, isCutOff);
-    return sources.isStoreAway() ? AWAY_PAUSE_MS : GATHER_MS;
+    return sources.isStoreUnavailable() ? AWAY_PAUSE_MS : GATHER_MS;
   };
 
-  const askReader = async (reader: RowReader, leftMs: number): Promise<number> => {
+  const askReader = async (reader: StoreReaderVm, leftMs: number): Promise<number> => {
     const timeoutMs = Math.min(freshMs + 2 * ANSWER_MS, Math.max(MIN_ASK_MS, leftMs));
     const request = buildRequest(Math.max(0, timeoutMs - ANSWER_MS));
     const sentAtMs = clock.readMonotonicMs();
-    const answered = await askVm(reader.address, request, timeoutMs);
-    const checked = answered && checkStatements(answered, request);
+    const answered = await requestStatements(reader.address, request, timeoutMs);
+    const checked = answered && validateStatements(answered, request);
     if (checked?.isOk()) return takeStatements(reader, checked.value, sentAtMs);
     const reason = checked?.isErr() ? checked.error : 'no usable answer in time';
     const tookMs = Math.round(clock.readMonotonicMs() - sentAtMs);
@@ -186,7 +192,7 @@
   const runStep = async (): Promise<number> => {
     if (isTooSoon()) return LOOK_MS;
     // One that the store turns away follows another VM, unless it does so to all.
-    const isLast = sources.isCutOff(self.vm) && !sources.isStoreAway();
+    const isLast = sources.isCutOff(self.vm) && !sources.isStoreUnavailable();
     const candidate = isLast ? { ...self, cores: -1 } : self;
     const reader = chooseRowReader(candidate, sources.filterUsable(listZone()));
     const wasReader = isReader();
--- a/src/application/rows/index.ts
+++ b/src/application/rows/index.ts
@@ -6,17 +6,17 @@
 } from './createFollowerPair';
 export { createRowFollower } from './createRowFollower';
 export {
-  createSharedReading,
-  type RowReader,
-  type SharedReading,
-  type SharedReadingDependencies,
-} from './createSharedReading';
+  createZoneReplication,
+  type StoreReaderVm,
+  type ZoneReplication,
+  type ZoneReplicationDependencies,
+} from './createZoneReplication';
 export type {
   HeldTable,
   RowFollower,
   RowFollowerDependencies,
-  RowsInfo,
-  Statements,
+  RowsOrigin,
+  StatementsResponse,
   StatementsRequest,
   TableStatement,
 } from './types';
--- a/src/application/rows/types/RowFollower.ts
+++ b/src/application/rows/types/RowFollower.ts
@@ -1,6 +1,6 @@
 import type { Clock, EventLog, Randomness, RowChanges, RowSource, SharedRow } from '../../ports';
-import type { StoreTime } from '../_lib/createStoreTime';
-import type { RowsInfo } from './RowsInfo';
+import type { StoreClockConverter } from '../_lib/createStoreClockConverter';
+import type { RowsOrigin } from './RowsOrigin';
 import type { TableStatement } from './Statements';
 
 /** What a follower needs. */
@@ -8,11 +8,11 @@
   readonly table: string;
   readonly store: RowSource;
   /** Converts the store's times; shared by all tables of a store. */
-  readonly storeTime: StoreTime;
+  readonly storeClock: StoreClockConverter;
   /** How long the next call waits for changes, by the age of what is known. */
   readonly readWaitMs: (ageMs: number) => number;
   /** Resolves when the store may be followed from here. */
-  readonly waitForTurn: () => Promise<void>;
+  readonly waitUntilFollowing: () => Promise<void>;
   /** Knowledge older than this counts as cut off while another VM's is taken; infinite if none is. */
   readonly staleMs: number;
   /** True while the store is followed from here. */
@@ -23,15 +23,15 @@
   readonly randomness: Randomness;
   readonly log: EventLog;
   /** Takes rows that changed, in the order of their versions. */
-  readonly handleRows: (rows: readonly SharedRow[], info: RowsInfo) => void;
+  readonly handleRows: (rows: readonly SharedRow[], info: RowsOrigin) => void;
   /** Takes each answer of the store: it also tells of changes in other tables. */
   readonly handleAnswer?: (answer: RowChanges, asOfMs: number) => void;
   /** Called when the store came back from a copy, after its rows were taken. */
   readonly handleRestored?: () => void;
   /** Called when an outage begins here. */
-  readonly handleLost?: () => void;
+  readonly handleOutageStart?: () => void;
   /** Called when more is known, or the same of a later moment. */
-  readonly handleAdvance?: () => void;
+  readonly handleUpdate?: () => void;
 }
 
 /** Keeps up with a table. */
@@ -52,7 +52,7 @@
   /** Takes the store's answer for another table: gives a call up that should have been answered. */
   checkAnswer(answer: RowChanges, asOfMs: number): void;
   /** Gives up the call that waits, as if it had failed. */
-  dropCall(reason: string): void;
+  abortCall(reason: string): void;
   /** Asks the store once, without waiting for changes; false if it does not answer. */
   readOnce(): Promise<boolean>;
   /** How long ago the store surely had no newer change, in milliseconds; infinite at the start. */
--- a/src/application/rows/types/RowsInfo.ts
+++ b/src/application/rows/types/RowsOrigin.ts
@@ -1,5 +1,5 @@
 /** Where changes came from. */
-export interface RowsInfo {
+export interface RowsOrigin {
   readonly source: 'store' | 'peer';
   /** True: all rows of a store that came back from a copy; some may be older than those known before. */
   readonly isRestored: boolean;
--- a/src/application/rows/types/Statements.ts
+++ b/src/application/rows/types/Statements.ts
@@ -29,7 +29,7 @@
 }
 
 /** A VM's answer. */
-export interface Statements {
+export interface StatementsResponse {
   /** How long it was held back, in milliseconds. */
   readonly heldMs: number;
   /** The VM's own calls to the store fail. */
--- a/src/application/rows/types/index.ts
+++ b/src/application/rows/types/index.ts
@@ -1,3 +1,8 @@
 export type { RowFollower, RowFollowerDependencies } from './RowFollower';
-export type { RowsInfo } from './RowsInfo';
-export type { HeldTable, Statements, StatementsRequest, TableStatement } from './Statements';
+export type { RowsOrigin } from './RowsOrigin';
+export type {
+  HeldTable,
+  StatementsResponse,
+  StatementsRequest,
+  TableStatement,
+} from './Statements';
--- a/src/application/store/createStoreGuard/index.ts
+++ b/src/application/store/createOperationRunner/index.ts
@@ -14,7 +14,7 @@
 import { waitForResult } from '../_lib/waitForResult';
 
 /** What a guard needs. */
-export interface StoreGuardDependencies {
+export interface OperationRunnerDependencies {
   readonly clock: Clock;
   readonly randomness: Randomness;
   /** Told when the breaker opens and closes. */
@@ -30,7 +30,7 @@
 }
 
 /** Runs operations on one store under one policy. */
-export interface StoreGuard {
+export interface OperationRunner {
   runOperation<T>(
     operation: () => Promise<Result<T, StoreError>>,
     kind: OperationKind,
@@ -53,11 +53,11 @@
  * Creates a guard over one store: one deadline over an operation and its retries, jittered backoff,
  * a retry budget, and a circuit breaker that all operations share.
  */
-export function createStoreGuard(
+export function createOperationRunner(
   name: string,
   policy: StorePolicy,
-  { clock, randomness, eventLog }: StoreGuardDependencies,
-): StoreGuard {
+  { clock, randomness, eventLog }: OperationRunnerDependencies,
+): OperationRunner {
   let breaker: Breaker = CLOSED_BREAKER;
   let budget: RetryBudget = { tokens: policy.budget.maxTokens };
 
--- a/src/application/store/createGuardedObjectStore/index.ts
+++ b/src/application/store/createResilientObjectStore/index.ts
@@ -1,14 +1,14 @@
 import type { ObjectStore } from '../../ports';
-import { createStoreGuard, type StoreGuardDependencies } from '../createStoreGuard';
+import { createOperationRunner, type OperationRunnerDependencies } from '../createOperationRunner';
 import type { StorePolicy } from '../policies';
 
 /** Creates an object store that fails soon; only unconditional writes are sent again when lost. */
-export function createGuardedObjectStore(
+export function createResilientObjectStore(
   inner: ObjectStore,
   policy: StorePolicy,
-  dependencies: StoreGuardDependencies,
+  dependencies: OperationRunnerDependencies,
 ): ObjectStore {
-  const guard = createStoreGuard('objects', policy, dependencies);
+  const guard = createOperationRunner('objects', policy, dependencies);
   return {
     readObject: (key) =>
       guard.runOperation(() => inner.readObject(key), { write: false, repeatable: true }),
--- a/src/application/store/createGuardedTableStore/index.ts
+++ b/src/application/store/createResilientTableStore/index.ts
@@ -1,5 +1,5 @@
 import type { TableStore } from '../../ports';
-import { createStoreGuard, type StoreGuardDependencies } from '../createStoreGuard';
+import { createOperationRunner, type OperationRunnerDependencies } from '../createOperationRunner';
 import type { StorePolicy } from '../policies';
 
 const READ = { write: false, repeatable: true };
@@ -8,12 +8,12 @@
 const WRITE = { write: true, repeatable: false };
 
 /** Creates a table store that fails soon and retries only what surely had no effect. */
-export function createGuardedTableStore(
+export function createResilientTableStore(
   inner: TableStore,
   policy: StorePolicy,
-  dependencies: StoreGuardDependencies,
+  dependencies: OperationRunnerDependencies,
 ): TableStore {
-  const guard = createStoreGuard('table', policy, dependencies);
+  const guard = createOperationRunner('table', policy, dependencies);
   return {
     readItem: (partition, sort) => guard.runOperation(() => inner.readItem(partition, sort), READ),
     listItems: (partition, options) =>
--- a/src/application/store/createGuardedTableStore/test.ts
+++ b/src/application/store/createResilientTableStore/test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { createGuardedTableStore, TABLE_POLICY } from '..';
+import { createResilientTableStore, TABLE_POLICY } from '..';
 import {
   createFakeClock,
   createMemoryTableStore,
@@ -9,7 +9,7 @@
 function startStore() {
   const clock = createFakeClock();
   const table = createMemoryTableStore();
-  const store = createGuardedTableStore(table, TABLE_POLICY, {
+  const store = createResilientTableStore(table, TABLE_POLICY, {
     clock,
     randomness: createSeededRandomness(1),
   });
--- a/src/domain/admission/computeFairTag/index.ts
+++ b/src/domain/admission/computeStartTag/index.ts
@@ -1,9 +1,9 @@
-import type { FairShares } from '../types';
+import type { FairQueueState } from '../types';
 
 /** A start tag, and the shares with the demand counted in. */
-export interface FairTag {
+export interface StartTagResult {
   readonly startTag: number;
-  readonly shares: FairShares;
+  readonly state: FairQueueState;
 }
 
 /**
@@ -18,14 +18,14 @@
  * @param weight - its weight, above 0
  * @param cost - expected work of the demand, in tokens
  */
-export function computeFairTag(
-  shares: FairShares,
+export function computeStartTag(
+  shares: FairQueueState,
   workspace: string,
   weight: number,
   cost: number,
-): FairTag {
+): StartTagResult {
   const startTag = Math.max(shares.virtualTime, shares.finishTags.get(workspace) ?? 0);
   const finishTags = new Map(shares.finishTags);
   finishTags.set(workspace, startTag + cost / weight);
-  return { startTag, shares: { ...shares, finishTags } };
+  return { startTag, state: { ...shares, finishTags } };
 }
--- a/src/domain/admission/computeFairTag/test.ts
+++ b/src/domain/admission/computeStartTag/test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
-import type { FairShares } from '../types';
-import { computeFairTag } from '.';
+import type { FairQueueState } from '../types';
+import { computeStartTag } from '.';
 
-const IDLE: FairShares = { virtualTime: 0, finishTags: new Map() };
+const IDLE: FairQueueState = { virtualTime: 0, finishTags: new Map() };
 
 const serve = (weights: Readonly<Record<string, number>>, served: number): readonly string[] => {
   const tagged: { workspace: string; startTag: number }[] = [];
   Object.entries(weights).forEach(([workspace, weight]) => {
     let shares = IDLE;
     for (let index = 0; index < 100; index += 1) {
-      const tag = computeFairTag(shares, workspace, weight, 10);
-      shares = tag.shares;
+      const tag = computeStartTag(shares, workspace, weight, 10);
+      shares = tag.state;
       tagged.push({ workspace, startTag: tag.startTag });
     }
   });
@@ -26,7 +26,7 @@
 });
 
 test('a workspace that was idle neither saved up a share nor lost its turn', (t) => {
-  const busy: FairShares = { virtualTime: 500, finishTags: new Map([['busy', 900]]) };
-  t.is(computeFairTag(busy, 'idle', 1, 10).startTag, 500);
-  t.is(computeFairTag(busy, 'busy', 1, 10).startTag, 900);
+  const busy: FairQueueState = { virtualTime: 500, finishTags: new Map([['busy', 900]]) };
+  t.is(computeStartTag(busy, 'idle', 1, 10).startTag, 500);
+  t.is(computeStartTag(busy, 'busy', 1, 10).startTag, 900);
 });
--- a/src/domain/admission/hasQueueRoom/index.ts
+++ b/src/domain/admission/hasQueueCapacity/index.ts
@@ -1,9 +1,9 @@
 /** State of a bounded queue as a new demand finds it. */
-export interface QueueState {
+export interface QueueOccupancy {
   readonly waiting: number;
   readonly waitingOfWorkspace: number;
   /** Most that may wait. */
-  readonly bound: number;
+  readonly maxWaiting: number;
   /** Weight of the workspace relative to the mean of all workspaces. */
   readonly relativeWeight: number;
 }
@@ -18,8 +18,8 @@
  * alone gets half of the queue, and the room left is there at once for the others. Pushing out
  * waiters instead was ruled out: their refusal would come late.
  */
-export function hasQueueRoom(state: QueueState): boolean {
-  const free = state.bound - state.waiting;
+export function hasQueueCapacity(state: QueueOccupancy): boolean {
+  const free = state.maxWaiting - state.waiting;
   if (free <= 0) return false;
   return state.waitingOfWorkspace < Math.max(1, free * THRESHOLD_FACTOR * state.relativeWeight);
 }
--- a/src/domain/admission/index.ts
+++ b/src/domain/admission/index.ts
@@ -1,11 +1,11 @@
 export { acquireRetryCredit } from './acquireRetryCredit';
 export { addRetryCredit, RETRY_BURST } from './addRetryCredit';
 export { compareWaiters } from './compareWaiters';
-export { computeFairTag } from './computeFairTag';
-export type { FairTag } from './computeFairTag';
+export { computeStartTag } from './computeStartTag';
+export type { StartTagResult } from './computeStartTag';
 export { estimateWaitMs } from './estimateWaitMs';
-export { findClassPolicy } from './findClassPolicy';
-export { hasQueueRoom } from './hasQueueRoom';
-export type { QueueState } from './hasQueueRoom';
-export { removeFairCost } from './removeFairCost';
-export type { ClassPolicy, FairShares, RetryBudget, ServerRoom, Waiter } from './types';
+export { findWorkClassPolicy } from './findWorkClassPolicy';
+export { hasQueueCapacity } from './hasQueueCapacity';
+export type { QueueOccupancy } from './hasQueueCapacity';
+export { removeQueuedCost } from './removeQueuedCost';
+export type { WorkClassPolicy, FairQueueState, RetryBudget, ServerSlots, Waiter } from './types';
--- a/src/domain/admission/types/FairShares.ts
+++ b/src/domain/admission/types/FairQueueState.ts
@@ -1,5 +1,5 @@
 /** State of weighted fair queueing within a place. */
-export interface FairShares {
+export interface FairQueueState {
   /** Start tag of the newest served waiter. */
   readonly virtualTime: number;
   /** Virtual time at which each workspace's queued work ends. */
--- a/src/domain/admission/types/index.ts
+++ b/src/domain/admission/types/index.ts
@@ -1,4 +1,4 @@
-export type { ClassPolicy, ServerRoom } from './ClassPolicy';
-export type { FairShares } from './FairShares';
+export type { WorkClassPolicy, ServerSlots } from './WorkClassPolicy';
+export type { FairQueueState } from './FairQueueState';
 export type { RetryBudget } from './RetryBudget';
 export type { Waiter } from './Waiter';
--- a/src/domain/claim/buildClaim/index.ts
+++ b/src/domain/claim/buildClaim/index.ts
@@ -1,5 +1,5 @@
 import { ClaimState, type ClaimRow } from '../../types';
-import type { ClaimSeed } from '../types';
+import type { Claimant } from '../types';
 
 /** The parts of a claim that come from the request. */
 export type ClaimedRequest = Pick<
@@ -14,7 +14,7 @@
  * removed and claimed anew could meet its own old revision again, and its late update would pass
  * for the new holder's; one would notice an answer of another generation under the key.
  */
-export function buildClaim(request: ClaimedRequest, seed: ClaimSeed): ClaimRow {
+export function buildClaim(request: ClaimedRequest, seed: Claimant): ClaimRow {
   const { workspace, keyDigest, generationId, requestDigest, idempotent } = request;
   return {
     workspace,
--- a/src/domain/claim/buildSuccessor/index.ts
+++ b/src/domain/claim/buildTakeoverClaim/index.ts
@@ -1,5 +1,5 @@
 import type { ClaimRow } from '../../types';
-import type { ClaimSeed } from '../types';
+import type { Claimant } from '../types';
 
 /**
  * Builds the row of a VM that takes a claim over: the same generation under a claim id of its own.
@@ -9,6 +9,6 @@
  * from its old first revision, up to the very one that its successor expects. The successor's
  * update would then replace a row that is not its own; the search in tests/model found it.
  */
-export function buildSuccessor(seen: ClaimRow, seed: ClaimSeed): ClaimRow {
+export function buildTakeoverClaim(seen: ClaimRow, seed: Claimant): ClaimRow {
   return { ...seen, ...seed, revision: seen.revision + seed.revision };
 }
