--- a/src/domain/claim/chooseAcquireStep/index.ts
+++ b/src/domain/claim/chooseAcquireStep/index.ts
@@ -1,12 +1,12 @@
 import type { ClaimRow } from '../../types';
-import { isReplaceable } from '../isReplaceable';
+import { isClaimReplaceable } from '../isClaimReplaceable';
 import type { ClaimReply, ClaimStep, StoredClaim } from '../types';
 
 function chooseByCurrent(sent: ClaimRow, current: StoredClaim | null, nowS: number): ClaimStep {
   if (current === null) return { kind: 'write', row: sent, expectedRevision: null };
   const { row } = current;
   if (row.claimId === sent.claimId) return { kind: 'done', row };
-  if (!isReplaceable(current, nowS)) return { kind: 'lost', row };
+  if (!isClaimReplaceable(current, nowS)) return { kind: 'lost', row };
   // A random step up, as in `buildSuccessor`.
   const next = { ...sent, revision: row.revision + sent.revision };
   return { kind: 'write', row: next, expectedRevision: row.revision };
--- a/src/domain/claim/chooseTakeOverStep/index.ts
+++ b/src/domain/claim/chooseTakeoverStep/index.ts
@@ -8,7 +8,7 @@
  * @param seen the row of the VM held for dead
  * @param sent the row that takes its place, with a claim id of its own
  */
-export function chooseTakeOverStep(seen: ClaimRow, sent: ClaimRow, reply: ClaimReply): ClaimStep {
+export function chooseTakeoverStep(seen: ClaimRow, sent: ClaimRow, reply: ClaimReply): ClaimStep {
   if (reply.kind === 'written') return { kind: 'done', row: sent };
   if (reply.kind === 'unknown') return { kind: 'read' };
   const row = reply.row?.row ?? null;
--- a/src/domain/claim/index.ts
+++ b/src/domain/claim/index.ts
@@ -1,8 +1,8 @@
 export { buildClaim } from './buildClaim';
 export type { ClaimedRequest } from './buildClaim';
-export { buildSuccessor } from './buildSuccessor';
+export { buildTakeoverClaim } from './buildTakeoverClaim';
 export { chooseAcquireStep } from './chooseAcquireStep';
-export { chooseTakeOverStep } from './chooseTakeOverStep';
+export { chooseTakeoverStep } from './chooseTakeoverStep';
 export { chooseUpdateStep } from './chooseUpdateStep';
 export type { ClaimChange } from './chooseUpdateStep';
 export { computeClaimExpiryS } from './computeClaimExpiryS';
@@ -12,5 +12,5 @@
 export type { MalformedClaim } from './decodeClaim';
 export { encodeAnswer } from './encodeAnswer';
 export { encodeClaim } from './encodeClaim';
-export { CLOCK_SKEW_S, isReplaceable } from './isReplaceable';
+export { MAX_CLOCK_SKEW_S, isClaimReplaceable } from './isClaimReplaceable';
 export type * from './types';
--- a/src/domain/claim/isReplaceable/index.ts
+++ b/src/domain/claim/isClaimReplaceable/index.ts
@@ -2,7 +2,7 @@
 import type { StoredClaim } from '../types';
 
 /** By how much the wall clocks of VMs and platform may differ, in seconds. */
-export const CLOCK_SKEW_S = 300;
+export const MAX_CLOCK_SKEW_S = 300;
 
 /**
  * Tells whether a row has served its time, so that a new claim may take its place.
@@ -12,7 +12,7 @@
  *
  * @param nowS wall time, seconds since the epoch
  */
-export function isReplaceable({ row, expiresAtS }: StoredClaim, nowS: number): boolean {
+export function isClaimReplaceable({ row, expiresAtS }: StoredClaim, nowS: number): boolean {
   const ended = row.state !== ClaimState.Running;
-  return ended && row.idempotent && expiresAtS > 0 && nowS > expiresAtS + CLOCK_SKEW_S;
+  return ended && row.idempotent && expiresAtS > 0 && nowS > expiresAtS + MAX_CLOCK_SKEW_S;
 }
--- a/src/domain/claim/types/ClaimSeed.ts
+++ b/src/domain/claim/types/Claimant.ts
@@ -1,5 +1,5 @@
 /** What a VM adds to a request to claim it. */
-export interface ClaimSeed {
+export interface Claimant {
   /** Unique to this claim. */
   readonly claimId: string;
   readonly vm: string;
--- a/src/domain/claim/types/index.ts
+++ b/src/domain/claim/types/index.ts
@@ -1,3 +1,3 @@
 export type { ClaimReply, StoredClaim } from './ClaimReply';
-export type { ClaimSeed } from './ClaimSeed';
+export type { Claimant } from './Claimant';
 export type { ClaimStep } from './ClaimStep';
--- a/src/domain/detection/computeInitialGaps/index.ts
+++ b/src/domain/detection/computeInitialGapStatistics/index.ts
@@ -1,4 +1,4 @@
-import { MIN_GAPS } from '../computeSilenceLimitMs';
+import { MIN_GAPS } from '../computeSilenceLimits';
 import type { GapStatistics } from '../types';
 import { NO_GAPS } from '../updateGapStatistics';
 
@@ -17,7 +17,7 @@
  * @param typical - Figures over the service's newest gaps at this VM.
  * @returns Figures of a stream without gaps; `NO_GAPS` if too little is known of the service.
  */
-export const computeInitialGaps = (typical: GapStatistics): GapStatistics =>
+export const computeInitialGapStatistics = (typical: GapStatistics): GapStatistics =>
   typical.count < MIN_TYPICAL_GAPS
     ? NO_GAPS
     : {
--- a/src/domain/detection/computePrefillLimitMs/index.ts
+++ b/src/domain/detection/computePrefillLimits/index.ts
@@ -24,16 +24,16 @@
  * @param options.serverDead - True if other evidence says that the server is dead.
  * @returns Limits in milliseconds.
  */
-export const computePrefillLimitMs = (
+export const computePrefillLimits = (
   samples: readonly FirstTokenSample[],
   promptCharacters: number,
-  options: { readonly serverDead: boolean },
+  options: { readonly isServerDead: boolean },
 ): SilenceLimits => {
   const slowestMs = Math.max(
     0,
     ...samples.map((sample) => estimatePrefillMs(sample, promptCharacters)),
   );
-  if (options.serverDead) {
+  if (options.isServerDead) {
     const sharedMs = Math.max(MIN_SHARED_SUSPECT_MS, Math.min(slowestMs, MAX_SUSPECT_MS));
     return { suspectMs: sharedMs, confirmMs: sharedMs };
   }
--- a/src/domain/detection/computeSilenceLimitMs/index.ts
+++ b/src/domain/detection/computeSilenceLimits/index.ts
@@ -29,15 +29,15 @@
  * computeSilenceLimitMs({ count: 50, meanMs: 10, deviationMs: 1 }, { serverDead: false });
  * // => { suspectMs: 200, confirmMs: 400 }
  */
-export const computeSilenceLimitMs = (
+export const computeSilenceLimits = (
   gaps: GapStatistics,
-  options: { readonly serverDead: boolean },
+  options: { readonly isServerDead: boolean },
 ): SilenceLimits => {
   const ownMs =
     gaps.count < MIN_GAPS
       ? MAX_SUSPECT_MS
       : gaps.meanMs * MEAN_FACTOR + gaps.deviationMs * DEVIATION_FACTOR;
-  if (options.serverDead) {
+  if (options.isServerDead) {
     const sharedMs = Math.max(MIN_SHARED_SUSPECT_MS, Math.min(ownMs, MIN_SUSPECT_MS));
     return { suspectMs: sharedMs, confirmMs: sharedMs };
   }
--- a/src/domain/detection/index.ts
+++ b/src/domain/detection/index.ts
@@ -1,7 +1,7 @@
-export { computeInitialGaps } from './computeInitialGaps';
+export { computeInitialGapStatistics } from './computeInitialGapStatistics';
 export { estimatePrefill, type PrefillEstimate } from './estimatePrefill';
-export { computePrefillLimitMs } from './computePrefillLimitMs';
+export { computePrefillLimits } from './computePrefillLimits';
 export { computeProbeDelayMs } from './computeProbeDelayMs';
-export { computeSilenceLimitMs } from './computeSilenceLimitMs';
+export { computeSilenceLimits } from './computeSilenceLimits';
 export { NO_GAPS, updateGapStatistics } from './updateGapStatistics';
 export type { FirstTokenSample, GapStatistics, SilenceLimits } from './types';
--- a/src/domain/forwarding/chooseForwardServer/index.ts
+++ b/src/domain/forwarding/chooseLeastLoadedServer/index.ts
@@ -1,7 +1,7 @@
 import type { ServerStatus } from '../types';
 
 /** What speaks for or against a server for one attempt. */
-export interface ServerChoiceOptions {
+export interface LeastLoadedServerOptions {
   /** Ids of servers that failed this request. */
   readonly excludedIds: ReadonlySet<string>;
   /** Zone in which it must not be, if others have a server; null for none. */
@@ -25,7 +25,7 @@
 const NEAR_LOAD = 0.5;
 
 const computeLoad = (status: ServerStatus, preferredZone: string | null): number => {
-  const own = status.running + status.prefillTokens / PREFILL_TOKENS_PER_REQUEST;
+  const own = status.running + status.pendingPrefillTokens / PREFILL_TOKENS_PER_REQUEST;
   const requests = Math.max(own, status.reported) + status.copies * COPY_WEIGHT;
   const zone = status.entry.availabilityZone === preferredZone ? -ZONE_WEIGHT : 0;
   const warmup = status.entry.warmupLeftMs > 0 ? 1 : 0;
@@ -46,9 +46,9 @@
  *
  * @returns null if every server has failed the request already, or there is none
  */
-export const chooseForwardServer = (
+export const chooseLeastLoadedServer = (
   servers: readonly ServerStatus[],
-  { avoidedZone, draw, excludedIds, preferredZone }: ServerChoiceOptions,
+  { avoidedZone, draw, excludedIds, preferredZone }: LeastLoadedServerOptions,
 ): ServerStatus | null => {
   const allowed = servers.filter(({ entry }) => !excludedIds.has(entry.id));
   const sound = preferAll(allowed, ({ isSuspected }) => !isSuspected);
--- a/src/domain/forwarding/chooseForwardServer/test.ts
+++ b/src/domain/forwarding/chooseLeastLoadedServer/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { ServerStatus } from '../types';
 import { buildServerStatus } from '../../../../standins/fakes';
-import { chooseForwardServer } from '.';
+import { chooseLeastLoadedServer } from '.';
 
 const NONE = {
   excludedIds: new Set<string>(),
@@ -11,7 +11,7 @@
 };
 
 const choose = (servers: readonly ServerStatus[], change: Partial<typeof NONE> = {}) =>
-  chooseForwardServer(servers, { ...NONE, ...change })?.entry.id ?? null;
+  chooseLeastLoadedServer(servers, { ...NONE, ...change })?.entry.id ?? null;
 
 test('the least loaded server is chosen; among nearly equal ones the draw decides', (t) => {
   const servers = [
@@ -38,7 +38,7 @@
 });
 
 test('prompts that are still read and copies weigh as well', (t) => {
-  const reading = buildServerStatus('a', 'z1', { prefillTokens: 8000 });
+  const reading = buildServerStatus('a', 'z1', { pendingPrefillTokens: 8000 });
   const holding = buildServerStatus('b', 'z1', { copies: 4 });
   t.is(choose([reading, holding, buildServerStatus('c', 'z1')], { draw: 0.99 }), 'c');
 });
--- a/src/domain/forwarding/chooseReportedServer/index.ts
+++ b/src/domain/forwarding/chooseServerByReport/index.ts
@@ -1,4 +1,4 @@
-import { countReadingRuns } from '../countReadingRuns';
+import { countPrefillingRuns } from '../countPrefillingRuns';
 import type { ServerEntry, ServerReport } from '../types';
 
 /** A server with what it said of itself just now. */
@@ -8,7 +8,7 @@
   /** Runs whose memory this VM knows to be copied there. */
   readonly copies: number;
   /** Prompt tokens that are known to have been sent there and are still to be read. */
-  readonly unreadTokens: number;
+  readonly pendingPrefillTokens: number;
 }
 
 /** Prompts are read one after the other: a running request delays a new one far less. */
@@ -29,24 +29,24 @@
 const FULL_WEIGHT = 4;
 
 /** What the new request needs: its prompt, and KV memory until its end. */
-export interface ReportedChoiceOptions {
-  readonly neededTokens: number;
+export interface ServerByReportOptions {
+  readonly neededKvTokens: number;
   readonly promptTokens: number;
   readonly preferredZone: string | null;
 }
 
 const computeLoad = (
-  { copies, entry, report, unreadTokens }: ReportedServer,
-  { neededTokens, preferredZone, promptTokens }: ReportedChoiceOptions,
+  { copies, entry, report, pendingPrefillTokens }: ReportedServer,
+  { neededKvTokens, preferredZone, promptTokens }: ServerByReportOptions,
 ): number => {
   // What was sent a moment ago is in no report yet.
   const ahead = Math.max(
-    report.waiting + countReadingRuns(report) * READING_WEIGHT,
-    unreadTokens / Math.max(1, promptTokens),
+    report.waiting + countPrefillingRuns(report) * READING_WEIGHT,
+    pendingPrefillTokens / Math.max(1, promptTokens),
   );
   const isFull =
     report.kvTotalTokens > 0 &&
-    report.kvUsedTokens + neededTokens > report.kvTotalTokens * MEMORY_PART;
+    report.kvUsedTokens + neededKvTokens > report.kvTotalTokens * MEMORY_PART;
   return (
     ahead +
     report.running * RUNNING_WEIGHT +
@@ -58,9 +58,9 @@
 };
 
 /** Chooses the server that begins with a new prompt first, by what the servers just said. */
-export const chooseReportedServer = (
+export const chooseServerByReport = (
   servers: readonly ReportedServer[],
-  options: ReportedChoiceOptions,
+  options: ServerByReportOptions,
 ): ReportedServer | null =>
   servers.reduce<ReportedServer | null>(
     (best, server) =>
--- a/src/domain/forwarding/chooseReportedServer/test.ts
+++ b/src/domain/forwarding/chooseServerByReport/test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import { buildServerReport, buildServerStatus } from '../../../../standins/fakes';
 import type { ServerReport } from '../types';
-import { chooseReportedServer, type ReportedServer } from '.';
+import { chooseServerByReport, type ReportedServer } from '.';
 
-const NONE = { neededTokens: 9000, promptTokens: 8000, preferredZone: null };
+const NONE = { neededKvTokens: 9000, promptTokens: 8000, preferredZone: null };
 
 const build = (
   id: string,
@@ -13,12 +13,12 @@
 ): ReportedServer => ({
   entry: buildServerStatus(id, zone).entry,
   copies,
-  unreadTokens: 0,
+  pendingPrefillTokens: 0,
   report: buildServerReport(change),
 });
 
 const choose = (servers: readonly ReportedServer[], change: Partial<typeof NONE> = {}) =>
-  chooseReportedServer(servers, { ...NONE, ...change })?.entry.id ?? null;
+  chooseServerByReport(servers, { ...NONE, ...change })?.entry.id ?? null;
 
 const runs = (count: number): ReadonlyMap<string, number> =>
   new Map(Array.from({ length: count }, (_, index) => [`r-${index}`, 5]));
@@ -36,18 +36,18 @@
 test('a server whose memory the request would not fit into comes last', (t) => {
   const full = build('a', 'z1', { kvUsedTokens: 70_000 });
   t.is(choose([full, build('b', 'z1', { waiting: 3 })]), 'b');
-  t.is(choose([full], { neededTokens: 9000 }), 'a');
+  t.is(choose([full], { neededKvTokens: 9000 }), 'a');
 });
 
 test('copies count a little, and the preferred zone decides between equal servers', (t) => {
   t.is(choose([build('a', 'z1', {}, 1), build('b', 'z2')]), 'b');
   const equal = [build('a', 'z1'), build('b', 'z2')];
   t.is(choose(equal), 'a');
-  t.is(chooseReportedServer(equal, { ...NONE, preferredZone: 'z2' })?.entry.id, 'b');
+  t.is(chooseServerByReport(equal, { ...NONE, preferredZone: 'z2' })?.entry.id, 'b');
 });
 
 test('prompts that were sent a moment ago count before any report shows them', (t) => {
-  const sentTo = { ...build('a', 'z1'), unreadTokens: 8000 };
+  const sentTo = { ...build('a', 'z1'), pendingPrefillTokens: 8000 };
   t.is(choose([sentTo, build('b', 'z1', { running: 6, eventsByRun: runs(6) })]), 'b');
   t.is(choose([sentTo, build('b', 'z1', { waiting: 2 })]), 'a');
 });
--- a/src/domain/forwarding/computeBurstPause/index.ts
+++ b/src/domain/forwarding/computeBatchDelayMs/index.ts
@@ -12,5 +12,5 @@
  * @example
  * computeBurstPause({ changeMs: 2000 }); // 600
  */
-export const computeBurstPause = ({ changeMs }: Pick<GatewayBounds, 'changeMs'>): number =>
+export const computeBatchDelayMs = ({ changeMs }: Pick<GatewayBounds, 'changeMs'>): number =>
   changeMs * PAUSE_PART;
--- /dev/null
+++ b/src/domain/forwarding/computeBatchDelayMs/test.ts
@@ -0,0 +1,7 @@
+import test from 'ava';
+import { computeBatchDelayMs } from '.';
+
+test('the pause leaves most of the time in which a change must be in force', (t) => {
+  t.is(computeBatchDelayMs({ changeMs: 2000 }), 600);
+  t.true(computeBatchDelayMs({ changeMs: 500 }) < 250);
+});
--- a/src/domain/forwarding/computeEventLimit/index.ts
+++ b/src/domain/forwarding/computeEventTimeoutMs/index.ts
@@ -1,5 +1,5 @@
 /** What is known of an attempt whose server answers questions, but sends no event. */
-export interface EventLimitOptions {
+export interface EventTimeoutOptions {
   /** True: events of this attempt have come. */
   readonly hasDelivered: boolean;
   /** True: the run could go on from a copy elsewhere. */
@@ -11,7 +11,7 @@
   /** Longest time that prompts took to their first event lately. */
   readonly slowestPrefillMs: number;
   /** Time that the first event was expected to take when the prompt was sent; 0 if not known. */
-  readonly expectedMs: number;
+  readonly expectedFirstEventMs: number;
 }
 
 /**
@@ -56,15 +56,15 @@
  *   gapGoalMs: 700, latencyGoalMs: 4500, slowestPrefillMs: 1200, expectedMs: 1000,
  * }); // 13500
  */
-export const computeEventLimit = ({
+export const computeEventTimeoutMs = ({
   gapGoalMs,
   hasCopy,
   hasDelivered,
   isQueued,
   latencyGoalMs,
-  expectedMs,
+  expectedFirstEventMs,
   slowestPrefillMs,
-}: EventLimitOptions): number => {
+}: EventTimeoutOptions): number => {
   if (hasDelivered && hasCopy) return gapGoalMs * PAUSE_PART;
   if (isQueued) return latencyGoalMs * QUEUED_GOALS;
   if (hasDelivered) return gapGoalMs * UNCOPIED_PAUSES;
@@ -72,6 +72,6 @@
   return Math.max(
     latencyGoalMs * FIRST_EVENT_PART,
     slowestPrefillMs,
-    expectedMs * PREDICTION_FACTOR,
+    expectedFirstEventMs * PREDICTION_FACTOR,
   );
 };
--- a/src/domain/forwarding/computeFollowWait/index.ts
+++ b/src/domain/forwarding/computeLongPollMs/index.ts
@@ -25,5 +25,5 @@
  * @example
  * computeFollowWait({ settleMs: 3000 }); // 1700
  */
-export const computeFollowWait = ({ settleMs }: Pick<GatewayBounds, 'settleMs'>): number =>
+export const computeLongPollMs = ({ settleMs }: Pick<GatewayBounds, 'settleMs'>): number =>
   Math.max(MIN_WAIT_MS, settleMs - OVERDUE_MS - RECOVER_MS);
--- a/src/domain/forwarding/computeFollowWait/test.ts
+++ b/src/domain/forwarding/computeLongPollMs/test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { computeFollowWait } from '.';
+import { computeLongPollMs } from '.';
 
 const CALL_MARGIN_MS = 600;
 
@@ -8,12 +8,12 @@
 // Cause: the limit added the time that a change has to the settling time, which do not add up.
 test('a call that fell silent is given up and made good within the settling time', (t) => {
   [2500, 3000, 4000].forEach((settleMs) => {
-    t.true(computeFollowWait({ settleMs }) + CALL_MARGIN_MS < settleMs);
+    t.true(computeLongPollMs({ settleMs }) + CALL_MARGIN_MS < settleMs);
   });
-  t.is(computeFollowWait({ settleMs: 3000 }), 1700);
-  t.is(computeFollowWait({ settleMs: 4000 }), 2700);
+  t.is(computeLongPollMs({ settleMs: 3000 }), 1700);
+  t.is(computeLongPollMs({ settleMs: 4000 }), 2700);
 });
 
 test('bounds that leave no time do not make a loop without a pause', (t) => {
-  t.is(computeFollowWait({ settleMs: 0 }), 1000);
+  t.is(computeLongPollMs({ settleMs: 0 }), 1000);
 });
--- a/src/domain/forwarding/computeReturnMs/index.ts
+++ b/src/domain/forwarding/computeRetryAfterMs/index.ts
@@ -1,5 +1,5 @@
 /** What is known when a request is refused that may come back. */
-export interface ReturnOptions {
+export interface RetryAfterOptions {
   /** Predicted wait for a place; 0 if none is predicted. */
   readonly waitMs: number;
   /** How long what prevents it has lasted; 0 if it has just begun. */
@@ -30,7 +30,12 @@
  * @example
  * computeReturnMs({ waitMs: 0, outageMs: 2000, leftMs: 24000, draw: 0.5 }); // 2000
  */
-export const computeReturnMs = ({ draw, leftMs, outageMs, waitMs }: ReturnOptions): number => {
+export const computeRetryAfterMs = ({
+  draw,
+  leftMs,
+  outageMs,
+  waitMs,
+}: RetryAfterOptions): number => {
   const wantedMs = Math.max(MIN_RETURN_MS, waitMs, outageMs);
   const spreadMs = wantedMs * (1 - SPREAD / 2 + SPREAD * draw);
   return Math.round(Math.max(1, Math.min(spreadMs, leftMs * HONOURED_PART)));
--- a/src/domain/forwarding/computeSharing/index.ts
+++ b/src/domain/forwarding/computeStalenessLimits/index.ts
@@ -1,7 +1,7 @@
 import type { GatewayBounds } from '../types';
 
 /** How VMs share what few of them read from the store. */
-export interface Sharing {
+export interface StalenessLimits {
   /** What a VM that reads may know grows no older between two answers. */
   readonly freshMs: number;
   /** A VM whose knowledge is older than this asks the store itself. */
@@ -31,7 +31,9 @@
  * computeSharing({ changeMs: 4000 }); // { freshMs: 1250, staleMs: 2500 }
  * computeSharing({ changeMs: 2000 }); // null
  */
-export const computeSharing = ({ changeMs }: Pick<GatewayBounds, 'changeMs'>): Sharing | null => {
+export const computeStalenessLimits = ({
+  changeMs,
+}: Pick<GatewayBounds, 'changeMs'>): StalenessLimits | null => {
   const staleMs = changeMs - RECOVER_MS;
   return staleMs < MIN_STALE_MS ? null : { freshMs: staleMs * FRESH_PART, staleMs };
 };
--- a/src/domain/forwarding/countCrashes/index.ts
+++ b/src/domain/forwarding/countCrashedServers/index.ts
@@ -30,7 +30,7 @@
  * @param outcomes - outcomes of one fingerprint, in any order; those that answered are left out
  * @returns the number of servers
  */
-export const countCrashes = (outcomes: readonly RunOutcome[]): number => {
+export const countCrashedServers = (outcomes: readonly RunOutcome[]): number => {
   const ordered = outcomes
     .filter(({ hasCrashed }) => hasCrashed)
     .sort((left, right) => left.atMs - right.atMs);
--- a/src/domain/forwarding/countCrashes/test.ts
+++ b/src/domain/forwarding/countCrashedServers/test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { countCrashes } from '.';
+import { countCrashedServers } from '.';
 
 const buildCrash = (server: string, atMs: number, requestId = 'r-1') => ({
   fingerprint: 'f',
@@ -11,20 +11,23 @@
 
 test('each server that ended counts once, however many tell of it', (t) => {
   const crashes = [buildCrash('i-1', 0), buildCrash('i-2', 900, 'r-2'), buildCrash('i-1', 910)];
-  t.is(countCrashes(crashes), 2);
-  t.is(countCrashes([]), 0);
+  t.is(countCrashedServers(crashes), 2);
+  t.is(countCrashedServers([]), 0);
 });
 
 test('a server that answered is no crash', (t) => {
-  t.is(countCrashes([{ ...buildCrash('i-1', 0), hasCrashed: false }]), 0);
+  t.is(countCrashedServers([{ ...buildCrash('i-1', 0), hasCrashed: false }]), 0);
 });
 
 test('crashes of one request count each, however fast they follow each other', (t) => {
-  t.is(countCrashes([buildCrash('i-1', 0), buildCrash('i-2', 40), buildCrash('i-3', 80)]), 3);
+  t.is(
+    countCrashedServers([buildCrash('i-1', 0), buildCrash('i-2', 40), buildCrash('i-3', 80)]),
+    3,
+  );
 });
 
 test('a rack that is lost under repetitions side by side counts as one crash', (t) => {
   const crashes = ['1', '2', '3', '4'].map((n) => buildCrash(`i-${n}`, 10 * Number(n), `r-${n}`));
-  t.is(countCrashes(crashes), 1);
-  t.is(countCrashes([...crashes, buildCrash('i-9', 700, 'r-9')]), 2);
+  t.is(countCrashedServers(crashes), 1);
+  t.is(countCrashedServers([...crashes, buildCrash('i-9', 700, 'r-9')]), 2);
 });
--- a/src/domain/forwarding/countNeededTokens/index.ts
+++ b/src/domain/forwarding/countNeededKvTokens/index.ts
@@ -1,5 +1,5 @@
 import type { RequestHead } from '../types';
 
 /** Counts the tokens of KV memory that a request takes until its end; 0 if it is no generation. */
-export const countNeededTokens = ({ tokens }: Pick<RequestHead, 'tokens'>): number =>
+export const countNeededKvTokens = ({ tokens }: Pick<RequestHead, 'tokens'>): number =>
   (tokens?.prompt ?? 0) + (tokens?.maxOutput ?? 0);
--- a/src/domain/forwarding/countReadingRuns/index.ts
+++ b/src/domain/forwarding/countPrefillingRuns/index.ts
@@ -1,5 +1,5 @@
 import type { ServerReport } from '../types';
 
 /** Counts the runs that still read their prompts: those that count as running, but are not listed. */
-export const countReadingRuns = ({ eventsByRun, running }: ServerReport): number =>
+export const countPrefillingRuns = ({ eventsByRun, running }: ServerReport): number =>
   eventsByRun === null ? 0 : Math.max(0, running - eventsByRun.size);
--- a/src/domain/forwarding/decideStream/index.ts
+++ b/src/domain/forwarding/decideStreamAdmission/index.ts
@@ -1,7 +1,7 @@
-import { computeReturnMs } from '../computeReturnMs';
+import { computeRetryAfterMs } from '../computeRetryAfterMs';
 
 /** What is known of a new stream when it might be sent. */
-export interface StreamChoice {
+export interface StreamAdmissionOptions {
   /** Predicted time to its first event at the best server. */
   readonly predictedMs: number;
   /** True: that server has no prompt to read before this one, and room for it. */
@@ -18,7 +18,7 @@
 }
 
 /** Send it now, or refuse it now and say when to come back. */
-export type StreamDecision =
+export type StreamAdmission =
   | { readonly kind: 'send' }
   | { readonly kind: 'refuse'; readonly reason: string; readonly returnMs: number };
 
@@ -36,7 +36,7 @@
  * back, once, when the burst may be over. Where a server is free, waiting can gain nothing: a prompt
  * that takes long to read takes as long later.
  */
-export const decideStream = ({
+export const decideStreamAdmission = ({
   draw,
   isFree,
   isReturning,
@@ -44,7 +44,7 @@
   leftMs,
   overloadMs,
   predictedMs,
-}: StreamChoice): StreamDecision => {
+}: StreamAdmissionOptions): StreamAdmission => {
   const limitMs = isFree ? leftMs : Math.min(leftMs, latencyGoalMs * START_PART);
   if (predictedMs <= limitMs) return { kind: 'send' };
   return {
@@ -52,7 +52,7 @@
     reason: 'no server begins within the goal',
     returnMs: isReturning
       ? 0
-      : computeReturnMs({
+      : computeRetryAfterMs({
           // Not before the goal has passed: a return that soon is taken for a new caller.
           waitMs: Math.max(predictedMs, latencyGoalMs),
           outageMs: overloadMs,
--- a/src/domain/forwarding/decideStream/test.ts
+++ b/src/domain/forwarding/decideStreamAdmission/test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { decideStream } from '.';
+import { decideStreamAdmission } from '.';
 
 const CHOICE = {
   predictedMs: 2000,
@@ -12,27 +12,27 @@
 };
 
 test('a stream that can begin within the goal is sent', (t) => {
-  t.deepEqual(decideStream(CHOICE), { kind: 'send' });
+  t.deepEqual(decideStreamAdmission(CHOICE), { kind: 'send' });
 });
 
 test('one that can not is refused at once, and told to come back once the wait is over', (t) => {
-  const decision = decideStream({ ...CHOICE, predictedMs: 6000 });
+  const decision = decideStreamAdmission({ ...CHOICE, predictedMs: 6000 });
   t.is(decision.kind, 'refuse');
   t.is(decision.kind === 'refuse' ? decision.returnMs : 0, 6000);
 });
 
 test('one that came back is not told to come back again', (t) => {
   const returning = { ...CHOICE, isReturning: true, leftMs: 15_000 };
-  t.deepEqual(decideStream(returning), { kind: 'send' });
-  const decision = decideStream({ ...returning, predictedMs: 6000 });
+  t.deepEqual(decideStreamAdmission(returning), { kind: 'send' });
+  const decision = decideStreamAdmission({ ...returning, predictedMs: 6000 });
   t.is(decision.kind === 'refuse' ? decision.returnMs : -1, 0);
 });
 
 test('one that takes long to read is sent to a server that is free', (t) => {
-  t.is(decideStream({ ...CHOICE, predictedMs: 6000, isFree: true }).kind, 'send');
+  t.is(decideStreamAdmission({ ...CHOICE, predictedMs: 6000, isFree: true }).kind, 'send');
 });
 
 test('nothing is sent that begins after the caller has left', (t) => {
-  t.is(decideStream({ ...CHOICE, leftMs: 1900 }).kind, 'refuse');
-  t.is(decideStream({ ...CHOICE, leftMs: 1900, isFree: true }).kind, 'refuse');
+  t.is(decideStreamAdmission({ ...CHOICE, leftMs: 1900 }).kind, 'refuse');
+  t.is(decideStreamAdmission({ ...CHOICE, leftMs: 1900, isFree: true }).kind, 'refuse');
 });
--- a/src/domain/forwarding/hasEndedEarly/index.ts
+++ b/src/domain/forwarding/hasFailedEarly/index.ts
@@ -8,7 +8,7 @@
  * @param run.headAtMs - when the server's head came; null if none did
  * @param run.nowMs - when the run broke off
  */
-export const hasEndedEarly = ({
+export const hasFailedEarly = ({
   headAtMs,
   nowMs,
 }: {
--- a/src/domain/forwarding/hasCopyRoom/index.ts
+++ b/src/domain/forwarding/hasMemoryForCopy/index.ts
@@ -8,7 +8,7 @@
 const COPY_MEMORY_PART = 0.7;
 
 /** Tells whether a server has room for a copy beside the runs that it may expect. */
-export const hasCopyRoom = (report: ServerReport, neededTokens: number): boolean =>
+export const hasMemoryForCopy = (report: ServerReport, neededTokens: number): boolean =>
   report.kvTotalTokens === 0 ||
   report.kvUsedTokens + (report.waiting + 1) * neededTokens <=
     report.kvTotalTokens * COPY_MEMORY_PART;
--- a/src/domain/forwarding/hasMissedRows/index.ts
+++ b/src/domain/forwarding/hasMissedRows/index.ts
@@ -1,11 +1,11 @@
 /** What two tables know of the store's versions. */
-export interface VersionsKnown {
+export interface KnownVersions {
   /** Version up to which no change of this table is missing. */
   readonly held: number;
   /** The store's newest version, as an answer for another table named it. */
   readonly newest: number;
   /** Versions of the rows in that answer. */
-  readonly otherRows: readonly number[];
+  readonly otherRowVersions: readonly number[];
 }
 
 /**
@@ -16,5 +16,5 @@
  * hasMissedRows({ held: 7, newest: 9, otherRows: [8, 9] }); // false
  * hasMissedRows({ held: 7, newest: 9, otherRows: [9] }); // true
  */
-export const hasMissedRows = ({ held, newest, otherRows }: VersionsKnown): boolean =>
-  new Set(otherRows.filter((version) => version > held)).size < newest - held;
+export const hasMissedRows = ({ held, newest, otherRowVersions }: KnownVersions): boolean =>
+  new Set(otherRowVersions.filter((version) => version > held)).size < newest - held;
--- a/src/domain/forwarding/hasTimeToRead/index.ts
+++ b/src/domain/forwarding/hasTimeForPrefill/index.ts
@@ -5,7 +5,7 @@
 const LEAST_PART = 0.25;
 
 /** What is known of a prompt that must be read. */
-export interface TimeToReadOptions {
+export interface PrefillTimeOptions {
   /** What is left of the caller's time. */
   readonly leftMs: number;
   readonly latencyGoalMs: number;
@@ -22,5 +22,8 @@
  * @example
  * hasTimeToRead({ leftMs: 600, latencyGoalMs: 4500, prefillMs: 1000 }); // false
  */
-export const hasTimeToRead = ({ latencyGoalMs, leftMs, prefillMs }: TimeToReadOptions): boolean =>
-  leftMs >= Math.min(prefillMs, latencyGoalMs * LEAST_PART);
+export const hasTimeForPrefill = ({
+  latencyGoalMs,
+  leftMs,
+  prefillMs,
+}: PrefillTimeOptions): boolean => leftMs >= Math.min(prefillMs, latencyGoalMs * LEAST_PART);
--- a/src/domain/forwarding/index.ts
+++ b/src/domain/forwarding/index.ts
@@ -1,36 +1,40 @@
 export { checkRequestKey, type RequestAccess } from './checkRequestKey';
-export { chooseForwardServer, type ServerChoiceOptions } from './chooseForwardServer';
+export { chooseLeastLoadedServer, type LeastLoadedServerOptions } from './chooseLeastLoadedServer';
 export {
-  chooseReportedServer,
-  type ReportedChoiceOptions,
+  chooseServerByReport,
+  type ServerByReportOptions,
   type ReportedServer,
-} from './chooseReportedServer';
+} from './chooseServerByReport';
 export { chooseTarget } from './chooseTarget';
 export { compareIncarnations, type IncarnationOrder } from './compareIncarnations';
 export { computeFingerprint } from './computeFingerprint';
-export { computeEventLimit, type EventLimitOptions } from './computeEventLimit';
-export { computeReturnMs, type ReturnOptions } from './computeReturnMs';
+export { computeEventTimeoutMs, type EventTimeoutOptions } from './computeEventTimeoutMs';
+export { computeRetryAfterMs, type RetryAfterOptions } from './computeRetryAfterMs';
 export { decodeQuarantine } from './decodeQuarantine';
 export { encodeQuarantine } from './encodeQuarantine';
-export { decideStream, type StreamChoice, type StreamDecision } from './decideStream';
-export { hasCopyRoom } from './hasCopyRoom';
-export { predictFirstEvent, type EnginePaces } from './predictFirstEvent';
-export { isAddressKept, type AddressTimes } from './isAddressKept';
-export { computeBurstPause } from './computeBurstPause';
-export { computeFollowWait } from './computeFollowWait';
-export { computeSharing, type Sharing } from './computeSharing';
+export {
+  decideStreamAdmission,
+  type StreamAdmissionOptions,
+  type StreamAdmission,
+} from './decideStreamAdmission';
+export { hasMemoryForCopy } from './hasMemoryForCopy';
+export { predictFirstEventMs, type EnginePaces } from './predictFirstEventMs';
+export { isAddressReserved, type AddressTimes } from './isAddressReserved';
+export { computeBatchDelayMs } from './computeBatchDelayMs';
+export { computeLongPollMs } from './computeLongPollMs';
+export { computeStalenessLimits, type StalenessLimits } from './computeStalenessLimits';
 export { computePriority } from './computePriority';
-export { countCrashes } from './countCrashes';
-export { countNeededTokens } from './countNeededTokens';
+export { countCrashedServers } from './countCrashedServers';
+export { countNeededKvTokens } from './countNeededKvTokens';
 export { countPromptTokens } from './countPromptTokens';
-export { countReadingRuns } from './countReadingRuns';
+export { countPrefillingRuns } from './countPrefillingRuns';
 export { isReturning, type ReturningOptions } from './isReturning';
 export { findRoute } from './findRoute';
 export { formatIncarnation } from './formatIncarnation';
-export { hasEndedEarly } from './hasEndedEarly';
-export { hasMissedRows, type VersionsKnown } from './hasMissedRows';
-export { hasTimeToRead } from './hasTimeToRead';
+export { hasFailedEarly } from './hasFailedEarly';
+export { hasMissedRows, type KnownVersions } from './hasMissedRows';
+export { hasTimeForPrefill } from './hasTimeForPrefill';
 export { isRunLost } from './isRunLost';
-export { rankServers } from './rankServers';
+export { rankServersByPrompt } from './rankServersByPrompt';
 export { splitEvents, type SplitEvents, type StreamEvent } from './splitEvents';
 export * from './types';
--- a/src/domain/forwarding/isAddressKept/index.ts
+++ b/src/domain/forwarding/isAddressReserved/index.ts
@@ -1,7 +1,7 @@
 /** When a server was surely there last, and how long its address stays with its service. */
 export interface AddressTimes {
   /** Monotonic time of the last answer that bore its id. */
-  readonly aliveAtMs: number;
+  readonly lastAnswerAtMs: number;
   readonly nowMs: number;
   /** Addresses go to servers of other services no sooner than this after a server's end. */
   readonly reuseAfterMs: number;
@@ -16,5 +16,5 @@
  * @example
  * isAddressKept({ aliveAtMs: 1000, nowMs: 2500, reuseAfterMs: 2000 }); // true
  */
-export const isAddressKept = ({ aliveAtMs, nowMs, reuseAfterMs }: AddressTimes): boolean =>
-  nowMs - aliveAtMs < reuseAfterMs;
+export const isAddressReserved = ({ lastAnswerAtMs, nowMs, reuseAfterMs }: AddressTimes): boolean =>
+  nowMs - lastAnswerAtMs < reuseAfterMs;
--- a/src/domain/forwarding/isReturning/index.ts
+++ b/src/domain/forwarding/isReturning/index.ts
@@ -3,9 +3,9 @@
   /** How long the caller waits; null if it does not say. */
   readonly deadlineMs: number | null;
   /** Longest time that callers of the route waited so far. */
-  readonly longestMs: number;
+  readonly longestDeadlineMs: number;
   /** Refused callers of the route are told to come back no sooner than this. */
-  readonly shortestReturnMs: number;
+  readonly minRetryAfterMs: number;
 }
 
 /**
@@ -17,6 +17,7 @@
  */
 export const isReturning = ({
   deadlineMs,
-  longestMs,
-  shortestReturnMs,
-}: ReturningOptions): boolean => deadlineMs !== null && longestMs - deadlineMs >= shortestReturnMs;
+  longestDeadlineMs,
+  minRetryAfterMs,
+}: ReturningOptions): boolean =>
+  deadlineMs !== null && longestDeadlineMs - deadlineMs >= minRetryAfterMs;
--- a/src/domain/forwarding/isRunLost/index.ts
+++ b/src/domain/forwarding/isRunLost/index.ts
@@ -1,5 +1,5 @@
 import type { PrefillEstimate } from '../../detection';
-import { countReadingRuns } from '../countReadingRuns';
+import { countPrefillingRuns } from '../countPrefillingRuns';
 import type { ServerReport } from '../types';
 
 /**
@@ -22,7 +22,7 @@
   /** True: events of this attempt have arrived, so that their number tells nothing. */
   readonly hasArrived: boolean;
   /** How long ago the server said first, since it got the run, that none waits there. */
-  readonly unqueuedMs: number;
+  readonly queueEmptyMs: number;
   readonly prefill: PrefillEstimate;
 }
 
@@ -44,16 +44,16 @@
 export const isRunLost = (
   report: ServerReport,
   requestId: string,
-  { hasArrived, prefill, unqueuedMs }: RunLostOptions,
+  { hasArrived, prefill, queueEmptyMs }: RunLostOptions,
 ): boolean => {
   const { eventsByRun, waiting } = report;
   if (eventsByRun === null) return false;
   const events = eventsByRun.get(requestId);
   if (events !== undefined) return !hasArrived && events >= MIN_UNSEEN_EVENTS;
-  const reading = countReadingRuns(report);
+  const reading = countPrefillingRuns(report);
   if (waiting > 0) return false;
   if (reading === 0) return true;
   // If it is among those that are read, they are through by then: prompts are read one by one.
   const dueMs = prefill.ownMs + (reading - 1) * prefill.usualMs;
-  return unqueuedMs > dueMs * READING_FACTOR + REPORT_AGE_MS;
+  return queueEmptyMs > dueMs * READING_FACTOR + REPORT_AGE_MS;
 };
--- a/src/domain/forwarding/isRunLost/test.ts
+++ b/src/domain/forwarding/isRunLost/test.ts
@@ -14,7 +14,7 @@
   });
 
 const PREFILL = { ownMs: 1000, usualMs: 1200 };
-const ARRIVED = { hasArrived: true, unqueuedMs: 0, prefill: PREFILL };
+const ARRIVED = { hasArrived: true, queueEmptyMs: 0, prefill: PREFILL };
 const NOT_ARRIVED = { ...ARRIVED, hasArrived: false };
 
 test('a run that is not listed is lost, unless it may wait or be read', (t) => {
@@ -44,16 +44,18 @@
 // Cause: a prompt that is being read may be this one, for however long.
 test('a run that is not listed is lost once the prompts being read must be through', (t) => {
   const one = build({ running: 3 });
-  t.false(isRunLost(one, 'c', { ...NOT_ARRIVED, unqueuedMs: 1700 }));
-  t.true(isRunLost(one, 'c', { ...NOT_ARRIVED, unqueuedMs: 1800 }));
+  t.false(isRunLost(one, 'c', { ...NOT_ARRIVED, queueEmptyMs: 1700 }));
+  t.true(isRunLost(one, 'c', { ...NOT_ARRIVED, queueEmptyMs: 1800 }));
   const two = build({ running: 4 });
-  t.false(isRunLost(two, 'c', { ...NOT_ARRIVED, unqueuedMs: 3500 }));
-  t.true(isRunLost(two, 'c', { ...NOT_ARRIVED, unqueuedMs: 3600 }));
-  t.false(isRunLost(build({ running: 3, waiting: 1 }), 'c', { ...NOT_ARRIVED, unqueuedMs: 9000 }));
+  t.false(isRunLost(two, 'c', { ...NOT_ARRIVED, queueEmptyMs: 3500 }));
+  t.true(isRunLost(two, 'c', { ...NOT_ARRIVED, queueEmptyMs: 3600 }));
+  t.false(
+    isRunLost(build({ running: 3, waiting: 1 }), 'c', { ...NOT_ARRIVED, queueEmptyMs: 9000 }),
+  );
 });
 
 test('while no prompt has been seen, none is overdue', (t) => {
   const prefill = { ownMs: Infinity, usualMs: Infinity };
-  const options = { ...NOT_ARRIVED, unqueuedMs: 60_000, prefill };
+  const options = { ...NOT_ARRIVED, queueEmptyMs: 60_000, prefill };
   t.false(isRunLost(build({ running: 3 }), 'c', options));
 });
--- a/src/domain/forwarding/predictFirstEvent/index.ts
+++ b/src/domain/forwarding/predictFirstEventMs/index.ts
@@ -1,10 +1,10 @@
-import { countReadingRuns } from '../countReadingRuns';
+import { countPrefillingRuns } from '../countPrefillingRuns';
 import type { ServerReport } from '../types';
 
 /** Paces of a service's engines, as this VM saw them. */
 export interface EnginePaces {
   /** Milliseconds that one token of a prompt takes to be read; 0 while none was seen. */
-  readonly readingMsPerToken: number;
+  readonly prefillMsPerToken: number;
   /** Time from a stream's first event to its end; 0 while none was seen. */
   readonly runMs: number;
 }
@@ -13,9 +13,9 @@
 export interface FirstEventOptions {
   readonly promptTokens: number;
   /** Tokens of KV memory that the run takes until its end. */
-  readonly neededTokens: number;
+  readonly neededKvTokens: number;
   /** Prompt tokens that are known to have been sent there and are still to be read. */
-  readonly unreadTokens: number;
+  readonly pendingPrefillTokens: number;
   readonly paces: EnginePaces;
   readonly latencyGoalMs: number;
 }
@@ -44,21 +44,21 @@
  *     paces: { readingMsPerToken: 0.125, runMs: 6000 } },
  * ); // 3000
  */
-export const predictFirstEvent = (
+export const predictFirstEventMs = (
   report: ServerReport,
-  { latencyGoalMs, neededTokens, unreadTokens, paces, promptTokens }: FirstEventOptions,
+  { latencyGoalMs, neededKvTokens, pendingPrefillTokens, paces, promptTokens }: FirstEventOptions,
 ): number => {
   const unknownMs = (latencyGoalMs * UNKNOWN_READ_PART) / Math.max(1, promptTokens);
-  const msPerToken = paces.readingMsPerToken || unknownMs;
+  const msPerToken = paces.prefillMsPerToken || unknownMs;
   // One of those that are not listed yet is being read; the others wait for it.
-  const ahead = report.waiting + Math.max(0, countReadingRuns(report) - READ_PART);
-  const aheadTokens = Math.max(unreadTokens, ahead * promptTokens);
+  const ahead = report.waiting + Math.max(0, countPrefillingRuns(report) - READ_PART);
+  const aheadTokens = Math.max(pendingPrefillTokens, ahead * promptTokens);
   const readingMs = (aheadTokens + promptTokens) * msPerToken;
   if (report.kvTotalTokens === 0) return readingMs;
-  const aheadRuns = Math.max(ahead, unreadTokens / Math.max(1, promptTokens));
-  const wantedTokens = report.kvUsedTokens + (aheadRuns + 1) * neededTokens;
+  const aheadRuns = Math.max(ahead, pendingPrefillTokens / Math.max(1, promptTokens));
+  const wantedTokens = report.kvUsedTokens + (aheadRuns + 1) * neededKvTokens;
   const lackedTokens = Math.max(0, wantedTokens - report.kvTotalTokens);
-  const endsNeeded = lackedTokens / Math.max(1, neededTokens);
+  const endsNeeded = lackedTokens / Math.max(1, neededKvTokens);
   const runMs = paces.runMs || latencyGoalMs;
   // Runs are spread over their time: one of n ends each n-th part of it.
   const memoryMs = (endsNeeded * runMs) / Math.max(1, report.running);
--- a/src/domain/forwarding/predictFirstEvent/test.ts
+++ b/src/domain/forwarding/predictFirstEventMs/test.ts
@@ -1,36 +1,36 @@
 import test from 'ava';
 import { buildServerReport as report } from '../../../../standins/fakes';
-import { predictFirstEvent } from '.';
+import { predictFirstEventMs } from '.';
 
 const OPTIONS = {
   promptTokens: 8000,
-  neededTokens: 9000,
-  unreadTokens: 0,
-  paces: { readingMsPerToken: 0.125, runMs: 6000 },
+  neededKvTokens: 9000,
+  pendingPrefillTokens: 0,
+  paces: { prefillMsPerToken: 0.125, runMs: 6000 },
   latencyGoalMs: 4500,
 };
 
 test('an idle server reads the prompt at its pace', (t) => {
-  t.is(predictFirstEvent(report(), OPTIONS), 1000);
+  t.is(predictFirstEventMs(report(), OPTIONS), 1000);
 });
 
 test('prompts that wait count whole, one that is read by half', (t) => {
-  t.is(predictFirstEvent(report({ waiting: 2, running: 1 }), OPTIONS), 3500);
+  t.is(predictFirstEventMs(report({ waiting: 2, running: 1 }), OPTIONS), 3500);
 });
 
 test('what this VM sent counts before the server reports it', (t) => {
-  t.is(predictFirstEvent(report(), { ...OPTIONS, unreadTokens: 16_000 }), 3000);
+  t.is(predictFirstEventMs(report(), { ...OPTIONS, pendingPrefillTokens: 16_000 }), 3000);
 });
 
 test('a run waits until the memory that it needs is free', (t) => {
   const runs = new Map(Array.from({ length: 9 }, (_, index) => [`r-${index}`, 5]));
   const full = report({ running: 9, eventsByRun: runs, kvUsedTokens: 88_000, waiting: 2 });
   // Three runs have to end, one each 667 ms.
-  t.is(Math.round(predictFirstEvent(full, OPTIONS)), 3000);
-  t.is(Math.round(predictFirstEvent({ ...full, waiting: 5 }, OPTIONS)), 6000);
+  t.is(Math.round(predictFirstEventMs(full, OPTIONS)), 3000);
+  t.is(Math.round(predictFirstEventMs({ ...full, waiting: 5 }, OPTIONS)), 6000);
 });
 
 test('an unknown pace counts as slow', (t) => {
-  const paces = { readingMsPerToken: 0, runMs: 0 };
-  t.is(predictFirstEvent(report(), { ...OPTIONS, paces }), 1125);
+  const paces = { prefillMsPerToken: 0, runMs: 0 };
+  t.is(predictFirstEventMs(report(), { ...OPTIONS, paces }), 1125);
 });
--- a/src/domain/forwarding/rankServers/index.ts
+++ b/src/domain/forwarding/rankServersByPrompt/index.ts
@@ -1,9 +1,9 @@
-import { computeRank } from '../../membership';
+import { computeRendezvousWeight } from '../../membership';
 import type { ServerStatus } from '../types';
 
 const sortByRank = (servers: readonly ServerStatus[], key: string): readonly ServerStatus[] =>
   servers
-    .map((status) => ({ status, rank: computeRank(key, status.entry.id) }))
+    .map((status) => ({ status, rank: computeRendezvousWeight(key, status.entry.id) }))
     .sort((left, right) => right.rank - left.rank)
     .map(({ status }) => status);
 
@@ -18,7 +18,7 @@
  * @param key - names the prompt
  * @param count - servers wanted
  */
-export const rankServers = (
+export const rankServersByPrompt = (
   servers: readonly ServerStatus[],
   key: string,
   count: number,
--- a/src/domain/forwarding/rankServers/test.ts
+++ b/src/domain/forwarding/rankServersByPrompt/test.ts
@@ -1,21 +1,21 @@
 import test from 'ava';
 import type { ServerStatus } from '../types';
 import { buildServerStatus } from '../../../../standins/fakes';
-import { rankServers } from '.';
+import { rankServersByPrompt } from '.';
 
 const SERVERS = Array.from({ length: 12 }, (_, index) =>
   buildServerStatus(`i-${index}`, `z${index % 3}`),
 );
 
 const listIds = (servers: readonly ServerStatus[], key: string): string[] =>
-  rankServers(servers, key, 4).map(({ entry }) => entry.id);
+  rankServersByPrompt(servers, key, 4).map(({ entry }) => entry.id);
 
 test('every VM finds the same servers for a prompt, in whatever order it knows them', (t) => {
   t.deepEqual(listIds(SERVERS, 'p'), listIds([...SERVERS].reverse(), 'p'));
 });
 
 test('half of the servers are of another zone than the first', (t) => {
-  const ranked = rankServers(SERVERS, 'p', 4);
+  const ranked = rankServersByPrompt(SERVERS, 'p', 4);
   const zone = ranked[0]?.entry.availabilityZone;
   t.true(ranked.slice(2).every(({ entry }) => entry.availabilityZone !== zone));
 });
--- a/src/domain/forwarding/types/ForwardedRequest.ts
+++ b/src/domain/forwarding/types/ForwardedRequest.ts
@@ -13,7 +13,7 @@
   readonly target: string;
   readonly host: string;
   /** Headers that are handed on as they are: name, value, name, value. */
-  readonly passedHeaders: readonly string[];
+  readonly forwardedHeaders: readonly string[];
   readonly key: string | null;
   /** How long the caller waits from `arrivedAtMs`; null if it does not say. */
   readonly deadlineMs: number | null;
--- a/src/domain/forwarding/types/ForwardedService.ts
+++ b/src/domain/forwarding/types/ForwardedService.ts
@@ -1,13 +1,13 @@
 /** What engines of a service can do beside running requests. */
-export interface EngineTraits {
+export interface EngineCapabilities {
   /** Requests that one engine runs at once. */
   readonly slots: number;
   /** Tokens that fit into one engine's KV memory. */
   readonly kvCapacityTokens: number;
   /** True: an engine copies a run's KV memory to another one as it grows. */
-  readonly keepsBackups: boolean;
+  readonly supportsKvBackup: boolean;
   /** True: a run's memory can be copied on demand. */
-  readonly copiesRuns: boolean;
+  readonly supportsKvCopy: boolean;
 }
 
 /** A service as the configuration describes it. */
@@ -16,5 +16,5 @@
   /** Path at which its servers say who they are. */
   readonly healthPath: string;
   /** Null: a plain service. */
-  readonly engine: EngineTraits | null;
+  readonly engine: EngineCapabilities | null;
 }
--- a/src/domain/forwarding/types/ServerAnswer.ts
+++ b/src/domain/forwarding/types/ServerAnswer.ts
@@ -11,15 +11,15 @@
 export interface AnswerHead extends ServerSignals {
   readonly status: number;
   /** Headers that are handed on: name, value, name, value. */
-  readonly passedHeaders: readonly string[];
+  readonly forwardedHeaders: readonly string[];
   /** False: without the server's signature, in an encoding, or of another request. */
-  readonly isGenuine: boolean;
+  readonly isVerified: boolean;
   /** False: its body ends with its connection, so that a cut one can't be told from a whole one. */
   readonly isFramed: boolean;
   /** True: the server says that it did not run the request, and won't. */
-  readonly isNotRun: boolean;
+  readonly isNotExecuted: boolean;
   /** True: another server has the address now. */
-  readonly isOtherServer: boolean;
+  readonly isFromOtherServer: boolean;
   /** Id of the server that answered, where it says so. */
   readonly serverId: string | null;
   readonly load: ServerLoad | null;
--- a/src/domain/forwarding/types/index.ts
+++ b/src/domain/forwarding/types/index.ts
@@ -1,4 +1,4 @@
-export type { EngineTraits, ForwardedService } from './ForwardedService';
+export type { EngineCapabilities, ForwardedService } from './ForwardedService';
 export type { ForwardedRequest, PromptPart, RequestHead, TokenSizes } from './ForwardedRequest';
 export type { ForwardingLimits } from './ForwardingLimits';
 export type { GatewayBounds, GatewaySettings, SettingsProblem } from './GatewaySettings';
--- a/src/domain/generation/_lib/failGeneration/index.ts
+++ b/src/domain/generation/_lib/failGeneration/index.ts
@@ -3,7 +3,7 @@
 
 const readRunState = (state: GenerationState): RunState => {
   if (state.offset > 0) return RunState.Ran;
-  return state.sent ? RunState.Unknown : RunState.NotRun;
+  return state.mayHaveStarted ? RunState.Unknown : RunState.NotRun;
 };
 
 /**
--- a/src/domain/generation/_lib/findAttempt/index.ts
+++ b/src/domain/generation/_lib/findAttempt/index.ts
@@ -1,4 +1,4 @@
-import type { Attempt, GenerationState, Reader } from '../../types';
+import type { Attempt, GenerationState, ReaderId } from '../../types';
 
 /**
  * Finds the attempt that a reader reads, if both are still current.
@@ -12,7 +12,7 @@
  * @param reader - Attempt and connection that something arrived from.
  * @returns The attempt, or null if it is late.
  */
-export const findAttempt = (state: GenerationState, reader: Reader): Attempt | null =>
+export const findAttempt = (state: GenerationState, reader: ReaderId): Attempt | null =>
   state.attempts.find(
     ({ attempt, connection }) => attempt === reader.attempt && connection === reader.connection,
   ) ?? null;
--- a/src/domain/generation/_lib/handleBatch/index.ts
+++ b/src/domain/generation/_lib/handleBatch/index.ts
@@ -1,4 +1,4 @@
-import type { StreamPiece } from '../../../types';
+import type { StreamChunk } from '../../../types';
 import {
   AttemptPhase,
   type Attempt,
@@ -7,32 +7,32 @@
   type Transition,
 } from '../../types';
 import { findAttempt } from '../findAttempt';
-import { handleBreak } from '../handleBreak';
+import { handleDisconnect } from '../handleDisconnect';
 
-const countUnits = (piece: StreamPiece): number =>
+const countUnits = (piece: StreamChunk): number =>
   'tokenIds' in piece ? piece.tokenIds.length : piece.eventCount;
 
 const buildStreaming = (attempt: Attempt): Attempt => ({
   ...attempt,
   phase: AttemptPhase.Streaming,
   silence: 'none',
-  fruitlessReads: 0,
+  readsWithoutProgress: 0,
   hasDelivered: true,
 });
 
 const buildDelivered = (
   state: GenerationState,
   attempt: Attempt,
-  batch: StreamPiece,
+  batch: StreamChunk,
 ): GenerationState => ({
   ...state,
   phase: batch.finishReason === null ? state.phase : 'finished',
   offset: state.offset + countUnits(batch),
   attempts: batch.finishReason === null ? [buildStreaming(attempt)] : [],
   excludedServers: [],
-  fruitlessAttempts: 0,
+  attemptsWithoutProgress: 0,
   crashes: 0,
-  sent: true,
+  mayHaveStarted: true,
 });
 
 /**
@@ -55,7 +55,7 @@
       effects: isGone ? [{ kind: 'cancel-attempt', attempt: reader.attempt }] : [],
     };
   }
-  if (batch.offset !== state.offset) return handleBreak(state, { kind: 'broken', reader });
+  if (batch.offset !== state.offset) return handleDisconnect(state, { kind: 'broken', reader });
   // An engine opens a stream with an event without tokens; it is a sign of life only.
   if (countUnits(batch) === 0 && batch.finishReason === null) return { state, effects: [] };
   const others = state.attempts.filter((other) => other !== attempt);
--- a/src/domain/generation/_lib/handleCallerAttached/index.ts
+++ b/src/domain/generation/_lib/handleCallerAttached/index.ts
@@ -10,5 +10,5 @@
 export const handleCallerAttached = (state: GenerationState): Transition => {
   const attached = { ...state, callers: state.callers + 1 };
   if (state.phase !== 'parked') return { state: attached, effects: [] };
-  return recoverGeneration({ ...attached, phase: 'running', fruitlessAttempts: 0 });
+  return recoverGeneration({ ...attached, phase: 'running', attemptsWithoutProgress: 0 });
 };
--- a/src/domain/generation/_lib/handleBreak/index.ts
+++ b/src/domain/generation/_lib/handleDisconnect/index.ts
@@ -1,5 +1,5 @@
 import {
-  AfterDisconnect,
+  StreamRetention,
   type GenerationInput,
   type GenerationState,
   type Transition,
@@ -21,15 +21,15 @@
  * @param input - Where it broke.
  * @returns The next step.
  */
-export const handleBreak = (
+export const handleDisconnect = (
   state: GenerationState,
   input: Extract<GenerationInput, { kind: 'broken' }>,
 ): Transition => {
   const attempt = findAttempt(state, input.reader);
   if (!attempt) return { state, effects: [] };
   const isReplaced = attempt.silence !== 'none' && state.attempts.length > 1;
-  const isDropped = state.policy.afterDisconnect === AfterDisconnect.Dropped;
-  return isReplaced || isDropped || attempt.fruitlessReads >= MAX_FRUITLESS_READS
+  const isDropped = state.policy.streamRetention === StreamRetention.Dropped;
+  return isReplaced || isDropped || attempt.readsWithoutProgress >= MAX_FRUITLESS_READS
     ? replaceAttempt(state, attempt)
     : resumeAttempt(state, attempt);
 };
--- a/src/domain/generation/_lib/handleNotStarted/index.ts
+++ b/src/domain/generation/_lib/handleNotStarted/index.ts
@@ -8,7 +8,7 @@
 } from '../../types';
 import { findAttempt } from '../findAttempt';
 import { replaceAttempt } from '../replaceAttempt';
-import { replaceCrashed } from '../replaceCrashed';
+import { replaceCrashedAttempt } from '../replaceCrashedAttempt';
 
 /**
  * Handles an engine that refused before it began, or that cannot be connected to.
@@ -24,11 +24,11 @@
   const attempt = findAttempt(state, input.reader);
   if (!attempt) return { state, effects: [] };
   const wasNeverSent = attempt.phase === AttemptPhase.Prefill && state.offset === 0;
-  const sent = wasNeverSent ? attempt.sentBefore : state.sent;
+  const mayHaveStarted = wasNeverSent ? attempt.mayHaveStartedBefore : state.mayHaveStarted;
   // One that was read again had begun: its engine ended since.
   const hasCrashed = input.refused && attempt.phase === AttemptPhase.Resuming;
-  const replace = hasCrashed ? replaceCrashed : replaceAttempt;
-  const next = replace({ ...state, sent }, attempt);
+  const replace = hasCrashed ? replaceCrashedAttempt : replaceAttempt;
+  const next = replace({ ...state, mayHaveStarted: mayHaveStarted }, attempt);
   if (!input.refused) return next;
   const evidence: GenerationEffect = {
     kind: 'suspect-server',
--- a/src/domain/generation/_lib/handleSending/index.ts
+++ b/src/domain/generation/_lib/handleSending/index.ts
@@ -28,5 +28,5 @@
     backendServer: input.backendServer,
   };
   // Noted before the send: whatever comes back but a refusal, it may have run.
-  return { state: { ...updateAttempt(state, sending), sent: true }, effects: [] };
+  return { state: { ...updateAttempt(state, sending), mayHaveStarted: true }, effects: [] };
 };
--- a/src/domain/generation/_lib/handleSilence/index.ts
+++ b/src/domain/generation/_lib/handleSilence/index.ts
@@ -1,6 +1,6 @@
 import { SurvivalMode, SuspicionCause } from '../../../types';
 import {
-  AfterDisconnect,
+  StreamRetention,
   AttemptPhase,
   type Attempt,
   type GenerationEffect,
@@ -47,7 +47,7 @@
 
 const handleSuspected = (state: GenerationState): Transition =>
   state.policy.mode === SurvivalMode.Latency &&
-  state.policy.afterDisconnect !== AfterDisconnect.Dropped &&
+  state.policy.streamRetention !== StreamRetention.Dropped &&
   canOpen(state)
     ? openBeside(state, 'hedge')
     : { state, effects: [] };
@@ -62,7 +62,7 @@
     const cancel: GenerationEffect = { kind: 'cancel-attempt', attempt: hedge.attempt };
     return { state: opened.state, effects: [cancel, ...opened.effects] };
   }
-  if (attempt.fruitlessReads >= MAX_SILENT_READS) return replaceAttempt(state, attempt);
+  if (attempt.readsWithoutProgress >= MAX_SILENT_READS) return replaceAttempt(state, attempt);
   // Nothing else may run it: the connection may be what is dead, so ask over a new one.
   return state.attempts.length === 1 ? resumeAttempt(state, attempt) : { state, effects: [] };
 };
@@ -89,7 +89,7 @@
   const isUnread = attempt.phase === AttemptPhase.Resuming && state.policy.idempotent;
   // Nor is one whose run ends with its connection: it can't be asked again, and must not run on
   // beside its replacement.
-  const isDropped = state.policy.afterDisconnect === AfterDisconnect.Dropped;
+  const isDropped = state.policy.streamRetention === StreamRetention.Dropped;
   const isHopeless = input.confirmed && (isUnread || isDropped);
   const marked = updateAttempt(state, { ...attempt, silence: level });
   const evidence: GenerationEffect = {
--- a/src/domain/generation/_lib/handleSlotRefused/index.ts
+++ b/src/domain/generation/_lib/handleSlotRefused/index.ts
@@ -29,7 +29,7 @@
   if (!attempt) return { state, effects: [] };
   const without = removeAttempt(state, attempt);
   const { refusal } = input;
-  const hasBegun = state.sent || state.offset > 0;
+  const hasBegun = state.mayHaveStarted || state.offset > 0;
   const triedOthers = state.excludedServers.length > 0;
   const decide = (): Transition => {
     if (without.attempts.length === 0 && !hasBegun && !triedOthers) {
--- a/src/domain/generation/_lib/handleStreamGone/index.ts
+++ b/src/domain/generation/_lib/handleStreamGone/index.ts
@@ -1,6 +1,6 @@
 import type { GenerationInput, GenerationState, Transition } from '../../types';
 import { findAttempt } from '../findAttempt';
-import { replaceCrashed } from '../replaceCrashed';
+import { replaceCrashedAttempt } from '../replaceCrashedAttempt';
 
 /**
  * Handles a stream that its engine no longer has, for example because it was restarted.
@@ -14,5 +14,5 @@
   input: Extract<GenerationInput, { kind: 'stream-gone' }>,
 ): Transition => {
   const attempt = findAttempt(state, input.reader);
-  return attempt ? replaceCrashed(state, attempt) : { state, effects: [] };
+  return attempt ? replaceCrashedAttempt(state, attempt) : { state, effects: [] };
 };
--- a/src/domain/generation/_lib/openAttempt/index.ts
+++ b/src/domain/generation/_lib/openAttempt/index.ts
@@ -16,8 +16,8 @@
     phase: AttemptPhase.Opening,
     backendServer: '',
     silence: 'none',
-    sentBefore: state.sent,
-    fruitlessReads: 0,
+    mayHaveStartedBefore: state.mayHaveStarted,
+    readsWithoutProgress: 0,
     hasDelivered: false,
   };
   const silent = state.attempts.map(({ backendServer }) => backendServer).filter(Boolean);
--- a/src/domain/generation/_lib/recoverGeneration/index.ts
+++ b/src/domain/generation/_lib/recoverGeneration/index.ts
@@ -26,7 +26,7 @@
 });
 
 const waitForRetry = (state: GenerationState, atLeastMs: number): Transition => {
-  const steps = state.fruitlessAttempts - IMMEDIATE_ATTEMPTS + 1;
+  const steps = state.attemptsWithoutProgress - IMMEDIATE_ATTEMPTS + 1;
   const ownDelayMs = Math.min(MAX_RETRY_DELAY_MS, RETRY_STEP_MS * Math.max(1, steps));
   const delayMs = Math.min(MAX_RETRY_DELAY_MS, Math.max(atLeastMs, ownDelayMs));
   // All servers may be excluded by now: those that failed may serve again after the delay.
@@ -57,7 +57,7 @@
       message: 'no copy of the generation is left: send the request and the tokens received',
     });
   }
-  if (!policy.idempotent && state.sent) {
+  if (!policy.idempotent && state.mayHaveStarted) {
     return failGeneration(state, {
       ...LOST,
       message: 'the engine was lost, and the request may not be run again',
@@ -66,8 +66,8 @@
   if (state.callers === 0 && !policy.keyed) {
     return { state: { ...state, phase: 'parked' }, effects: [] };
   }
-  const fruitlessAttempts = state.fruitlessAttempts + 1;
-  if (fruitlessAttempts > MAX_FRUITLESS_ATTEMPTS) {
+  const attemptsWithoutProgress = state.attemptsWithoutProgress + 1;
+  if (attemptsWithoutProgress > MAX_FRUITLESS_ATTEMPTS) {
     return failGeneration(state, {
       code: 'no_engine',
       message: 'no engine took the generation over; it can be resumed from the last event',
@@ -75,8 +75,8 @@
       retryAfterMs: MAX_RETRY_DELAY_MS,
     });
   }
-  const next = { ...state, fruitlessAttempts };
-  const mustWait = Boolean(options.retryAfterMs) || fruitlessAttempts > IMMEDIATE_ATTEMPTS;
+  const next = { ...state, attemptsWithoutProgress: attemptsWithoutProgress };
+  const mustWait = Boolean(options.retryAfterMs) || attemptsWithoutProgress > IMMEDIATE_ATTEMPTS;
   if (mustWait) return waitForRetry(next, options.retryAfterMs ?? 0);
-  return openAttempt(next, state.sent || state.offset > 0 ? 'resume' : 'start');
+  return openAttempt(next, state.mayHaveStarted || state.offset > 0 ? 'resume' : 'start');
 };
--- a/src/domain/generation/_lib/replaceCrashed/index.ts
+++ b/src/domain/generation/_lib/replaceCrashedAttempt/index.ts
@@ -12,7 +12,7 @@
  * @param attempt - Attempt that was sent, and whose engine is not there or knows nothing of it.
  * @returns The next step; the end, if engine after engine ended without a token.
  */
-export const replaceCrashed = (state: GenerationState, attempt: Attempt): Transition => {
+export const replaceCrashedAttempt = (state: GenerationState, attempt: Attempt): Transition => {
   if (attempt.hasDelivered) return replaceAttempt(state, attempt);
   const crashes = state.crashes + 1;
   if (crashes < MAX_CRASHES) return replaceAttempt({ ...state, crashes }, attempt);
--- a/src/domain/generation/_lib/resumeAttempt/index.ts
+++ b/src/domain/generation/_lib/resumeAttempt/index.ts
@@ -14,7 +14,7 @@
     connection: attempt.connection + 1,
     phase: AttemptPhase.Resuming,
     silence: 'none',
-    fruitlessReads: attempt.fruitlessReads + 1,
+    readsWithoutProgress: attempt.readsWithoutProgress + 1,
   };
   const reader = { attempt: resumed.attempt, connection: resumed.connection };
   return {
--- a/src/domain/generation/createGenerationState/index.ts
+++ b/src/domain/generation/createGenerationState/index.ts
@@ -18,8 +18,8 @@
   phase: AttemptPhase.Resuming,
   backendServer,
   silence: 'none',
-  sentBefore: true,
-  fruitlessReads: 0,
+  mayHaveStartedBefore: true,
+  readsWithoutProgress: 0,
   // What it has delivered elsewhere is not known here.
   hasDelivered: true,
 });
@@ -45,9 +45,9 @@
       : [],
     newestAttempt,
     excludedServers: [],
-    fruitlessAttempts: 0,
+    attemptsWithoutProgress: 0,
     crashes: 0,
-    sent: newestAttempt > 0,
+    mayHaveStarted: newestAttempt > 0,
     callers: 0,
   };
 };
--- a/src/domain/generation/index.ts
+++ b/src/domain/generation/index.ts
@@ -1,7 +1,7 @@
 export { createGenerationState, type GenerationStart } from './createGenerationState';
 export { updateGeneration } from './updateGeneration';
 export {
-  AfterDisconnect,
+  StreamRetention,
   AttemptPhase,
   type Attempt,
   type GenerationEffect,
@@ -9,6 +9,6 @@
   type GenerationInput,
   type GenerationPolicy,
   type GenerationState,
-  type Reader,
+  type ReaderId,
   type Transition,
 } from './types';
--- a/src/domain/generation/types/Attempt.ts
+++ b/src/domain/generation/types/Attempt.ts
@@ -13,23 +13,23 @@
 export type AttemptPhase = (typeof AttemptPhase)[keyof typeof AttemptPhase];
 
 /** One reading of one attempt: what arrives under an older reading is late and dropped. */
-export interface Reader {
+export interface ReaderId {
   readonly attempt: number;
   /** Counts the connections over which the attempt's stream was read. */
   readonly connection: number;
 }
 
 /** An attempt that may still deliver the next token. */
-export interface Attempt extends Reader {
+export interface Attempt extends ReaderId {
   readonly purpose: 'start' | 'resume' | 'hedge';
   readonly phase: AttemptPhase;
   /** Empty while it waits for a slot. */
   readonly backendServer: string;
   readonly silence: 'none' | 'suspected' | 'confirmed';
   /** Whether an engine may have begun to run the generation before this attempt was sent. */
-  readonly sentBefore: boolean;
+  readonly mayHaveStartedBefore: boolean;
   /** Times in a row that its stream was read again without a token. */
-  readonly fruitlessReads: number;
+  readonly readsWithoutProgress: number;
   /** True: a token came from it. */
   readonly hasDelivered: boolean;
 }
--- a/src/domain/generation/types/GenerationState.ts
+++ b/src/domain/generation/types/GenerationState.ts
@@ -2,7 +2,7 @@
 import type { Attempt } from './Attempt';
 
 /** What engines do with a stream whose connection ends. */
-export const AfterDisconnect = {
+export const StreamRetention = {
   /** It is kept for a while and can be read again; another attempt may run beside it. */
   Kept: 'kept',
   /** It is dropped; the next attempt begins only once this one's connection is closed. */
@@ -10,7 +10,7 @@
 } as const;
 
 /** One of the things that engines do with a stream whose connection ends. */
-export type AfterDisconnect = (typeof AfterDisconnect)[keyof typeof AfterDisconnect];
+export type StreamRetention = (typeof StreamRetention)[keyof typeof StreamRetention];
 
 /** What decides how a generation may be continued; fixed for its life. */
 export interface GenerationPolicy {
@@ -25,7 +25,7 @@
   readonly maxOutputTokens: number;
   /** What an engine does with a stream whose connection ends. */
   /** Kept, if absent. */
-  readonly afterDisconnect?: AfterDisconnect;
+  readonly streamRetention?: StreamRetention;
 }
 
 /** Everything that decides the next step of a generation; its tokens are held elsewhere. */
@@ -41,10 +41,10 @@
   /** Servers that failed since the last token. */
   readonly excludedServers: readonly string[];
   /** Attempts in a row that brought no token. */
-  readonly fruitlessAttempts: number;
+  readonly attemptsWithoutProgress: number;
   /** Engines in a row that ended after they got it, and before a token. */
   readonly crashes: number;
   /** True: an engine may have begun to run it. */
-  readonly sent: boolean;
+  readonly mayHaveStarted: boolean;
   readonly callers: number;
 }
--- a/src/domain/generation/updateGeneration/index.ts
+++ b/src/domain/generation/updateGeneration/index.ts
@@ -2,7 +2,7 @@
 import { failGeneration } from '../_lib/failGeneration';
 import { handleAbandoned } from '../_lib/handleAbandoned';
 import { handleBatch } from '../_lib/handleBatch';
-import { handleBreak } from '../_lib/handleBreak';
+import { handleDisconnect } from '../_lib/handleDisconnect';
 import { handleCallerAttached } from '../_lib/handleCallerAttached';
 import { handleCancelled } from '../_lib/handleCancelled';
 import { handleNotStarted } from '../_lib/handleNotStarted';
@@ -24,7 +24,7 @@
 const retryAttempt = (state: GenerationState): Transition =>
   state.attempts.length > 0
     ? { state, effects: [] }
-    : openAttempt(state, state.sent || state.offset > 0 ? 'resume' : 'start');
+    : openAttempt(state, state.mayHaveStarted || state.offset > 0 ? 'resume' : 'start');
 
 // A generation that is taken over begins with a stream of an engine, which is read on.
 const startAttempts = (state: GenerationState): Transition =>
@@ -67,7 +67,7 @@
   'claim-refused': refuseClaim,
   'not-started': handleNotStarted,
   rejected: handleRejected,
-  broken: handleBreak,
+  broken: handleDisconnect,
   'stream-gone': handleStreamGone,
   batch: handleBatch,
   silent: handleSilence,
--- a/src/domain/lease/isTakeoverDue/index.ts
+++ b/src/domain/lease/isTakeoverDue/index.ts
@@ -1,4 +1,4 @@
-import type { LeaseSighting } from '../types';
+import type { LeaseObservation } from '../types';
 
 /**
  * Tells whether a lease may be taken over: there is none, it was given up, or its revision has not
@@ -8,7 +8,11 @@
  * @param nowMs - monotonic time in milliseconds
  * @param marginMs - wait beyond the duration, in milliseconds
  */
-export function isTakeoverDue(sighting: LeaseSighting, nowMs: number, marginMs: number): boolean {
+export function isTakeoverDue(
+  sighting: LeaseObservation,
+  nowMs: number,
+  marginMs: number,
+): boolean {
   const { row, firstSeenAtMs } = sighting;
   if (row === null || row.holder === '') return true;
   return nowMs - firstSeenAtMs >= row.durationMs + marginMs;
--- a/src/domain/lease/leaseTimes.ts
+++ b/src/domain/lease/leaseTimes.ts
@@ -2,7 +2,7 @@
 export const LEASE_DURATION_MS = 10_000;
 
 /** Time between renewals: two may fail before the lease is in danger. */
-export const RENEW_MS = 3_000;
+export const LEASE_RENEWAL_INTERVAL_MS = 3_000;
 
 /**
  * Time before the end of the lease from which no order is sent: longer than the longest order call
--- a/src/domain/lease/types/index.ts
+++ b/src/domain/lease/types/index.ts
@@ -1,3 +1,3 @@
 export type { HeldLease } from './HeldLease';
 export type { LeaseRow } from './LeaseRow';
-export type { LeaseSighting } from './LeaseSighting';
+export type { LeaseObservation } from './LeaseObservation';
--- a/src/domain/lease/addLeaseSighting/index.ts
+++ b/src/domain/lease/updateLeaseObservation/index.ts
@@ -1,4 +1,4 @@
-import type { LeaseRow, LeaseSighting } from '../types';
+import type { LeaseRow, LeaseObservation } from '../types';
 
 /**
  * Adds what a read showed to what was seen before.
@@ -10,11 +10,11 @@
  * @param row - the row as read, or null if there is none
  * @param nowMs - monotonic time after the read, in milliseconds
  */
-export function addLeaseSighting(
-  before: LeaseSighting | null,
+export function updateLeaseObservation(
+  before: LeaseObservation | null,
   row: LeaseRow | null,
   nowMs: number,
-): LeaseSighting {
+): LeaseObservation {
   const isSame = before !== null && before.row?.revision === row?.revision;
   return { row, firstSeenAtMs: isSame ? before.firstSeenAtMs : nowMs };
 }
--- a/src/domain/limits/computePermitLevel/index.ts
+++ b/src/domain/limits/computeTokenBucketLevel/index.ts
@@ -1,5 +1,5 @@
 /** What the level follows from. */
-export interface PermitLevelOptions {
+export interface TokenBucketOptions {
   /** When requests were sent, in order; those before the window count no more. */
   readonly sentAtMs: readonly number[];
   /** Requests a second. */
@@ -27,7 +27,11 @@
  * @example
  * computePermitLevel({ sentAtMs: [900], limitPerS: 2, nowMs: 1000 }); // 0.2
  */
-export const computePermitLevel = ({ limitPerS, nowMs, sentAtMs }: PermitLevelOptions): number => {
+export const computeTokenBucketLevel = ({
+  limitPerS,
+  nowMs,
+  sentAtMs,
+}: TokenBucketOptions): number => {
   const burst = Math.max(1, limitPerS * BURST_S);
   const fill = (level: number, durationMs: number): number =>
     Math.min(burst, level + (Math.max(0, durationMs) * limitPerS) / MS_PER_S);
--- a/src/domain/limits/decidePermit/index.ts
+++ b/src/domain/limits/decidePermit/index.ts
@@ -1,4 +1,4 @@
-import { computePermitLevel } from '../computePermitLevel';
+import { computeTokenBucketLevel } from '../computeTokenBucketLevel';
 import type { PermitDecision } from '../types';
 
 /** What the decision follows from. */
@@ -9,7 +9,7 @@
   readonly limitPerS: number;
   readonly nowMs: number;
   /** VMs that asked for permits of this server lately. */
-  readonly askers: number;
+  readonly askingVms: number;
   /** From 0 inclusive to 1 exclusive. */
   readonly draw: number;
   /** Requests by which the limit may be exceeded: whoever only confirms a permit sees it a little later. */
@@ -30,17 +30,17 @@
  * serve them.
  */
 export const decidePermit = ({
-  askers,
+  askingVms,
   draw,
   limitPerS,
   nowMs,
   sentAtMs,
   slack = 0,
 }: PermitOptions): PermitDecision => {
-  const missing = 1 - slack - computePermitLevel({ sentAtMs, limitPerS, nowMs });
+  const missing = 1 - slack - computeTokenBucketLevel({ sentAtMs, limitPerS, nowMs });
   if (missing <= 0) return { isGranted: true, waitMs: 0 };
   const msPerPermit = MS_PER_S / limitPerS;
-  const spreadMs = (2 * draw * askers * msPerPermit) / ASKS_PER_PERMIT;
+  const spreadMs = (2 * draw * askingVms * msPerPermit) / ASKS_PER_PERMIT;
   const waitMs = missing * msPerPermit + spreadMs;
   return {
     isGranted: false,
--- a/src/domain/limits/index.ts
+++ b/src/domain/limits/index.ts
@@ -1,8 +1,8 @@
 export {
-  computePermitLevel,
+  computeTokenBucketLevel,
   PERMIT_WINDOW_MS,
-  type PermitLevelOptions,
-} from './computePermitLevel';
+  type TokenBucketOptions,
+} from './computeTokenBucketLevel';
 export { decidePermit, type PermitOptions } from './decidePermit';
 export { rankLimitOwners, type OwnerCandidate } from './rankLimitOwners';
 export type { PermitDecision, SharedLimit } from './types';
--- a/src/domain/load/computeTrust/index.ts
+++ b/src/domain/load/computePrefixTrust/index.ts
@@ -5,7 +5,7 @@
 const TRUST_PER_MISSED_EVENT = 0.93;
 
 /** Below this trust a prefix is dropped: it is as likely gone as there. */
-export const LOWEST_TRUST = 0.5;
+export const MIN_PREFIX_TRUST = 0.5;
 
 /** Time after which an entry without any news is half trusted. */
 const HALF_TRUST_MS = 120_000;
@@ -17,6 +17,6 @@
  * @param ageMs - time since the prefix was last reported, in milliseconds
  * @returns 0 to 1
  */
-export function computeTrust(missedEvents: number, ageMs: number): number {
+export function computePrefixTrust(missedEvents: number, ageMs: number): number {
   return TRUST_PER_MISSED_EVENT ** missedEvents * 0.5 ** (ageMs / HALF_TRUST_MS);
 }
--- a/src/domain/load/estimateRunning/index.ts
+++ b/src/domain/load/estimateRunningRequests/index.ts
@@ -1,5 +1,5 @@
 /** What is known of the requests at one backend server. */
-export interface RunningKnowledge {
+export interface RequestCounts {
   /** Requests that this VM has there now. */
   readonly own: number;
   /** Requests that peers last said they have there. */
@@ -21,7 +21,7 @@
  *
  * @returns a number of requests, 0 or more
  */
-export function estimateRunning(knowledge: RunningKnowledge): number {
+export function estimateRunningRequests(knowledge: RequestCounts): number {
   const { own, peers, others, meanOthers, freshness } = knowledge;
   if (others === null) return own + peers;
   const expected = meanOthers + (Math.max(0, others) - meanOthers) * freshness;
--- a/src/domain/load/index.ts
+++ b/src/domain/load/index.ts
@@ -1,7 +1,7 @@
-export { addToAverage } from './addToAverage';
-export { addToLowEstimate } from './addToLowEstimate';
+export { updateMovingAverage } from './updateMovingAverage';
+export { updateUndisturbedEstimate } from './updateUndisturbedEstimate';
 export { computeFreshness } from './computeFreshness';
-export { computeTrust, LOWEST_TRUST } from './computeTrust';
-export { estimateRunning } from './estimateRunning';
-export type { RunningKnowledge } from './estimateRunning';
+export { computePrefixTrust, MIN_PREFIX_TRUST } from './computePrefixTrust';
+export { estimateRunningRequests } from './estimateRunningRequests';
+export type { RequestCounts } from './estimateRunningRequests';
 export { isNewerReport } from './isNewerReport';
--- a/src/domain/load/addToAverage/index.ts
+++ b/src/domain/load/updateMovingAverage/index.ts
@@ -5,6 +5,6 @@
  * @param value - the new value
  * @param weight - weight of the new value, 0 to 1
  */
-export function addToAverage(average: number, value: number, weight: number): number {
+export function updateMovingAverage(average: number, value: number, weight: number): number {
   return average === 0 ? value : average + weight * (value - average);
 }
--- a/src/domain/load/addToLowEstimate/index.ts
+++ b/src/domain/load/updateUndisturbedEstimate/index.ts
@@ -13,7 +13,7 @@
  * @param estimate - the estimate so far; 0 means that there is none yet
  * @param value - the new duration, in any unit
  */
-export function addToLowEstimate(estimate: number, value: number): number {
+export function updateUndisturbedEstimate(estimate: number, value: number): number {
   if (estimate === 0) return value;
   const weight = value < estimate ? DOWN_WEIGHT : UP_WEIGHT;
   return estimate + weight * (value - estimate);
--- a/src/domain/membership/choosePartners/index.ts
+++ b/src/domain/membership/chooseGossipPartners/index.ts
@@ -1,12 +1,12 @@
 import { chooseOwners } from '../chooseOwners';
 
 /** Up to this many VMs, each pair has a link. */
-export const FULL_MESH_VMS = 10;
+export const MAX_FULL_MESH_VMS = 10;
 /** Partners chosen by each VM of a larger region; as many choose it on average. */
 export const PARTNERS_PER_VM = 2;
 
 /** A VM that may be chosen for an exchange. */
-export interface PartnerCandidate {
+export interface GossipPartnerCandidate {
   readonly vm: string;
   /** Monotonic time of the last failed call to it, in milliseconds, or null. */
   readonly failedAtMs: number | null;
@@ -34,9 +34,9 @@
  * @param options - `nowMs` and `backoffMs` in monotonic milliseconds
  * @returns names of VMs
  */
-export function choosePartners(
+export function chooseGossipPartners(
   self: string,
-  candidates: readonly PartnerCandidate[],
+  candidates: readonly GossipPartnerCandidate[],
   options: { readonly nowMs: number; readonly backoffMs: number },
 ): readonly string[] {
   const usable = candidates
@@ -44,6 +44,6 @@
       ({ failedAtMs }) => failedAtMs === null || options.nowMs - failedAtMs >= options.backoffMs,
     )
     .map(({ vm }) => vm);
-  if (usable.length < FULL_MESH_VMS) return chooseSuccessors(self, usable);
+  if (usable.length < MAX_FULL_MESH_VMS) return chooseSuccessors(self, usable);
   return chooseOwners(usable, self, PARTNERS_PER_VM);
 }
--- a/src/domain/membership/chooseOwners/index.ts
+++ b/src/domain/membership/chooseOwners/index.ts
@@ -1,4 +1,4 @@
-import { computeRank } from '../computeRank';
+import { computeRendezvousWeight } from '../computeRendezvousWeight';
 
 /**
  * Chooses the members that own a key, by rendezvous hashing: a member that comes or goes moves only
@@ -18,7 +18,7 @@
   count: number,
 ): readonly string[] =>
   members
-    .map((member) => ({ member, rank: computeRank(key, member) }))
+    .map((member) => ({ member, rank: computeRendezvousWeight(key, member) }))
     .sort((a, b) => b.rank - a.rank || (a.member < b.member ? -1 : 1))
     .slice(0, count)
     .map(({ member }) => member);
--- a/src/domain/membership/chooseRowReader/index.ts
+++ b/src/domain/membership/chooseRowReader/index.ts
@@ -1,4 +1,4 @@
-import { computeRank } from '../computeRank';
+import { computeRendezvousWeight } from '../computeRendezvousWeight';
 
 /** A VM that may read the store for others. */
 export interface RowReaderCandidate {
@@ -19,7 +19,7 @@
  */
 export const chooseRowReader = <T extends RowReaderCandidate>(self: T, others: readonly T[]): T => {
   const { availabilityZone } = self;
-  const rankOf = ({ vm }: T): number => computeRank(availabilityZone, vm);
+  const rankOf = ({ vm }: T): number => computeRendezvousWeight(availabilityZone, vm);
   return others
     .filter((other) => other.availabilityZone === availabilityZone)
     .reduce((best, other) => {
--- a/src/domain/membership/computeRank/index.ts
+++ b/src/domain/membership/computeRendezvousWeight/index.ts
@@ -14,7 +14,7 @@
  * @param member - who may own it
  * @returns an integer from 0 to 2^32 - 1; the highest owns the key
  */
-export const computeRank = (key: string, member: string): number => {
+export const computeRendezvousWeight = (key: string, member: string): number => {
   let hash = computeNameId(`${key}\n${member}`);
   /* eslint-disable no-bitwise -- the finalizer is defined by shifts and exclusive ors */
   hash = Math.imul(hash ^ (hash >>> 16), MIX_MULTIPLIER_A);
--- a/src/domain/membership/index.ts
+++ b/src/domain/membership/index.ts
@@ -1,17 +1,17 @@
 export { chooseOwners } from './chooseOwners';
 export { chooseRowReader, type RowReaderCandidate } from './chooseRowReader';
-export { choosePartners, FULL_MESH_VMS } from './choosePartners';
-export type { PartnerCandidate } from './choosePartners';
+export { chooseGossipPartners, MAX_FULL_MESH_VMS } from './chooseGossipPartners';
+export type { GossipPartnerCandidate } from './chooseGossipPartners';
 export { computeIncarnationTag } from './computeIncarnationTag';
 export { computeNameId } from './computeNameId';
-export { computeRank } from './computeRank';
+export { computeRendezvousWeight } from './computeRendezvousWeight';
 export { convertFactsToReport } from './convertFactsToReport';
 export { convertReportToFacts } from './convertReportToFacts';
 export { decodeRegistration } from './decodeRegistration';
 export type { RegistrationError } from './decodeRegistration';
 export { encodeRegistration } from './encodeRegistration';
-export { isLoadChanged } from './isLoadChanged';
-export type { SentLoad } from './isLoadChanged';
+export { isLoadUpdateDue } from './isLoadUpdateDue';
+export type { SentLoad } from './isLoadUpdateDue';
 export { mergePeerRecord } from './mergePeerRecord';
 export type {
   Fact,
@@ -20,10 +20,10 @@
   News,
   PeerFact,
   PeerRecord,
-  PulseFact,
+  HeartbeatFact,
   RecoveryFact,
   RegionFact,
-  SendFact,
+  RunningAttemptsFact,
   ServerStateFact,
   SuspicionFact,
 } from './types';
--- a/src/domain/membership/isLoadChanged/index.ts
+++ b/src/domain/membership/isLoadUpdateDue/index.ts
@@ -18,14 +18,14 @@
  * @param options - `slots` of the server; `nowMs`, `leastMs` and `refreshMs` in monotonic
  *   milliseconds
  */
-export const isLoadChanged = (
+export const isLoadUpdateDue = (
   sent: SentLoad | null,
   fact: LoadFact,
   options: {
     readonly slots: number;
     readonly nowMs: number;
-    readonly leastMs: number;
-    readonly refreshMs: number;
+    readonly minIntervalMs: number;
+    readonly refreshIntervalMs: number;
   },
 ): boolean => {
   if (sent === null) return true;
@@ -34,7 +34,7 @@
   const runningChange = Math.abs(fact.running - sent.fact.running);
   const waitingChange = Math.abs(fact.waiting - sent.fact.waiting);
   const ageMs = options.nowMs - sent.sentAtMs;
-  if (ageMs < options.leastMs) return false;
-  const isOld = ageMs >= options.refreshMs;
+  if (ageMs < options.minIntervalMs) return false;
+  const isOld = ageMs >= options.refreshIntervalMs;
   return isOld || runningChange >= threshold || waitingChange >= threshold;
 };
--- a/src/domain/membership/types/Fact.ts
+++ b/src/domain/membership/types/Fact.ts
@@ -9,7 +9,7 @@
 }
 
 /** Sign of life of a VM, passed on from VM to VM. */
-export interface PulseFact {
+export interface HeartbeatFact {
   readonly kind: 'pulse';
   /** `computeNameId` of the VM's name. */
   readonly id: number;
@@ -46,7 +46,7 @@
 }
 
 /** Attempts that the sender itself has running on a server. */
-export interface SendFact {
+export interface RunningAttemptsFact {
   readonly kind: 'send';
   /** `computeNameId` of the server's name. */
   readonly id: number;
@@ -56,11 +56,11 @@
 /** One thing that a VM tells another. */
 export type Fact =
   | PeerFact
-  | PulseFact
+  | HeartbeatFact
   | RegionFact
   | SuspicionFact
   | LeavingFact
   | RecoveryFact
-  | SendFact
+  | RunningAttemptsFact
   | ServerStateFact
   | LoadFact;
--- a/src/domain/membership/types/index.ts
+++ b/src/domain/membership/types/index.ts
@@ -2,10 +2,10 @@
   Fact,
   LeavingFact,
   PeerFact,
-  PulseFact,
+  HeartbeatFact,
   RecoveryFact,
   RegionFact,
-  SendFact,
+  RunningAttemptsFact,
   SuspicionFact,
 } from './Fact';
 export type { LoadFact, ServerStateFact } from './LoadFact';
--- a/src/domain/order/index.ts
+++ b/src/domain/order/index.ts
@@ -1,4 +1,4 @@
-export { isReplaced } from './isReplaced';
+export { isModelReplaced } from './isModelReplaced';
 export { listMissingModels } from './listMissingModels';
 export { planOrders } from './planOrders';
 export type {
--- a/src/domain/order/isReplaced/index.ts
+++ b/src/domain/order/isModelReplaced/index.ts
@@ -18,7 +18,7 @@
  * @param targets - the desired state of all engines
  * @param engines - the actual state of all engines, by name
  */
-export function isReplaced(
+export function isModelReplaced(
   surplus: LoadedModel,
   backendServer: string,
   targets: readonly EngineTarget[],
--- a/src/domain/order/planOrders/index.ts
+++ b/src/domain/order/planOrders/index.ts
@@ -1,5 +1,5 @@
 import type { EngineTarget, LoadedModel } from '../../types';
-import { isReplaced } from '../isReplaced';
+import { isModelReplaced } from '../isModelReplaced';
 import { listMissingModels } from '../listMissingModels';
 import type { EngineState, OrderOptions, OrderPlan, PlannedOrder, WaitingEngine } from '../types';
 
@@ -20,9 +20,9 @@
 }
 
 /** The engine had time to load the new version beside the old one, and has not. */
-function isStuckBeside(engine: EngineState, { nowMs, besideMs }: OrderOptions): boolean {
+function isStuckBeside(engine: EngineState, { nowMs, sideBySideTimeoutMs }: OrderOptions): boolean {
   const { pending } = engine;
-  return pending !== null && nowMs - pending.firstSentAtMs >= besideMs;
+  return pending !== null && nowMs - pending.firstSentAtMs >= sideBySideTimeoutMs;
 }
 
 function isServedElsewhere(
@@ -57,7 +57,7 @@
     if (engine.pending !== null && listMissingModels([item], engine.pending.models).length > 0) {
       return false;
     }
-    if (isReplaced(item, name, targets, engines)) return false;
+    if (isModelReplaced(item, name, targets, engines)) return false;
     return !(isStuckBeside(engine, options) && isServedElsewhere(item.model, name, engines));
   });
   // A role may end the serving of all that is loaded: it waits until nothing has to be kept.
@@ -102,7 +102,7 @@
   const { pending } = engine;
   const isSent =
     pending !== null && pending.role === interim.role && isSameSet(pending.models, interim.models);
-  if (isSent && options.nowMs - pending.sentAtMs < options.resendMs) return wait('order sent');
+  if (isSent && options.nowMs - pending.sentAtMs < options.resendAfterMs) return wait('order sent');
   const loads = listMissingModels(interim.models, engine.models).length;
   const loading = countLoading(engines, backendServer) + state.plannedLoads;
   const isOverLimit = loading > 0 && loading + loads > options.maxLoads;
--- a/src/domain/outlier/chooseEjected/index.ts
+++ b/src/domain/outlier/chooseServersToEject/index.ts
@@ -7,7 +7,7 @@
 const SPEED_LIMIT = 0.25;
 
 /** Most of the servers ejected at once: the rest must carry the load that is moved to it. */
-export const EJECTED_PART = 0.2;
+export const MAX_EJECTED_FRACTION = 0.2;
 
 const FIRST_EJECTION_MS = 5000;
 const LONGEST_EJECTION_MS = 60_000;
@@ -37,12 +37,12 @@
  * @param nowMs - monotonic time, in milliseconds
  * @returns the servers to eject, each with its new quality
  */
-export function chooseEjected(
+export function chooseServersToEject(
   servers: readonly EjectionCandidate[],
   nowMs: number,
 ): readonly EjectionCandidate[] {
   const ejected = servers.filter(({ quality }) => quality.ejectedUntilMs > nowMs);
-  const room = Math.floor(servers.length * EJECTED_PART) - ejected.length;
+  const room = Math.floor(servers.length * MAX_EJECTED_FRACTION) - ejected.length;
   if (room <= 0) return [];
   return servers
     .filter(({ quality }) => quality.ejectedUntilMs <= nowMs && computeBadness(quality) >= 1)
--- a/src/domain/outlier/chooseEjected/test.ts
+++ b/src/domain/outlier/chooseServersToEject/test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
-import { GOOD_QUALITY } from '../types';
+import { INITIAL_QUALITY } from '../types';
 import type { ServerQuality } from '../types';
 import { updateQuality } from '../updateQuality';
-import { chooseEjected } from '.';
+import { chooseServersToEject } from '.';
 
 const buildServers = (qualities: readonly Partial<ServerQuality>[]) =>
   Array.from({ length: 10 }, (_, index) => ({
     name: `s${index}`,
-    quality: { ...GOOD_QUALITY, ...qualities[index] },
+    quality: { ...INITIAL_QUALITY, ...qualities[index] },
   }));
 const listNames = (qualities: readonly Partial<ServerQuality>[]): readonly string[] =>
-  chooseEjected(buildServers(qualities), 1000).map(({ name }) => name);
+  chooseServersToEject(buildServers(qualities), 1000).map(({ name }) => name);
 
 test('ejects the worst servers, and never more than the bounded part', (t) => {
   t.deepEqual(listNames([{}, { failures: 0.9 }, { speed: 0.3 }]), ['s1']);
@@ -22,10 +22,10 @@
 });
 
 test('a few servers are never ejected at all, and repeated ejections last longer', (t) => {
-  const bad = { ...GOOD_QUALITY, failures: 1 };
-  t.deepEqual(chooseEjected([{ name: 'a', quality: bad }], 0), []);
-  const [first] = chooseEjected(buildServers([bad]), 0);
-  const [third] = chooseEjected(buildServers([{ ...bad, ejections: 2 }]), 0);
+  const bad = { ...INITIAL_QUALITY, failures: 1 };
+  t.deepEqual(chooseServersToEject([{ name: 'a', quality: bad }], 0), []);
+  const [first] = chooseServersToEject(buildServers([bad]), 0);
+  const [third] = chooseServersToEject(buildServers([{ ...bad, ejections: 2 }]), 0);
   t.is(third?.quality.ejectedUntilMs, 4 * (first?.quality.ejectedUntilMs ?? 0));
   // A server that comes back is not ejected again without a new sign.
   t.deepEqual(listNames([{ ...first?.quality, ejectedUntilMs: 0 }]), []);
@@ -34,10 +34,10 @@
 test('three failures in a row are enough, one is not; a success forgives', (t) => {
   const fail = (quality: ServerQuality): ServerQuality =>
     updateQuality(quality, { kind: 'attempt', failed: true });
-  t.deepEqual(listNames([fail(GOOD_QUALITY)]), []);
-  t.deepEqual(listNames([fail(fail(fail(GOOD_QUALITY)))]), ['s0']);
+  t.deepEqual(listNames([fail(INITIAL_QUALITY)]), []);
+  t.deepEqual(listNames([fail(fail(fail(INITIAL_QUALITY)))]), ['s0']);
   const forgiven = updateQuality(
-    { ...GOOD_QUALITY, ejections: 3 },
+    { ...INITIAL_QUALITY, ejections: 3 },
     { kind: 'attempt', failed: false },
   );
   t.is(forgiven.ejections, 0);
--- a/src/domain/outlier/index.ts
+++ b/src/domain/outlier/index.ts
@@ -1,7 +1,7 @@
-export { chooseEjected, EJECTED_PART } from './chooseEjected';
-export type { EjectionCandidate } from './chooseEjected';
+export { chooseServersToEject, MAX_EJECTED_FRACTION } from './chooseServersToEject';
+export type { EjectionCandidate } from './chooseServersToEject';
 export { computeSpeedRatio } from './computeSpeedRatio';
-export { GOOD_QUALITY } from './types';
+export { INITIAL_QUALITY } from './types';
 export type { ServerQuality } from './types';
 export { updateQuality } from './updateQuality';
-export type { QualitySign } from './updateQuality';
+export type { QualityObservation } from './updateQuality';
--- a/src/domain/outlier/types/ServerQuality.ts
+++ b/src/domain/outlier/types/ServerQuality.ts
@@ -11,7 +11,7 @@
 }
 
 /** A server of which nothing bad is known. */
-export const GOOD_QUALITY: ServerQuality = {
+export const INITIAL_QUALITY: ServerQuality = {
   failures: 0,
   speed: 1,
   ejectedUntilMs: 0,
--- a/src/domain/outlier/types/index.ts
+++ b/src/domain/outlier/types/index.ts
@@ -1,2 +1,2 @@
-export { GOOD_QUALITY } from './ServerQuality';
+export { INITIAL_QUALITY } from './ServerQuality';
 export type { ServerQuality } from './ServerQuality';
--- a/src/domain/outlier/updateQuality/index.ts
+++ b/src/domain/outlier/updateQuality/index.ts
@@ -1,7 +1,7 @@
 import type { ServerQuality } from '../types';
 
 /** What was seen of a server. */
-export type QualitySign =
+export type QualityObservation =
   | { readonly kind: 'attempt'; readonly failed: boolean }
   | { readonly kind: 'speed'; readonly ratio: number };
 
@@ -12,7 +12,7 @@
 const SPEED_WEIGHT = 0.2;
 
 /** Updates the quality of a server by one more sign. */
-export function updateQuality(quality: ServerQuality, sign: QualitySign): ServerQuality {
+export function updateQuality(quality: ServerQuality, sign: QualityObservation): ServerQuality {
   if (sign.kind === 'speed') {
     return { ...quality, speed: quality.speed + SPEED_WEIGHT * (sign.ratio - quality.speed) };
   }
--- a/src/domain/prediction/addOutputSample/index.ts
+++ b/src/domain/prediction/addOutputSample/index.ts
@@ -1,9 +1,9 @@
-import type { OutputSamples } from '../types';
+import type { OutputLengthSamples } from '../types';
 
 /** Samples kept: enough for a steady quantile, few enough to follow a change within a day. */
-export const MAX_SAMPLES = 128;
+export const MAX_OUTPUT_SAMPLES = 128;
 
 /** Adds the output length of a finished generation, in tokens; the oldest ones are dropped. */
-export function addOutputSample(samples: OutputSamples, tokens: number): OutputSamples {
-  return { tokens: [...samples.tokens.slice(-(MAX_SAMPLES - 1)), tokens] };
+export function addOutputSample(samples: OutputLengthSamples, tokens: number): OutputLengthSamples {
+  return { tokens: [...samples.tokens.slice(-(MAX_OUTPUT_SAMPLES - 1)), tokens] };
 }
--- a/src/domain/prediction/index.ts
+++ b/src/domain/prediction/index.ts
@@ -1,3 +1,3 @@
-export { addOutputSample, MAX_SAMPLES } from './addOutputSample';
-export { COVERED_PART, predictOutputTokens } from './predictOutputTokens';
-export type { OutputSamples } from './types';
+export { addOutputSample, MAX_OUTPUT_SAMPLES } from './addOutputSample';
+export { PREDICTION_QUANTILE, predictOutputTokens } from './predictOutputTokens';
+export type { OutputLengthSamples } from './types';
--- a/src/domain/prediction/predictOutputTokens/test.ts
+++ b/src/domain/prediction/predictOutputTokens/test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
-import type { OutputSamples } from '../types';
-import { addOutputSample, MAX_SAMPLES } from '../addOutputSample';
+import type { OutputLengthSamples } from '../types';
+import { addOutputSample, MAX_OUTPUT_SAMPLES } from '../addOutputSample';
 import { predictOutputTokens } from '.';
 
 const ONE_TO_HUNDRED = { tokens: Array.from({ length: 100 }, (_, index) => index + 1) };
@@ -12,8 +12,9 @@
 });
 
 test('old samples are dropped, so that a change is followed', (t) => {
-  let samples: OutputSamples = ONE_TO_HUNDRED;
-  for (let index = 0; index < MAX_SAMPLES; index += 1) samples = addOutputSample(samples, 500);
-  t.is(samples.tokens.length, MAX_SAMPLES);
+  let samples: OutputLengthSamples = ONE_TO_HUNDRED;
+  for (let index = 0; index < MAX_OUTPUT_SAMPLES; index += 1)
+    samples = addOutputSample(samples, 500);
+  t.is(samples.tokens.length, MAX_OUTPUT_SAMPLES);
   t.is(predictOutputTokens(samples, 1000), 500);
 });
--- a/src/domain/prediction/types/index.ts
+++ b/src/domain/prediction/types/index.ts
@@ -1,1 +1,1 @@
-export type { OutputSamples } from './OutputSamples';
+export type { OutputLengthSamples } from './OutputLengthSamples';
--- a/src/domain/request/buildGenerationRequest/index.ts
+++ b/src/domain/request/buildGenerationRequest/index.ts
@@ -1,11 +1,11 @@
 import type { Endpoint, GenerationRequest, Service } from '../../types';
 import { computePrefixDigests } from '../../routing';
-import { computePromptText } from '../computePromptText';
+import { extractPromptText } from '../extractPromptText';
 import { computeRequestDigest } from '../computeRequestDigest';
 import type { ChatBody, CompletionBody, RequestOptions } from '../types';
 
 /** What a generation request is built from; all parts are checked. */
-export interface GenerationSource {
+export interface GenerationRequestParts {
   readonly requestId: string;
   readonly workspace: string;
   readonly service: Service;
@@ -15,9 +15,9 @@
 }
 
 /** Builds the request that the generations run, with its digest, prefixes and defaults. */
-export const buildGenerationRequest = (source: GenerationSource): GenerationRequest => {
+export const buildGenerationRequest = (source: GenerationRequestParts): GenerationRequest => {
   const { body, endpoint, options, service, workspace } = source;
-  const prompt = computePromptText(endpoint, body);
+  const prompt = extractPromptText(endpoint, body);
   return {
     requestId: source.requestId,
     workspace,
--- a/src/domain/request/computePromptText/index.ts
+++ b/src/domain/request/extractPromptText/index.ts
@@ -13,7 +13,7 @@
  *
  * @returns the prompt of a completion; the messages of a chat, each as `role\ncontent\n`
  */
-export const computePromptText = (endpoint: Endpoint, body: ChatBody | CompletionBody): string => {
+export const extractPromptText = (endpoint: Endpoint, body: ChatBody | CompletionBody): string => {
   if (endpoint === Endpoint.Completion) return (body as CompletionBody).prompt;
   return (body as ChatBody).messages
     .map((message) => `${message.role}\n${readContent(message.content)}\n`)
--- a/src/domain/request/index.ts
+++ b/src/domain/request/index.ts
@@ -1,8 +1,8 @@
 export { buildGenerationRequest } from './buildGenerationRequest';
-export type { GenerationSource } from './buildGenerationRequest';
-export { computePromptText } from './computePromptText';
+export type { GenerationRequestParts } from './buildGenerationRequest';
+export { extractPromptText } from './extractPromptText';
 export { computeRequestDigest } from './computeRequestDigest';
-export { isRepeatableCall } from './isRepeatableCall';
+export { isRetryableCall } from './isRetryableCall';
 export { parseGenerationBody } from './parseGenerationBody';
 export { parseRequestId } from './parseRequestId';
 export { parseRequestOptions } from './parseRequestOptions';
--- a/src/domain/request/isRepeatableCall/index.ts
+++ b/src/domain/request/isRetryableCall/index.ts
@@ -8,7 +8,7 @@
  *
  * @param call - `serviceIdempotent` as configured, `callerIdempotent` as the header says
  */
-export const isRepeatableCall = (call: {
+export const isRetryableCall = (call: {
   readonly method: string;
   readonly serviceIdempotent: boolean;
   readonly callerIdempotent: boolean;
--- a/src/domain/retry/checkBreaker/index.ts
+++ b/src/domain/retry/checkBreaker/index.ts
@@ -2,7 +2,7 @@
 import type { Breaker } from '../types';
 
 /** Leave to make a call: the state while it is out, and whether it is the probe. */
-export interface BreakerLeave {
+export interface AllowedCall {
   readonly breaker: Breaker;
   readonly probe: boolean;
 }
@@ -23,7 +23,7 @@
   breaker: Breaker,
   nowMs: number,
   probeTimeoutMs: number,
-): Result<BreakerLeave, BreakerRefusal> {
+): Result<AllowedCall, BreakerRefusal> {
   if (breaker.kind === 'closed') return ok({ breaker, probe: false });
   if (nowMs < breaker.untilMs) {
     return err({ kind: 'circuit-open', retryAfterMs: Math.ceil(breaker.untilMs - nowMs) });
--- a/src/domain/retry/updateBreaker/index.ts
+++ b/src/domain/retry/updateBreaker/index.ts
@@ -1,7 +1,7 @@
 import type { Breaker, BreakerPolicy } from '../types';
 
 /** Result of a call that the breaker let through. */
-export interface CallEnd {
+export interface CallResult {
   readonly failed: boolean;
   readonly probe: boolean;
   /** Monotonic milliseconds. */
@@ -11,7 +11,7 @@
 }
 
 /** Opens for between half and the whole of a time that doubles with each opening in a row. */
-function openBreaker(openings: number, end: CallEnd, policy: BreakerPolicy): Breaker {
+function openBreaker(openings: number, end: CallResult, policy: BreakerPolicy): Breaker {
   const boundMs = Math.min(policy.open.maxMs, policy.open.baseMs * 2 ** openings);
   const untilMs = end.nowMs + (boundMs * (1 + end.fraction)) / 2;
   return { kind: 'open', untilMs, openings: openings + 1 };
@@ -22,7 +22,7 @@
  * breaker no more: late failures must not put the next probe off, and a late success is older
  * than the failures that opened it.
  */
-export function updateBreaker(breaker: Breaker, end: CallEnd, policy: BreakerPolicy): Breaker {
+export function updateBreaker(breaker: Breaker, end: CallResult, policy: BreakerPolicy): Breaker {
   if (breaker.kind === 'closed') {
     const failures = end.failed ? breaker.failures + 1 : 0;
     return failures < policy.failureThreshold
--- a/src/domain/rollouts/index.ts
+++ b/src/domain/rollouts/index.ts
@@ -1,4 +1,4 @@
-export { addTallies } from './addTallies';
+export { sumTallies } from './sumTallies';
 export { chooseTrialServers } from './chooseTrialServers';
 export { compareVerdicts } from './compareVerdicts';
 export { computeTrialAllowance } from './computeTrialAllowance';
--- a/src/domain/rollouts/judgeVersion/index.ts
+++ b/src/domain/rollouts/judgeVersion/index.ts
@@ -1,5 +1,5 @@
 import { computeBinomialTail } from '../_lib/computeBinomialTail';
-import { addTallies } from '../addTallies';
+import { sumTallies } from '../sumTallies';
 import type { RolloutTallies, RouteTally, VersionJudgement, VersionTally } from '../types';
 
 /** Fewer poor answers are no pattern. */
@@ -42,7 +42,7 @@
 };
 
 const sumRoutes = (tallies: RolloutTallies): RouteTally =>
-  [...addTallies([...tallies.values()].map((one) => new Map([['', one]]))).values()][0] ?? {
+  [...sumTallies([...tallies.values()].map((one) => new Map([['', one]]))).values()][0] ?? {
     established: { requests: 0, poor: 0 },
     candidate: { requests: 0, poor: 0 },
   };
--- a/src/domain/rollouts/addTallies/index.ts
+++ b/src/domain/rollouts/sumTallies/index.ts
@@ -13,7 +13,7 @@
  * @example
  * addTallies([new Map([['r', tally]]), new Map([['r', tally]])]); // twice the tally of 'r'
  */
-export const addTallies = (all: readonly RolloutTallies[]): RolloutTallies => {
+export const sumTallies = (all: readonly RolloutTallies[]): RolloutTallies => {
   const sums = new Map<string, RouteTally>();
   all.forEach((tallies) =>
     tallies.forEach(({ candidate, established }, route) => {
--- a/src/domain/routing/estimateFirstTokenMs/index.ts
+++ b/src/domain/routing/estimateFirstTokenMs/index.ts
@@ -6,13 +6,13 @@
   /** Mean time for which one request holds a slot there, in milliseconds. */
   readonly holdMs: number;
   /** True: the engine serves it before those that wait. */
-  readonly overtakes: boolean;
+  readonly skipsQueue: boolean;
   readonly promptTokens: number;
   /** Prompt tokens expected to be in its cache. */
   readonly cachedTokens: number;
   readonly prefillMsPerToken: number;
   /** Round trip to the server's availability zone, in milliseconds. */
-  readonly zoneMs: number;
+  readonly zoneRoundTripMs: number;
   /** Speed relative to comparable servers; 1 is usual, lower is slower. */
   readonly speed: number;
 }
@@ -29,12 +29,12 @@
  * @returns milliseconds
  */
 export function estimateFirstTokenMs(inputs: FirstTokenInputs): number {
-  const { running, slots, holdMs, zoneMs } = inputs;
+  const { running, slots, holdMs, zoneRoundTripMs } = inputs;
   const excess = running - slots + 1;
-  const turns = inputs.overtakes ? Math.min(excess, 1) : excess;
+  const turns = inputs.skipsQueue ? Math.min(excess, 1) : excess;
   const queueMs = excess > 0 ? (turns * holdMs) / slots : 0;
   const uncached = Math.max(1, inputs.promptTokens - inputs.cachedTokens);
   const slowdown = 1 + BATCH_SLOWDOWN * Math.min(1, running / slots);
   const prefillMs = uncached * inputs.prefillMsPerToken * slowdown;
-  return (queueMs + prefillMs) / Math.max(LOWEST_SPEED, inputs.speed) + zoneMs;
+  return (queueMs + prefillMs) / Math.max(LOWEST_SPEED, inputs.speed) + zoneRoundTripMs;
 }
--- a/src/domain/routing/estimateFirstTokenMs/test.ts
+++ b/src/domain/routing/estimateFirstTokenMs/test.ts
@@ -5,11 +5,11 @@
   running: 0,
   slots: 4,
   holdMs: 4000,
-  overtakes: false,
+  skipsQueue: false,
   promptTokens: 1000,
   cachedTokens: 0,
   prefillMsPerToken: 0.1,
-  zoneMs: 1,
+  zoneRoundTripMs: 1,
   speed: 1,
 };
 
@@ -18,7 +18,7 @@
   t.is(estimateFirstTokenMs({ ...IDLE, cachedTokens: 900 }), 11);
   t.is(estimateFirstTokenMs({ ...IDLE, running: 4 }), 1201);
   t.is(estimateFirstTokenMs({ ...IDLE, running: 7 }), 4201);
-  t.is(estimateFirstTokenMs({ ...IDLE, running: 7, overtakes: true }), 1201);
+  t.is(estimateFirstTokenMs({ ...IDLE, running: 7, skipsQueue: true }), 1201);
   t.is(estimateFirstTokenMs({ ...IDLE, speed: 0.5 }), 201);
 });
 
--- a/src/domain/routing/filterBackendServers/index.ts
+++ b/src/domain/routing/filterBackendServers/index.ts
@@ -3,7 +3,7 @@
 import type { ReadyServers } from '../types';
 
 /** What this VM knows of the servers at this moment. */
-export interface ServerKnowledge {
+export interface ServerStateView {
   readonly readHealth: (backendServer: string) => BackendHealth;
   /** The newest report, or null. */
   readonly findReport: (backendServer: string) => LoadReport | null;
@@ -26,7 +26,7 @@
   server: BackendServer,
   service: Service,
   excluded: readonly string[],
-  knowledge: ServerKnowledge,
+  knowledge: ServerStateView,
 ): string | null {
   const health = knowledge.readHealth(server.name);
   if (health !== BackendHealth.Serving) return `health-${health}`;
@@ -54,7 +54,7 @@
   servers: readonly BackendServer[],
   service: Service,
   excluded: readonly string[],
-  knowledge: ServerKnowledge,
+  knowledge: ServerStateView,
 ): ReadyServers {
   const ready: BackendServer[] = [];
   const filtered: FilteredServer[] = [];
--- a/src/domain/routing/index.ts
+++ b/src/domain/routing/index.ts
@@ -1,7 +1,7 @@
 export { computePrefixDigests, MAX_PREFIXES, PREFIX_CUT_CHARACTERS } from './computePrefixDigests';
 export { filterAllowedServers } from './filterAllowedServers';
 export { filterBackendServers } from './filterBackendServers';
-export type { ServerKnowledge } from './filterBackendServers';
+export type { ServerStateView } from './filterBackendServers';
 export type { AllowedServers, ReadyServers } from './types';
 export { chooseServer } from './chooseServer';
 export type { ScoredServers } from './chooseServer';
--- a/src/domain/types/StreamPiece.ts
+++ b/src/domain/types/StreamChunk.ts
@@ -1,7 +1,7 @@
 import type { TokenBatch } from './TokenBatch';
 
 /** One event of a stream whose content is handed on as it came; its position is its event id. */
-export interface EventPiece {
+export interface EventChunk {
   /** Events before it, counted from the start of the generation. */
   readonly offset: number;
   /** 0 for the mark of the stream's end. */
@@ -13,4 +13,4 @@
 }
 
 /** A part of a generation under either kind of position: a token offset or an event id. */
-export type StreamPiece = TokenBatch | EventPiece;
+export type StreamChunk = TokenBatch | EventChunk;
--- a/src/domain/types/index.ts
+++ b/src/domain/types/index.ts
@@ -22,7 +22,7 @@
 export type { Service } from './Service';
 export { ServiceKind } from './ServiceKind';
 export type { StoredAnswer } from './StoredAnswer';
-export type { EventPiece, StreamPiece } from './StreamPiece';
+export type { EventChunk, StreamChunk } from './StreamChunk';
 export { SurvivalMode } from './SurvivalMode';
 export { SuspicionCause } from './Suspicion';
 export type { Suspicion } from './Suspicion';
--- a/src/programs/entry/_lib/wireStores/index.ts
+++ b/src/programs/entry/_lib/wireStores/index.ts
@@ -3,25 +3,25 @@
 import { createDynamoTableStore } from '../../../../adapters/table';
 import { createHttpVmList } from '../../../../adapters/vm-list';
 import {
-  createGuardedObjectStore,
-  createGuardedTableStore,
+  createResilientObjectStore,
+  createResilientTableStore,
   OBJECT_POLICY,
   TABLE_POLICY,
 } from '../../../../application/store';
-import type { StoreGuardDependencies } from '../../../../application/store';
+import type { OperationRunnerDependencies } from '../../../../application/store';
 import type { EntrySettings } from '../../types';
 
 /** Wires the clients of the platform: each fails soon, so that no request waits for a dead store. */
-export const wireStores = (settings: EntrySettings, guard: StoreGuardDependencies) => {
+export const wireStores = (settings: EntrySettings, guard: OperationRunnerDependencies) => {
   const dispatcher = createPlatformDispatcher();
   const dependencies = { clock: guard.clock, dispatcher };
   return {
-    tableStore: createGuardedTableStore(
+    tableStore: createResilientTableStore(
       createDynamoTableStore(settings.table, dependencies),
       TABLE_POLICY,
       guard,
     ),
-    objectStore: createGuardedObjectStore(
+    objectStore: createResilientObjectStore(
       createS3ObjectStore(settings.objects, dependencies),
       OBJECT_POLICY,
       guard,
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -10,7 +10,7 @@
   createServerDirectory,
 } from '../../../../application/forwarding';
 import { createGossip, type Gossip } from '../../../../application/gossip';
-import { createFollowerPair, createSharedReading } from '../../../../application/rows';
+import { createFollowerPair, createZoneReplication } from '../../../../application/rows';
 import {
   CONFIGURATION_KEY,
   createServerClient,
@@ -25,9 +25,9 @@
 import { wireRollouts } from '../wireRollouts';
 import type { GatewayOverrides, GatewayParts } from '../../types';
 import {
-  computeBurstPause,
-  computeFollowWait,
-  computeSharing,
+  computeBatchDelayMs,
+  computeLongPollMs,
+  computeStalenessLimits,
   type GatewaySettings,
 } from '../../../../domain/forwarding';
 
@@ -108,19 +108,19 @@
     tellOutcome: (outcome) => sendOutcome(outcome),
   });
   // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
-  const shared = computeSharing(settings.bounds);
+  const shared = computeStalenessLimits(settings.bounds);
   let handleAdvance = (): void => undefined;
   const pair = createFollowerPair({
     store,
     clock,
     randomness,
     log,
-    aloneWaitMs: computeFollowWait(settings.bounds),
+    shortWaitMs: computeLongPollMs(settings.bounds),
     freshMs: shared?.freshMs ?? Infinity,
     staleMs: shared?.staleMs ?? Infinity,
-    burstPauseMs: computeBurstPause(settings.bounds),
-    handleAdvance: () => handleAdvance(),
-    guard: {
+    burstPauseMs: computeBatchDelayMs(settings.bounds),
+    handleUpdate: () => handleAdvance(),
+    primary: {
       table: TABLES.operator,
       handleRows: (rows) => {
         tables.applyRows(rows);
@@ -128,9 +128,9 @@
       },
       handleRestored: quarantineRows.startRewrite,
     },
-    guarded: { table: TABLES.servers, handleRows: directory.applyRows },
+    secondary: { table: TABLES.servers, handleRows: directory.applyRows },
   });
-  const { guard: configuration, guarded: servers } = pair;
+  const { primary: configuration, secondary: servers } = pair;
   const followers = new Map([
     [TABLES.operator, configuration],
     [TABLES.servers, servers],
@@ -164,18 +164,18 @@
   sendVerdict = gossip.sendVerdict;
   sendLimit = gossip.sendLimit;
   listMembers = gossip.listMembers;
-  const sharing = createSharedReading({
+  const sharing = createZoneReplication({
     self,
     sharing: shared,
     pair,
     followers,
     listMembers: gossip.listMembers,
-    askVm: calls.followTables,
+    requestStatements: calls.followTables,
     clock,
     randomness,
     log,
   });
-  handleAdvance = sharing.handleAdvance;
+  handleAdvance = sharing.handleUpdate;
   const { bounds } = settings;
   const { lender, retries } = wireRetries({ bounds, calls, clock, gossip, log });
   const places = createPromptReservations({
--- a/src/programs/gateway/types/GatewayParts.ts
+++ b/src/programs/gateway/types/GatewayParts.ts
@@ -11,7 +11,7 @@
 import type { LimitOwner } from '../../../application/limits';
 import type { Clock, EventLog } from '../../../application/ports';
 import type { RolloutJudge } from '../../../application/rollouts';
-import type { RowFollower, SharedReading } from '../../../application/rows';
+import type { RowFollower, ZoneReplication } from '../../../application/rows';
 
 /** The parts of a gateway. */
 export interface GatewayParts {
@@ -23,7 +23,7 @@
   readonly forwarder: Forwarder;
   readonly followers: { readonly configuration: RowFollower; readonly servers: RowFollower };
   readonly gossip: Gossip;
-  readonly sharing: SharedReading;
+  readonly sharing: ZoneReplication;
   readonly lender: RetryLender;
   readonly limitOwner: LimitOwner;
   readonly quarantineRows: QuarantineRows;
--- a/src/programs/jackdaw/commands/DrainCommand.ts
+++ b/src/programs/jackdaw/commands/DrainCommand.ts
@@ -1,6 +1,6 @@
 import { Command, Option } from 'clipanion';
 import { z } from 'zod';
-import type { AwaitedVm } from '../../../application/configuration';
+import type { TargetVm } from '../../../application/configuration';
 import { waitDelay } from '../../../application/time';
 import { ExitCode, type OperatorPlatform } from '../types';
 import { PlatformCommand } from './PlatformCommand';
@@ -67,7 +67,7 @@
 
   private async waitForEnd(
     { calls, clock }: OperatorPlatform,
-    target: AwaitedVm,
+    target: TargetVm,
     timeoutMs: number,
   ): Promise<boolean> {
     const endMs = clock.readMonotonicMs() + timeoutMs;
--- a/src/programs/jackdaw/commands/ExplainCommand.ts
+++ b/src/programs/jackdaw/commands/ExplainCommand.ts
@@ -1,6 +1,6 @@
 import { Command, Option } from 'clipanion';
 import { z } from 'zod';
-import type { AwaitedVm } from '../../../application/configuration';
+import type { TargetVm } from '../../../application/configuration';
 import { explainLog } from '../explainLog';
 import { renderStory } from '../renderStory';
 import { ExitCode, type OperatorPlatform } from '../types';
@@ -97,7 +97,7 @@
 
   private async readDecisions(
     { calls }: OperatorPlatform,
-    { vm, peerAddress }: AwaitedVm,
+    { vm, peerAddress }: TargetVm,
   ): Promise<Explanation> {
     const listed = await calls.listDecisions(peerAddress, this.request);
     return listed.match(
--- a/src/programs/jackdaw/openPlatform/index.ts
+++ b/src/programs/jackdaw/openPlatform/index.ts
@@ -6,7 +6,7 @@
 import { createDynamoTableStore } from '../../../adapters/table';
 import type { ConfigurationProblem } from '../../../adapters/toml';
 import { createHttpVmList } from '../../../adapters/vm-list';
-import type { AwaitedVm } from '../../../application/configuration';
+import type { TargetVm } from '../../../application/configuration';
 import type { VmList } from '../../../application/ports';
 import { readOperatorSettings } from '../readOperatorSettings';
 import type { OperatorPlatform, OperatorSettings } from '../types';
@@ -17,7 +17,7 @@
 async function listEntryVms(
   vmList: VmList | null,
   addresses: readonly string[],
-): Promise<readonly AwaitedVm[]> {
+): Promise<readonly TargetVm[]> {
   const listed = vmList === null ? [] : (await vmList.listVms()).unwrapOr([]);
   const entries = listed.filter(({ peerAddress, leaving }) => peerAddress !== '' && !leaving);
   const known = new Set(entries.map(({ peerAddress }) => peerAddress));
--- a/src/programs/jackdaw/types/OperatorPlatform.ts
+++ b/src/programs/jackdaw/types/OperatorPlatform.ts
@@ -1,5 +1,5 @@
 import type { OperatorCalls } from '../../../application/peers';
-import type { AwaitedVm } from '../../../application/configuration';
+import type { TargetVm } from '../../../application/configuration';
 import type { Clock, Randomness, TableStore } from '../../../application/ports';
 
 /** The connected platform and processes, for one command. */
@@ -12,6 +12,6 @@
   /** Calls to the processes. */
   readonly calls: OperatorCalls;
   /** Entry VMs of the platform's list, with those of the settings. */
-  listEntryVms(): Promise<readonly AwaitedVm[]>;
+  listEntryVms(): Promise<readonly TargetVm[]>;
   close(): Promise<void>;
 }
--- a/src/programs/keeper/startKeeper/index.ts
+++ b/src/programs/keeper/startKeeper/index.ts
@@ -9,7 +9,7 @@
 import { createConfigurationFollower } from '../../../application/configuration';
 import { createKeeper } from '../../../application/keeper';
 import { createLeaseHolder } from '../../../application/lease';
-import { createGuardedTableStore, TABLE_POLICY } from '../../../application/store';
+import { createResilientTableStore, TABLE_POLICY } from '../../../application/store';
 import { createMonitorApp } from '../_lib/createMonitorApp';
 import type { KeeperOverrides, KeeperProcess, KeeperSettings, KeeperStartError } from '../types';
 
@@ -25,7 +25,7 @@
   const logger = overrides.logger ?? (await createRoarrLogger('jackdaw-keeper'));
   const log = createEventLog(logger);
   const dispatcher = createPlatformDispatcher();
-  const table = createGuardedTableStore(
+  const table = createResilientTableStore(
     createDynamoTableStore(settings.table, { clock, dispatcher }),
     TABLE_POLICY,
     { clock, randomness, eventLog: log },
--- a/standins/chain/renderPrompt/index.ts
+++ b/standins/chain/renderPrompt/index.ts
@@ -1,4 +1,4 @@
-import { computePromptText } from '../../../src/domain/request';
+import { extractPromptText } from '../../../src/domain/request';
 import { Endpoint } from '../../../src/domain/types';
 
 type Body = Readonly<Record<string, unknown>>;
@@ -11,5 +11,5 @@
  */
 export function renderPrompt(body: Body): string {
   const endpoint = Array.isArray(body.messages) ? Endpoint.Chat : Endpoint.Completion;
-  return computePromptText(endpoint, body as unknown as Parameters<typeof computePromptText>[1]);
+  return extractPromptText(endpoint, body as unknown as Parameters<typeof extractPromptText>[1]);
 }
--- a/standins/fakes/buildServerStatus/index.ts
+++ b/standins/fakes/buildServerStatus/index.ts
@@ -19,7 +19,7 @@
     sequence: 0,
   },
   running: 0,
-  prefillTokens: 0,
+  pendingPrefillTokens: 0,
   copies: 0,
   reported: 0,
   isSuspected: false,
--- a/standins/gossip/createGossipFleet/index.ts
+++ b/standins/gossip/createGossipFleet/index.ts
@@ -3,14 +3,14 @@
   createGossip,
   type Gossip,
   type Knowledge,
-  type PassedRows,
+  type RelayedRows,
   type SharedSuspicion,
 } from '../../../src/application/gossip';
 import type { RowChanges, SharedRow } from '../../../src/application/ports';
 import { createFakeClock, createSeededRandomness, QUIET_LOG } from '../../fakes';
 
 /** A follower that holds what the test gives it. */
-const createHeldRows = (rows: readonly SharedRow[], isReachable: boolean): PassedRows => {
+const createHeldRows = (rows: readonly SharedRow[], isReachable: boolean): RelayedRows => {
   const held = new Map(rows.map((row) => [row.key, row]));
   let version = rows.reduce((newest, row) => Math.max(newest, row.version), 0);
   return {
@@ -35,7 +35,7 @@
   const clock = createFakeClock();
   const cut = new Set<string>();
   const gossips = new Map<string, Gossip>();
-  const followers = new Map<string, PassedRows>();
+  const followers = new Map<string, RelayedRows>();
   const suspicions: { readonly vm: string; readonly server: string }[] = [];
   const inferred: string[] = [];
   const histories = new Map<string, CrashHistory>();
--- a/standins/model/createModelCaller/index.ts
+++ b/standins/model/createModelCaller/index.ts
@@ -43,7 +43,7 @@
       method: 'POST',
       target: '/p/',
       host: 'h',
-      passedHeaders: [],
+      forwardedHeaders: [],
       key: null,
       deadlineMs: deadlineMs - (clock.readMonotonicMs() - startedAtMs),
       arrivedAtMs: clock.readMonotonicMs(),
--- a/standins/model/createModelClient/index.ts
+++ b/standins/model/createModelClient/index.ts
@@ -13,11 +13,11 @@
 
 const HEAD = {
   status: 200,
-  passedHeaders: [],
-  isGenuine: true,
+  forwardedHeaders: [],
+  isVerified: true,
   isFramed: true,
-  isNotRun: false,
-  isOtherServer: false,
+  isNotExecuted: false,
+  isFromOtherServer: false,
   serverId: null,
   load: null,
   isLeaving: false,
@@ -98,7 +98,7 @@
       return { ...report, eventsByRun };
     },
     readIdentity: async ({ id }) => ({ id, isLeaving: false, limitPerS: null }),
-    readHeldParts: async () => new Map(),
+    readCachedPromptParts: async () => new Map(),
     removeServer: () => undefined,
   };
 };
--- a/standins/model/runModelLoad/index.ts
+++ b/standins/model/runModelLoad/index.ts
@@ -7,7 +7,7 @@
   type ServerDirectory,
 } from '../../../src/application/forwarding';
 import { createServerLimits } from '../../../src/application/limits';
-import { createRollouts } from '../../../src/application/rollouts';
+import { createRolloutRegistry } from '../../../src/application/rollouts';
 import { RouteKind, type RouteTable } from '../../../src/domain/forwarding';
 import { createFakeClock, createSeededRandomness, QUIET_LOG } from '../../fakes';
 import { createModelDirectory, MODEL_SERVICE, MODEL_ZONES } from '../createModelDirectory';
@@ -125,7 +125,7 @@
       meter: { recordRequest: () => undefined, recordResume: () => undefined },
       randomness,
       retries,
-      rollouts: createRollouts({
+      rollouts: createRolloutRegistry({
         decodeOrder: () => null,
         bounds: { trialRatio: 0.1, trialExtra: 50 },
         listServing: directory.listServing,
@@ -133,7 +133,7 @@
         clock,
         log: QUIET_LOG,
         randomness,
-        tellVerdict: () => undefined,
+        broadcastVerdict: () => undefined,
         handleChange: () => undefined,
         handleEvidence: () => undefined,
       }),
--- a/standins/rows/createRowsWorld/index.ts
+++ b/standins/rows/createRowsWorld/index.ts
@@ -1,17 +1,17 @@
 import {
   createFollowerPair,
-  createSharedReading,
+  createZoneReplication,
   type RowFollower,
-  type RowsInfo,
-  type SharedReading,
-  type Statements,
+  type RowsOrigin,
+  type ZoneReplication,
+  type StatementsResponse,
   type StatementsRequest,
 } from '../../../src/application/rows';
 import type { EventLog, SharedRow } from '../../../src/application/ports';
 import {
-  computeBurstPause,
-  computeFollowWait,
-  computeSharing,
+  computeBatchDelayMs,
+  computeLongPollMs,
+  computeStalenessLimits,
   type GatewayBounds,
 } from '../../../src/domain/forwarding';
 import { createFakeClock, createSeededRandomness, QUIET_LOG, type FakeClock } from '../../fakes';
@@ -30,7 +30,7 @@
   readonly name: string;
   readonly clock: VmClock;
   readonly store: VmStore;
-  readonly sharing: SharedReading;
+  readonly sharing: ZoneReplication;
   readRows(table: string): TakenRows;
   /** Version up to which the VM takes its rows of a table for complete. */
   readVersion(table: string): number;
@@ -77,7 +77,7 @@
   const endedAtMs = new Map<string, number>();
   const cutLinks = new Set<string>();
   let linkDelayMs = 0;
-  const shared = computeSharing(bounds);
+  const shared = computeStalenessLimits(bounds);
 
   const isOpen = (from: string, to: string): boolean => !cutLinks.has(`${from} ${to}`);
 
@@ -93,7 +93,7 @@
     address: string,
     request: StatementsRequest,
     timeoutMs: number,
-  ): Promise<Statements | null> =>
+  ): Promise<StatementsResponse | null> =>
     new Promise((resolve) => {
       const [from, to] = [fromName, address].map((name) => vms.find((vm) => vm.name === name));
       if (!from) return;
@@ -118,7 +118,7 @@
     let handleAdvance = (): void => undefined;
     const take =
       (table: string) =>
-      (changes: readonly SharedRow[], { source }: RowsInfo): void => {
+      (changes: readonly SharedRow[], { source }: RowsOrigin): void => {
         changes.forEach(({ key, value, version }) => {
           const row = `${table}/${key}`;
           const before = newest.get(row) ?? 0;
@@ -135,19 +135,19 @@
       clock: vmClock,
       randomness,
       log: log?.(name) ?? QUIET_LOG,
-      aloneWaitMs: computeFollowWait(bounds),
+      shortWaitMs: computeLongPollMs(bounds),
       freshMs: shared?.freshMs ?? Infinity,
       staleMs: shared?.staleMs ?? Infinity,
-      burstPauseMs: computeBurstPause(bounds),
-      handleAdvance: () => handleAdvance(),
-      guard: { table: guardTable, handleRows: take(guardTable) },
-      guarded: { table: guardedTable, handleRows: take(guardedTable) },
+      burstPauseMs: computeBatchDelayMs(bounds),
+      handleUpdate: () => handleAdvance(),
+      primary: { table: guardTable, handleRows: take(guardTable) },
+      secondary: { table: guardedTable, handleRows: take(guardedTable) },
     });
     const followers = new Map<string, RowFollower>([
-      [guardTable, pair.guard],
-      [guardedTable, pair.guarded],
+      [guardTable, pair.primary],
+      [guardedTable, pair.secondary],
     ]);
-    const sharing = createSharedReading({
+    const sharing = createZoneReplication({
       self: { vm: name, address: name, availabilityZone, cores: 0.3 },
       sharing: shared,
       pair,
@@ -166,12 +166,12 @@
             availabilityZone: zoneOf.get(vm.name) ?? '',
             cores: 0.3,
           })),
-      askVm: (address, request, timeoutMs) => askVm(name, address, request, timeoutMs),
+      requestStatements: (address, request, timeoutMs) => askVm(name, address, request, timeoutMs),
       clock: vmClock,
       randomness,
       log: log?.(name) ?? QUIET_LOG,
     });
-    handleAdvance = sharing.handleAdvance;
+    handleAdvance = sharing.handleUpdate;
     let isAlive = true;
     const self: RowsVm = {
       name,
@@ -185,16 +185,16 @@
         isAlive = false;
         endedAtMs.set(name, clock.readMonotonicMs());
         sharing.stop();
-        pair.guard.stop();
-        pair.guarded.stop();
+        pair.primary.stop();
+        pair.secondary.stop();
         vmClock.stand('stopped');
       },
       isAlive: () => isAlive,
     };
     vms.push(self);
     zoneOf.set(name, availabilityZone);
-    pair.guard.start();
-    pair.guarded.start();
+    pair.primary.start();
+    pair.secondary.start();
     sharing.start();
     return self;
   };
--- a/tests/gateway/decoders.test.ts
+++ b/tests/gateway/decoders.test.ts
@@ -130,7 +130,7 @@
       arrivedAtMs: 5,
     }),
   );
-  t.deepEqual(head.passedHeaders, [
+  t.deepEqual(head.forwardedHeaders, [
     'Host',
     'a.example:80',
     HEADERS.requestId,
--- a/tests/gateway/serverClient.test.ts
+++ b/tests/gateway/serverClient.test.ts
@@ -22,7 +22,7 @@
     method: 'GET',
     target: '/x',
     host: 'a.example',
-    passedHeaders: ['Host', 'a.example', HEADERS.requestId, 'request-1'],
+    forwardedHeaders: ['Host', 'a.example', HEADERS.requestId, 'request-1'],
     body: Buffer.alloc(0),
     key: null,
     deadlineMs: null,
@@ -37,7 +37,7 @@
   lastEventId: null,
   backupAddress: null,
   copy: null,
-  ownConnection: false,
+  newConnection: false,
 });
 
 const readAll = async (body: AsyncIterable<Buffer>): Promise<string> => {
@@ -121,7 +121,7 @@
   const asked = server.nextQuestion();
   await client.readReport(attempt.server);
   const signal = new AbortController();
-  const sent = client.sendAttempt({ ...attempt, ownConnection: true }, signal.signal);
+  const sent = client.sendAttempt({ ...attempt, newConnection: true }, signal.signal);
   const request = await server.nextRequest();
   t.not(request.socket, await asked);
   server.answer(request, 200, 'done');
--- a/tests/gateway/sharedRows.test.ts
+++ b/tests/gateway/sharedRows.test.ts
@@ -4,12 +4,12 @@
   createGatewayHandlers,
   startGatewayServer,
 } from '../../src/adapters/connect';
-import type { Statements, StatementsRequest } from '../../src/application/rows';
+import type { StatementsResponse, StatementsRequest } from '../../src/application/rows';
 import { QUIET_LOG } from '../../standins/fakes';
 import { readOk } from '../_lib/readOk';
 import { buildIdleServices } from './_lib/buildIdleServices';
 
-const STATEMENTS: Statements = {
+const STATEMENTS: StatementsResponse = {
   heldMs: 12.5,
   isCutOff: false,
   tables: [
@@ -29,7 +29,7 @@
 };
 
 /** A gateway that answers as the test says, and a client that calls it. */
-const setUp = async (answer: (request: StatementsRequest) => Promise<Statements>) => {
+const setUp = async (answer: (request: StatementsRequest) => Promise<StatementsResponse>) => {
   const handlers = createGatewayHandlers({
     ...buildIdleServices(),
     handleKnowledge: (knowledge) => knowledge,
@@ -69,7 +69,7 @@
 });
 
 test('a call that waits for rows outlasts another one to the same VM that is given up', async (t) => {
-  const asked: ((statements: Statements) => void)[] = [];
+  const asked: ((statements: StatementsResponse) => void)[] = [];
   let recordAsked = (): void => undefined;
   const isAsked = new Promise<void>((resolve) => {
     recordAsked = resolve;
--- a/tests/model/_lib/createClaimModel/index.ts
+++ b/tests/model/_lib/createClaimModel/index.ts
@@ -1,8 +1,8 @@
 import {
   buildClaim,
-  buildSuccessor,
+  buildTakeoverClaim,
   chooseAcquireStep,
-  chooseTakeOverStep,
+  chooseTakeoverStep,
   chooseUpdateStep,
   type ClaimReply,
   type ClaimStep,
@@ -19,7 +19,7 @@
 /** The rules under test; a test replaces one by a faulty one. */
 export interface ClaimRules {
   readonly chooseAcquireStep: typeof chooseAcquireStep;
-  readonly chooseTakeOverStep: typeof chooseTakeOverStep;
+  readonly chooseTakeoverStep: typeof chooseTakeoverStep;
   readonly chooseUpdateStep: typeof chooseUpdateStep;
   /** Random revisions of the two VMs: for a claim, and for a takeover. */
   readonly revisions: readonly [ActorRevisions, ActorRevisions];
@@ -28,7 +28,7 @@
 /** The product's rules. */
 export const CLAIM_RULES: ClaimRules = {
   chooseAcquireStep,
-  chooseTakeOverStep,
+  chooseTakeoverStep: chooseTakeoverStep,
   chooseUpdateStep,
   revisions: [
     { claim: 100, takeOver: 1000 },
@@ -92,7 +92,7 @@
 function startTakeOver(actor: Actor, seen: ClaimRow): Actor {
   const { claimId, vm, peerAddress } = actor.claim;
   const seed = { claimId: `${claimId}-over`, vm, peerAddress, revision: actor.takeOverRevision };
-  const sent = buildSuccessor(seen, seed);
+  const sent = buildTakeoverClaim(seen, seed);
   const step: ClaimStep = { kind: 'write', row: sent, expectedRevision: seen.revision };
   return { ...actor, phase: 'take-over', seen, sent, step };
 }
@@ -112,7 +112,7 @@
 ): Model<ClaimWorld> {
   const chooseStep: Record<Phase, (actor: Actor, reply: ClaimReply) => ClaimStep> = {
     acquire: ({ sent }, reply) => rules.chooseAcquireStep(sent, reply, 0),
-    'take-over': ({ seen, sent }, reply) => rules.chooseTakeOverStep(seen ?? sent, sent, reply),
+    'take-over': ({ seen, sent }, reply) => rules.chooseTakeoverStep(seen ?? sent, sent, reply),
     update: ({ sent }, reply) => rules.chooseUpdateStep(sent, CHANGE, reply),
     ended: ({ step }) => step,
   };
--- a/tests/model/_lib/createLeaseModel/index.ts
+++ b/tests/model/_lib/createLeaseModel/index.ts
@@ -1,16 +1,16 @@
 import {
-  addLeaseSighting,
+  updateLeaseObservation,
   isOrderAllowed,
   isTakeoverDue,
   type HeldLease,
   type LeaseRow,
-  type LeaseSighting,
+  type LeaseObservation,
 } from '../../../../src/domain/lease';
 import type { Model } from '../findViolation';
 
 /** The rules under test; a test replaces one by a faulty one. */
 export interface LeaseRules {
-  readonly addLeaseSighting: typeof addLeaseSighting;
+  readonly updateLeaseObservation: typeof updateLeaseObservation;
   readonly isOrderAllowed: typeof isOrderAllowed;
   readonly isTakeoverDue: typeof isTakeoverDue;
   /** Whether the lease counts from before the write was sent, or from its answer. */
@@ -19,7 +19,7 @@
 
 /** The product's rules. */
 export const LEASE_RULES: LeaseRules = {
-  addLeaseSighting,
+  updateLeaseObservation: updateLeaseObservation,
   isOrderAllowed,
   isTakeoverDue,
   countsFrom: 'send',
@@ -42,7 +42,7 @@
 
 /** One keeper: reads, writes the lease where the rules allow it, and sends orders. */
 interface Keeper {
-  readonly sighting: LeaseSighting | null;
+  readonly sighting: LeaseObservation | null;
   readonly held: HeldLease | null;
   /** Sent, not answered yet; takes effect at any moment, or never. */
   readonly pending: PendingWrite | null;
@@ -102,7 +102,7 @@
   const listReads = (world: LeaseWorld, index: number): LeaseWorld[] => {
     const { sighting: before, pending } = world.keepers[index] as Keeper;
     if (pending !== null) return [];
-    const sighting = rules.addLeaseSighting(before, world.row, world.now);
+    const sighting = rules.updateLeaseObservation(before, world.row, world.now);
     const isOwn = world.row?.holder === `keeper-${index}`;
     return [updateKeeper(world, index, isOwn ? { sighting } : { sighting, held: null })];
   };
@@ -129,7 +129,7 @@
       return updateKeeper(world, index, { held: null, pending: null });
     const renewedAtMs = rules.countsFrom === 'send' ? pending.sentAt : world.now;
     const held = { revision: pending.row.revision, renewedAtMs, durationMs: DURATION };
-    const sighting = rules.addLeaseSighting(null, pending.row, world.now);
+    const sighting = rules.updateLeaseObservation(null, pending.row, world.now);
     return updateKeeper(world, index, { held, sighting, pending: null });
   };
 
--- a/tests/peers/_lib/createTestRegion/index.ts
+++ b/tests/peers/_lib/createTestRegion/index.ts
@@ -7,7 +7,7 @@
 import type { PeerCalls, PeerExchange } from '../../../../src/application/peers';
 import type { HealthRegistry } from '../../../../src/application/ports';
 import { createLoadView } from '../../../../src/application/routing';
-import type { RoutingLoad } from '../../../../src/application/routing';
+import type { RouterLoadView } from '../../../../src/application/routing';
 import type { News } from '../../../../src/domain/membership';
 import { createFakeClock, createSeededRandomness } from '../../../../standins/fakes';
 import type { FakeClock } from '../../../../standins/fakes';
@@ -17,7 +17,7 @@
   readonly name: string;
   readonly exchange: PeerExchange;
   readonly health: HealthRegistry;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   /** What this VM's follower of the configuration holds; a version offered is taken at once. */
   readonly held: { version: number; tableReadAtMs: number | null };
 }
@@ -91,7 +91,7 @@
       calls: createCalls(name),
       versions: {
         readVersion: () => held.version,
-        offerVersion: (version) => {
+        recordPeerVersion: (version) => {
           held.version = version;
         },
         readTableReadAtMs: () => held.tableReadAtMs,
--- a/tests/peers/exchange.test.ts
+++ b/tests/peers/exchange.test.ts
@@ -103,12 +103,12 @@
   vms[0]?.load.recordSend('engine-2', []);
   await clock.advanceAsync(1_500);
   t.deepEqual(
-    vms.map(({ load }) => load.readRunning('engine-2').running),
+    vms.map(({ load }) => load.readRunningEstimate('engine-2').running),
     vms.map(() => 1),
   );
   vms[0]?.load.recordEnd('engine-2', 1000);
   await clock.advanceAsync(1_500);
-  t.true(vms.every(({ load }) => load.readRunning('engine-2').running === 0));
+  t.true(vms.every(({ load }) => load.readRunningEstimate('engine-2').running === 0));
   stop();
 });
 
--- a/tests/properties/configuration.test.ts
+++ b/tests/properties/configuration.test.ts
@@ -122,7 +122,7 @@
     else if (taken.kind === 'restart') start(taken.vm);
     else if (taken.kind === 'tell') {
       const version = followers[taken.vm]?.readVersion() ?? 0;
-      followers[taken.to]?.offerVersion(version, { vm: '', peerAddress: String(taken.vm) });
+      followers[taken.to]?.recordPeerVersion(version, { vm: '', peerAddress: String(taken.vm) });
     } else if (taken.kind === 'lose') memory.loseNextAnswers(1);
     else if (taken.kind === 'drop') memory.dropNextWrites(1);
     else if (taken.kind === 'outage') memory.setOutage('unavailable');
--- a/tests/properties/droppedStreams.test.ts
+++ b/tests/properties/droppedStreams.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {
-  AfterDisconnect,
+  StreamRetention,
   createGenerationState,
   updateGeneration,
   type GenerationEffect,
@@ -16,7 +16,7 @@
   keyed: false,
   continuable: true,
   maxOutputTokens: Infinity,
-  afterDisconnect: AfterDisconnect.Dropped,
+  streamRetention: StreamRetention.Dropped,
 } as const;
 
 /** What may happen next to the newest attempt. */
--- a/tests/properties/support/createGenerationWorld/index.ts
+++ b/tests/properties/support/createGenerationWorld/index.ts
@@ -5,7 +5,7 @@
   type GenerationInput,
   type GenerationPolicy,
   type GenerationState,
-  type Reader,
+  type ReaderId,
 } from '../../../../src/domain/generation';
 import { RefusalCode } from '../../../../src/domain/types';
 import { computeScriptedToken } from '../../../support/createScriptedEngines';
@@ -18,7 +18,7 @@
 }
 
 interface Connection {
-  readonly reader: Reader;
+  readonly reader: ReaderId;
   readonly stream: Stream;
   position: number;
 }
@@ -51,7 +51,7 @@
   let state = createGenerationState(policy);
   const faults: string[] = [];
   const delivered: number[] = [];
-  const opens: Reader[] = [];
+  const opens: ReaderId[] = [];
   const connections: Connection[] = [];
   const streams = new Map<number, Stream>();
   const unsent = new Set<number>();
@@ -69,7 +69,7 @@
     });
   };
 
-  const connect = (reader: Reader, position: number): void => {
+  const connect = (reader: ReaderId, position: number): void => {
     const stream = streams.get(reader.attempt);
     if (stream) connections.push({ reader, stream, position });
   };
@@ -84,7 +84,7 @@
     });
   };
 
-  const grant = (reader: Reader): void => {
+  const grant = (reader: ReaderId): void => {
     const server = `engine-${reader.attempt % SERVERS}`;
     dispatch({ kind: 'sending', reader, backendServer: server });
     streams.set(reader.attempt, { name: `s${reader.attempt}`, tokenIds: [...delivered] });
@@ -105,7 +105,7 @@
     dispatch({ kind: 'batch', reader: connection.reader, batch });
   };
 
-  const takeOpen = (pick: number): Reader | undefined =>
+  const takeOpen = (pick: number): ReaderId | undefined =>
     opens.splice(pick % Math.max(1, opens.length), 1)[0];
   const chooseConnection = (pick: number): Connection | undefined =>
     connections[pick % Math.max(1, connections.length)];
--- a/tools/bench/load/_lib/createBaselineRouter/index.ts
+++ b/tools/bench/load/_lib/createBaselineRouter/index.ts
@@ -5,8 +5,8 @@
   Randomness,
   Router,
 } from '../../../../../src/application/ports';
-import type { RoutingLoad } from '../../../../../src/application/routing';
-import { findClassPolicy } from '../../../../../src/domain/admission';
+import type { RouterLoadView } from '../../../../../src/application/routing';
+import { findWorkClassPolicy } from '../../../../../src/domain/admission';
 import { filterAllowedServers, filterBackendServers } from '../../../../../src/domain/routing';
 import type { BackendServer } from '../../../../../src/domain/types';
 
@@ -24,7 +24,7 @@
 export interface BaselineDependencies {
   readonly configuration: ConfigurationView;
   readonly health: HealthRegistry;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly randomness: Randomness;
 }
 
@@ -75,7 +75,7 @@
       if (server === undefined) {
         return err({ code: 'no_ready_server', message: 'none is ready', retryAfterMs: 1000 });
       }
-      const priority = findClassPolicy(demand.workClass).enginePriority;
+      const priority = findWorkClassPolicy(demand.workClass).enginePriority;
       return ok({ server, priority, release: () => {} });
     },
   };
--- a/tools/bench/load/_lib/createBenchEntry/index.ts
+++ b/tools/bench/load/_lib/createBenchEntry/index.ts
@@ -12,7 +12,7 @@
   createLoadView,
   createRouter,
 } from '../../../../../src/application/routing';
-import type { LoadPoller, RoutingLoad } from '../../../../../src/application/routing';
+import type { LoadPoller, RouterLoadView } from '../../../../../src/application/routing';
 import type { VersionedConfiguration } from '../../../../../src/domain/types';
 import { createBaselineRouter } from '../createBaselineRouter';
 import type { BaselineName } from '../createBaselineRouter';
@@ -31,7 +31,7 @@
   readonly zone: string;
   readonly engines: EngineClient;
   readonly health: HealthRegistry;
-  readonly load: RoutingLoad;
+  readonly load: RouterLoadView;
   readonly router: Router;
   readonly poller: LoadPoller;
   /** Time without a first token after which a lookup is hedged; null for no hedge. */
--- a/tools/bench/load/prediction/_lib/createPredictors/index.ts
+++ b/tools/bench/load/prediction/_lib/createPredictors/index.ts
@@ -1,4 +1,4 @@
-import { COVERED_PART, predictOutputTokens } from '../../../../../../src/domain/prediction';
+import { PREDICTION_QUANTILE, predictOutputTokens } from '../../../../../../src/domain/prediction';
 import type { Predictor } from '../../types';
 import { predictBuckets } from '../predictBuckets';
 
@@ -30,7 +30,7 @@
   return [
     createDoubling('fixed (limit of the request)', (_, maxTokens) => maxTokens),
     createDoubling('largest seen', (lengths) => Math.max(...lengths)),
-    createDoubling(`quantile ${COVERED_PART * 100}% (in use)`, (tokens, maxTokens) =>
+    createDoubling(`quantile ${PREDICTION_QUANTILE * 100}% (in use)`, (tokens, maxTokens) =>
       predictOutputTokens({ tokens }, maxTokens),
     ),
     createDoubling('quantile 75%', (lengths) => computeQuantile(lengths, 0.75)),
--- a/tools/bench/load/prediction/_lib/simulateReservations/index.ts
+++ b/tools/bench/load/prediction/_lib/simulateReservations/index.ts
@@ -1,6 +1,6 @@
 import type { Randomness } from '../../../../../../src/application/ports';
 import { addOutputSample } from '../../../../../../src/domain/prediction';
-import type { OutputSamples } from '../../../../../../src/domain/prediction';
+import type { OutputLengthSamples } from '../../../../../../src/domain/prediction';
 import type { Predictor, ReservationFigures } from '../../types';
 
 /** Options of a run. */
@@ -21,7 +21,7 @@
 
 interface RunState {
   readonly running: readonly RunningGeneration[];
-  readonly samples: OutputSamples;
+  readonly samples: OutputLengthSamples;
   readonly reservedTime: number;
   readonly usedTime: number;
   readonly refused: number;
