--- a/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
@@ -11,25 +11,29 @@
 import { keepsBackups } from '../keepsBackups';
 import { pickServer } from '../pickServer';
 
-/** Servers asked before a prompt is sent: as many for the run as for its copy. */
-const ASKED = 4;
+/** Servers queried before a prompt is sent: half of them for the run, half for its copy. */
+const QUERIED_SERVERS = 4;
 
-/** Rounds in which servers are asked, while none of them answers or all are busy. */
-const MAX_ROUNDS = 3;
+/** Rounds of queries while no server responds or all are busy. */
+const MAX_QUERY_ROUNDS = 3;
 
 /**
- * Servers asked, all at once, where the caller has part of its answer: the one that ran it before has
- * the prompt in memory, and goes on within 0.1 to 0.3 s where reading it anew takes 1 to 2 s. Runs move
- * between servers, so that it is not always among the first by rank: with four asked, 9 of 44 callers
- * that came back after their VM was lost were led to it (two days of 13 servers).
+ * Servers queried at once if the caller has part of the response. The server that ran the stream
+ * before has the prompt cached and continues within 0.1 to 0.3 s, while processing the prompt again
+ * takes 1 to 2 s. Runs move between servers, so this server is not always among the first by rank:
+ * with four queries, only 9 of 44 callers that came back after the loss of their VM reached it (two
+ * days with 13 servers).
  */
-const ASKED_FOR_HELD = 12;
+const QUERIED_SERVERS_ON_RESUME = 12;
 
-/** Places that are taken for a prompt, one after the other, at the most. */
-const MAX_RESERVED = 3;
+/** Maximum number of reservations for one prompt, one after the other. */
+const MAX_RESERVATION_ATTEMPTS = 3;
 
-/** A server that stopped a run itself was not at fault: it is no less fit than before. */
-const findCopyServer = ({ context, copy, dependencies }: StreamRun): ServerEntry | null => {
+/**
+ * Finds a server that can continue from the copy. Servers that stopped the run themselves did not
+ * fail, so they are not excluded.
+ */
+const findCopyHolder = ({ context, copy, dependencies }: StreamRun): ServerEntry | null => {
   if (!copy?.hasData) return null;
   const { directory } = dependencies;
   const servers = copy.holders
@@ -40,8 +44,8 @@
   return servers.find(({ id }) => directory.isHealthy(id)) ?? servers[0] ?? null;
 };
 
-/** Builds a choice for which nobody was asked; the copy goes to another zone. */
-const buildUnasked = (
+/** Builds a placement without querying servers. The backup is in another availability zone. */
+const buildUnqueriedPlacement = (
   run: StreamRun,
   server: ServerEntry,
   copy: HeldCopy | null,
@@ -70,10 +74,10 @@
 };
 
 /**
- * Chooses by what is known from before. A VM that is slow or cut off for a moment gets no answer in
- * time from anyone: refusing then would be a refusal while servers are free.
+ * Chooses by previously known state. A VM that is slow or cut off for a moment gets no response in
+ * time from any server: refusing then would refuse requests while servers are free.
  */
-const chooseUnasked = (
+const chooseWithoutReports = (
   run: StreamRun,
   excludedIds: ReadonlySet<string>,
 ): StreamPlacement | null => {
@@ -84,30 +88,35 @@
     preferredZone: availabilityZone,
     draw: randomness.readFraction(),
   });
-  return status && buildUnasked(run, status.entry, null, excludedIds);
+  return status && buildUnqueriedPlacement(run, status.entry, null, excludedIds);
 };
 
-/** Takes a place for the prompt where VMs agree on places; picks anew where others were sooner. */
-const reserveServer = async (
+/**
+ * Reserves the server for the prompt, in fleets that use reservations; picks again if another VM
+ * reserved the server first.
+ */
+const reservePlacement = async (
   run: StreamRun,
-  answered: readonly RespondingServer[],
+  responding: readonly RespondingServer[],
   first: StreamPlacement,
 ): Promise<StreamPlacement> => {
   const { directory, reservePrompt } = run.dependencies;
   const promptTokens = countPromptTokens(run.context.request);
   let picked = first;
-  for (let tries = 0; tries < MAX_RESERVED; tries += 1) {
+  for (let attempt = 0; attempt < MAX_RESERVATION_ATTEMPTS; attempt += 1) {
     const othersTokens = await reservePrompt(picked.server.id, promptTokens);
     if (othersTokens === 0) return picked;
     directory.recordPeerPrompt(picked.server.id, othersTokens);
-    const next = pickServer(run, answered, null) ?? picked;
+    const next = pickServer(run, responding, null) ?? picked;
     if (next.server.id === picked.server.id) return next;
     picked = next;
   }
   return picked;
 };
 
-/** Servers that the prompt belongs to, whichever VM looks. */
+/**
+ * Ranks the candidates by rendezvous hashing on the prompt, so that every VM queries the same ones.
+ */
 const listCandidates = (
   run: StreamRun,
   excludedIds: ReadonlySet<string>,
@@ -119,33 +128,34 @@
 };
 
 /**
- * Chooses the server of the next attempt, and the one that gets its copy: in another availability
- * zone, as servers of one zone are lost together.
+ * Chooses the server of the next attempt and its backup, which is in another availability zone
+ * because the servers of one zone fail together.
  *
- * A server that holds a copy goes before all others: reading a long prompt anew takes longer than
- * a reader is ready to wait for the next event.
+ * A server that holds a copy is preferred to all others: processing a long prompt again takes
+ * longer than a reader is willing to wait for the next event.
  */
 export const chooseStreamPlacement = async (
   run: StreamRun,
   excludedIds: ReadonlySet<string>,
 ): Promise<StreamPlacement | null> => {
-  const copyServer = findCopyServer(run);
-  if (copyServer) return buildUnasked(run, copyServer, run.copy, excludedIds);
-  const asked = new Set<string>();
-  const answered: RespondingServer[] = [];
+  const copyHolder = findCopyHolder(run);
+  if (copyHolder) return buildUnqueriedPlacement(run, copyHolder, run.copy, excludedIds);
+  const queriedIds = new Set<string>();
+  const responding: RespondingServer[] = [];
   let picked: StreamPlacement | null = null;
   const hasEvents = run.readState().offset > 0;
-  const rounds = hasEvents ? 1 : MAX_ROUNDS;
-  const count = hasEvents ? ASKED_FOR_HELD : ASKED;
+  const rounds = hasEvents ? 1 : MAX_QUERY_ROUNDS;
+  const count = hasEvents ? QUERIED_SERVERS_ON_RESUME : QUERIED_SERVERS;
   for (let round = 0; round < rounds && !picked?.isFree; round += 1) {
-    const candidates = listCandidates(run, new Set([...excludedIds, ...asked]), count);
-    candidates.forEach(({ entry }) => asked.add(entry.id));
-    const answers = await queryServers(run, candidates);
-    answered.push(...answers);
-    // Those that answered are asked what they hold: one that fell silent would hold this up.
-    const holding = hasEvents ? await findPromptHolder(run, answers) : null;
-    picked = pickServer(run, answered, holding);
+    const candidates = listCandidates(run, new Set([...excludedIds, ...queriedIds]), count);
+    candidates.forEach(({ entry }) => queriedIds.add(entry.id));
+    const newlyResponding = await queryServers(run, candidates);
+    responding.push(...newlyResponding);
+    // Only servers that responded are asked for cached prompts: a silent server would delay the
+    // choice.
+    const promptHolder = hasEvents ? await findPromptHolder(run, newlyResponding) : null;
+    picked = pickServer(run, responding, promptHolder);
   }
-  if (!picked) return chooseUnasked(run, excludedIds);
-  return picked.isPromptCached ? picked : reserveServer(run, answered, picked);
+  if (!picked) return chooseWithoutReports(run, excludedIds);
+  return picked.isPromptCached ? picked : reservePlacement(run, responding, picked);
 };
--- a/src/application/forwarding/_lib/migrateRun/index.ts
+++ b/src/application/forwarding/_lib/migrateRun/index.ts
@@ -10,17 +10,18 @@
 import { logDecision } from '../logDecision';
 
 /**
- * Time for the rest of a copy once the run has stopped. It takes 10 ms, and up to 390 ms behind
- * others; what it lacks is read by the next server at eight tokens a millisecond.
+ * Timeout for the remainder of a copy after the run has stopped. The copy takes 10 ms, and up to
+ * 390 ms behind other copies; the next server recomputes what is missing, at eight tokens per
+ * millisecond.
  */
-const REST_MS = 60;
+const FINAL_COPY_TIMEOUT_MS = 60;
 
-/** Part of the repeats that moves may use: the rest is for runs that are lost. */
-const MOVES_PART = 0.6;
+/** Fraction of the retry budget that migrations may use; the rest is reserved for lost runs. */
+const MIGRATION_RETRY_FRACTION = 0.6;
 
 const chooseHolder = (run: StreamRun, source: ServerEntry): ServerEntry | null => {
   const { limits, randomness } = run.dependencies;
-  // Where the limit leaves nothing to it, a run that was stopped would stand still.
+  // A stopped run would stall at a server whose rate limit leaves no permit.
   const holders = run.context.servers
     .listHolders(source)
     .filter(({ entry }) => limits.readLimitPerS(entry.id) === null);
@@ -34,34 +35,35 @@
 };
 
 /**
- * Stops a run and copies what is new of it. The run stops at once, while the rest may queue behind
- * other copies: the copy that is there already is enough to go on from.
+ * Stops a run and copies the remainder of its KV cache. The run stops at once, while the remainder
+ * may queue behind other copies: on timeout the first copy is enough to continue from.
  */
-const copyRest = (
+const copyRemainder = (
   { context, dependencies }: StreamRun,
   { server }: StreamAttempt,
   holder: ServerEntry,
-  first: KvCopy,
+  firstCopy: KvCopy,
 ): Promise<Result<KvCopy, CopyError>> =>
   new Promise((resolve) => {
     const { client, clock, log } = dependencies;
     const { requestId } = context.request;
-    const cancelTimer = clock.startTimer(REST_MS, () => {
+    const cancelTimer = clock.startTimer(FINAL_COPY_TIMEOUT_MS, () => {
       log.info('rest of a move overdue', { requestId, server: server.id, holder: holder.id });
-      resolve(ok(first));
+      resolve(ok(firstCopy));
     });
-    client.copyRun(server, requestId, holder, { stops: true }).then((rest) => {
+    client.copyRun(server, requestId, holder, { stops: true }).then((remainder) => {
       cancelTimer();
-      resolve(rest);
+      resolve(remainder);
     });
   });
 
 /**
- * Moves a run to another server, where it gets a copy again: its memory is copied while it goes on,
- * then it is stopped, the rest is copied, and the next attempt goes on from there.
+ * Migrates a run to another server, where it gets a backup again. The KV cache is copied while the
+ * run continues; then the run is stopped, the remainder is copied, and the next attempt continues
+ * from the copy.
  *
- * Without this a run outlives its copy: availability zones are lost one after the other, and a
- * prompt that must be read anew takes longer than a reader waits for the next event.
+ * Without migration a run may outlive its copy when availability zones fail one after the other,
+ * and processing the prompt again takes longer than a reader waits for the next event.
  *
  * @returns whether the run was stopped
  */
@@ -70,14 +72,14 @@
   const { request } = run.context;
   const holder = chooseHolder(run, attempt.server);
   const report = holder && (await client.readReport(holder));
-  // Where memory is scarce a copy takes the place of a run, which is read again for it.
+  // If memory is scarce, a copy would evict another run, whose prompt must then be processed again.
   if (!holder || !report || !hasMemoryForCopy(report, countNeededKvTokens(request))) return false;
-  // Before the run is stopped: one that may not be sent again would stand still.
-  if (!retries.acquireRetry(run.context.service, { part: MOVES_PART })) return false;
+  // Acquired before the run is stopped: without a retry the stopped run would stall.
+  if (!retries.acquireRetry(run.context.service, { share: MIGRATION_RETRY_FRACTION })) return false;
   const lostHolder = run.copy?.holders[0] ?? '';
   const startedAtMs = clock.readMonotonicMs();
   let stoppedAtMs = Infinity;
-  const record = (outcome: string): void => {
+  const logOutcome = (outcome: string): void => {
     const nowMs = clock.readMonotonicMs();
     logDecision(
       run.dependencies,
@@ -96,32 +98,34 @@
   };
   const isCurrent = (): boolean => [...run.attempts.values()].includes(attempt);
 
-  const first = await client.copyRun(attempt.server, request.requestId, holder, { stops: false });
-  if (first.isErr() || !isCurrent()) retries.releaseRetry(run.context.service);
-  if (first.isErr()) {
-    record(first.error.reason);
+  const firstCopy = await client.copyRun(attempt.server, request.requestId, holder, {
+    stops: false,
+  });
+  if (firstCopy.isErr() || !isCurrent()) retries.releaseRetry(run.context.service);
+  if (firstCopy.isErr()) {
+    logOutcome(firstCopy.error.reason);
     return false;
   }
   if (!isCurrent()) {
-    client.dropCopy(attempt.server, first.value.handle);
+    client.dropCopy(attempt.server, firstCopy.value.handle);
     return false;
   }
   Object.assign(attempt, { isMigrating: true });
   stoppedAtMs = clock.readMonotonicMs();
-  const last = await copyRest(run, attempt, holder, first.value);
+  const finalCopy = await copyRemainder(run, attempt, holder, firstCopy.value);
   if (!isCurrent()) {
-    record('given up meanwhile');
+    logOutcome('attempt replaced');
     return true;
   }
-  const copy = last.isOk() ? last.value : last.error.kept;
-  record(last.isOk() ? 'moved' : last.error.reason);
+  const copy = finalCopy.isOk() ? finalCopy.value : finalCopy.error.kept;
+  logOutcome(finalCopy.isOk() ? 'moved' : finalCopy.error.reason);
   if (!copy) {
     retries.releaseRetry(run.context.service);
     return false;
   }
   run.copy?.release();
-  // The source keeps the memory of a run that it stopped.
-  const holders: HeldCopy['holders'] = last.isOk()
+  // The source server keeps the KV cache of a run that it stopped.
+  const holders: HeldCopy['holders'] = finalCopy.isOk()
     ? [holder.id, attempt.server.id]
     : [attempt.server.id];
   Object.assign(run, {
--- a/src/application/forwarding/_lib/openStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/openStreamAttempt/index.ts
@@ -17,24 +17,24 @@
 const OK_STATUS = 200;
 const SERVER_ERROR_STATUS = 500;
 
-/** Counts the prompt tokens that the server has to read before others. */
-const countTokensToRead = (run: StreamRun, { copy, isPromptCached }: StreamPlacement): number =>
+/** Counts the prompt tokens that the server has to process. */
+const countPrefillTokens = (run: StreamRun, { copy, isPromptCached }: StreamPlacement): number =>
   copy || isPromptCached ? 0 : countPromptTokens(run.context.request);
 
 const buildAttempt = (
   run: StreamRun,
-  servers: StreamPlacement,
+  placement: StreamPlacement,
   reader: ReaderId,
 ): StreamAttempt => {
   const { clock, directory } = run.dependencies;
-  const { expectedFirstEventMs, isFree, server } = servers;
+  const { expectedFirstEventMs, isFree, server } = placement;
   const nowMs = clock.readMonotonicMs();
   return {
     abort: new AbortController(),
     server,
     work: directory.startWork(server.id, {
-      prefillTokens: countTokensToRead(run, servers),
-      // It knows nothing of this run any more, whatever its connection still shows.
+      prefillTokens: countPrefillTokens(run, placement),
+      // The server has lost this run, even if its connection is still open.
       handleLoss: () => run.dispatch({ kind: 'silent', reader, confirmed: true }),
     }),
     sentAtMs: nowMs,
@@ -43,14 +43,14 @@
     gaps: run.paces.readInitialGaps(run.context.service),
     hasDeliveredEvent: false,
     wasServerIdle: isFree,
-    expectedFirstEventMs: expectedFirstEventMs,
+    expectedFirstEventMs,
     stopSilenceWatch: () => undefined,
     stopCopyWatch: () => undefined,
     isMigrating: false,
   };
 };
 
-const handleFailure = async (
+const handleErrorResponse = async (
   run: StreamRun,
   reader: ReaderId,
   attempt: StreamAttempt,
@@ -58,7 +58,7 @@
   copy: HeldCopy | null,
 ): Promise<void> => {
   if (head.isNotExecuted) {
-    // The rest of the answer is read, so that its connection ends by itself.
+    // The rest of the body is read, so that the connection is released.
     releaseCopy(run, copy, attempt.server.id);
     await readBody(body);
     run.dispatch({ kind: 'not-started', reader, refused: false });
@@ -68,7 +68,12 @@
   const read = head.isVerified ? await readBody(body) : null;
   if (read?.isOk()) Object.assign(run, { failedResponse: { head, body: read.value } });
   if (read?.isOk() && head.status < SERVER_ERROR_STATUS) {
-    run.dispatch({ kind: 'rejected', reader, status: head.status, message: 'by the server' });
+    run.dispatch({
+      kind: 'rejected',
+      reader,
+      status: head.status,
+      message: 'rejected by the server',
+    });
     return;
   }
   run.dispatch({ kind: 'broken', reader });
@@ -79,7 +84,7 @@
   if (!reply.hasSentHead() && reply.isOpen()) reply.sendHead(head);
 };
 
-/** Sends one attempt of a stream and reads what comes of it. */
+/** Sends one attempt of a stream and reads the response. */
 export const openStreamAttempt = async (
   run: StreamRun,
   opening: OpenAttemptEffect,
@@ -113,8 +118,8 @@
     },
     server,
   );
-  const tokensToRead = countTokensToRead(run, placement);
-  if (tokensToRead > 0) run.dependencies.tellPrompt(server.id, tokensToRead);
+  const prefillTokens = countPrefillTokens(run, placement);
+  if (prefillTokens > 0) run.dependencies.tellPrompt(server.id, prefillTokens);
   context.servers.recordSent(server);
   run.dispatch({ kind: 'sending', reader, backendServer: server.id });
   attempt.stopSilenceWatch = startSilenceWatch(run, attempt, reader);
@@ -169,7 +174,7 @@
       { attempt: reader.attempt, status: head.status, notRun: head.isNotExecuted },
       server,
     );
-    return handleFailure(run, reader, attempt, sent.value, copy);
+    return handleErrorResponse(run, reader, attempt, sent.value, copy);
   }
   Object.assign(attempt, { headAtMs: clock.readMonotonicMs() });
   directory.recordSuccess(server.id);
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -12,37 +12,37 @@
 import type { RespondingServer } from '../queryServers';
 import { keepsBackups } from '../keepsBackups';
 
-/** What a request needs of a server. */
-type ReportedNeeds = Pick<ServerByReportOptions, 'neededKvTokens' | 'promptTokens'>;
+/** Resources that a request needs at a server. */
+type RequestNeeds = Pick<ServerByReportOptions, 'neededKvTokens' | 'promptTokens'>;
 
-/** What is known of a choice. */
-interface BuildOptions {
+/** Inputs of a placement. */
+interface PlacementOptions {
   readonly reported: readonly ReportedServer[];
-  readonly needs: ReportedNeeds;
-  readonly hasPrompt: boolean;
+  readonly needs: RequestNeeds;
+  readonly isPromptCached: boolean;
   readonly predictedMs: number;
 }
 
-const addUnread = (run: StreamRun, one: RespondingServer): ReportedServer => ({
+const addPendingTokens = (run: StreamRun, one: RespondingServer): ReportedServer => ({
   ...one,
   pendingPrefillTokens: run.dependencies.directory.countPendingPrefillTokens(one.entry.id),
 });
 
-/** True: it has no prompt to read before a new one. */
+/** True if the server has no prompt to process before a new one. */
 const isIdle = ({ report, pendingPrefillTokens }: ReportedServer): boolean =>
   pendingPrefillTokens === 0 && report.waiting + countPrefillingRuns(report) === 0;
 
-/** True: the run can begin without others having to end. */
-const hasRoom = ({ report }: ReportedServer, { neededKvTokens }: ReportedNeeds): boolean =>
+/** True if the run fits into the KV cache without evicting others. */
+const hasRoom = ({ report }: ReportedServer, { neededKvTokens }: RequestNeeds): boolean =>
   report.kvTotalTokens === 0 || report.kvUsedTokens + neededKvTokens <= report.kvTotalTokens;
 
-/** The next attempt reads the prompt at the chosen server; another zone's gets the copy. */
-const buildFromPrompt = (
+/** Builds the placement of an attempt. The backup is in another availability zone. */
+const buildPlacement = (
   run: StreamRun,
   chosen: ReportedServer,
-  options: BuildOptions,
+  options: PlacementOptions,
 ): StreamPlacement => {
-  const { hasPrompt, needs, predictedMs, reported } = options;
+  const { isPromptCached, needs, predictedMs, reported } = options;
   const isPaceKnown = run.paces.readEnginePaces(run.context.service).prefillMsPerToken > 0;
   const readingMs = isPaceKnown ? predictedMs : run.context.route.latencyGoalMs;
   const others = reported.filter(
@@ -54,7 +54,7 @@
   return {
     server: chosen.entry,
     copy: null,
-    isPromptCached: hasPrompt,
+    isPromptCached,
     isFree: isIdle(chosen) && hasRoom(chosen, needs),
     estimate: {
       promptTokens: needs.promptTokens,
@@ -63,25 +63,26 @@
       unreadTokens: chosen.pendingPrefillTokens,
     },
     predictedMs,
-    // A prompt that is held needs no reading: its silence is no work.
-    expectedFirstEventMs: hasPrompt ? 0 : readingMs,
+    // A cached prompt needs no prefill, so that silence is not explained by it.
+    expectedFirstEventMs: isPromptCached ? 0 : readingMs,
     backup: keepsBackups(run, chosen.entry) ? (backup?.entry ?? null) : null,
   };
 };
 
 /**
- * Picks the server for a prompt among those that answered, as of now: what this VM sent, or was told
- * of, while they were asked counts. Where all are busy the prediction decides, as what waits there
- * counts, not only how much runs.
+ * Picks the server for a prompt among those that responded. The choice counts the prompts that this
+ * VM sent, or learned of, while the servers were queried. If all servers are busy, the predicted
+ * time to the first event decides, because the waiting prompts matter and not only the running
+ * requests.
  *
- * @param holding - server that has the prompt in memory, which goes before all others
+ * @param promptHolder - server that has the prompt cached, preferred to all others
  */
 export const pickServer = (
   run: StreamRun,
-  answered: readonly RespondingServer[],
-  holding: RespondingServer | null,
+  responding: readonly RespondingServer[],
+  promptHolder: RespondingServer | null,
 ): StreamPlacement | null => {
-  const needs: ReportedNeeds = {
+  const needs: RequestNeeds = {
     neededKvTokens: countNeededKvTokens(run.context.request),
     promptTokens: countPromptTokens(run.context.request),
   };
@@ -92,19 +93,24 @@
       paces: run.paces.readEnginePaces(run.context.service),
       latencyGoalMs: run.context.route.latencyGoalMs,
     });
-  const reported = answered.map((one) => addUnread(run, one));
-  const hasPrompt = holding !== null;
+  const reported = responding.map((one) => addPendingTokens(run, one));
+  const isPromptCached = promptHolder !== null;
   const { availabilityZone: preferredZone } = run.dependencies;
-  const chosen = holding
-    ? addUnread(run, holding)
+  const chosen = promptHolder
+    ? addPendingTokens(run, promptHolder)
     : chooseServerByReport(reported, { ...needs, preferredZone });
   if (!chosen) return null;
-  const known = { server: chosen, predictedMs: predict(chosen) };
+  const initial = { server: chosen, predictedMs: predict(chosen) };
   const { predictedMs, server } =
-    hasPrompt || isIdle(chosen)
-      ? known
+    isPromptCached || isIdle(chosen)
+      ? initial
       : reported
           .map((one) => ({ server: one, predictedMs: predict(one) }))
-          .reduce((first, one) => (one.predictedMs < first.predictedMs ? one : first), known);
-  return buildFromPrompt(run, server, { reported, needs, hasPrompt, predictedMs });
+          .reduce((best, one) => (one.predictedMs < best.predictedMs ? one : best), initial);
+  return buildPlacement(run, server, {
+    reported,
+    needs,
+    isPromptCached,
+    predictedMs,
+  });
 };
--- a/src/application/forwarding/_lib/sendCallAttempt/index.ts
+++ b/src/application/forwarding/_lib/sendCallAttempt/index.ts
@@ -5,30 +5,30 @@
 import { recordResponseHead } from '../recordResponseHead';
 import { recordAttemptFailure } from '../recordAttemptFailure';
 
-/** A server's answer, whole. */
+/** A fully buffered response of a server. */
 export interface BufferedResponse {
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
-/** How one attempt ended. */
+/** The result of one attempt. */
 export type CallAttemptResult =
   | { readonly kind: 'answered'; readonly response: BufferedResponse }
-  /** The server did not run it. */
+  /** The server did not run the call. */
   | { readonly kind: 'not-run'; readonly reason: string; readonly hasArrived: boolean }
-  /** It may have run. */
+  /** The call may have run. */
   | {
       readonly kind: 'failed';
       readonly reason: string;
-      readonly answer: BufferedResponse | null;
-      /** True: its connection ended, so that its server may have ended. */
+      readonly response: BufferedResponse | null;
+      /** True if the connection was lost, so that the server may have crashed. */
       readonly hasLostConnection: boolean;
     }
   | { readonly kind: 'left' };
 
 const SERVER_ERROR_STATUS = 500;
 
-const NO_ANSWER = { kind: 'failed', answer: null } as const;
+const NO_RESPONSE = { kind: 'failed', response: null } as const;
 
 const convertError = (error: AttemptError, isTimeout: boolean): CallAttemptResult => {
   if (error.kind === 'not-started') {
@@ -36,15 +36,15 @@
   }
   if (error.kind === 'cancelled' && !isTimeout) return { kind: 'left' };
   return error.kind === 'broken'
-    ? { ...NO_ANSWER, reason: error.reason, hasLostConnection: true }
-    : { ...NO_ANSWER, reason: 'no answer in time', hasLostConnection: false };
+    ? { ...NO_RESPONSE, reason: error.reason, hasLostConnection: true }
+    : { ...NO_RESPONSE, reason: 'no answer in time', hasLostConnection: false };
 };
 
 /**
- * Sends a call to one server, and reads its answer to the end.
+ * Sends a call to one server and reads the whole response.
  *
- * @param options.leftMs - what the server is told of the time that is left
- * @param options.attemptMs - after this time the attempt is given up
+ * @param options.leftMs - remaining time that the server is told
+ * @param options.attemptMs - timeout of the attempt
  */
 export const sendCallAttempt = async (
   dependencies: ForwardingDependencies,
@@ -54,8 +54,8 @@
 ): Promise<CallAttemptResult> => {
   const { client, clock, directory } = dependencies;
   const { holder, reply, request } = context;
-  const timeout = new AbortController();
-  const cancelTimer = clock.startTimer(options.attemptMs, () => timeout.abort());
+  const timeoutController = new AbortController();
+  const cancelTimer = clock.startTimer(options.attemptMs, () => timeoutController.abort());
   const sentAtMs = clock.readMonotonicMs();
   const work = directory.startWork(server.id, { prefillTokens: 0 });
   try {
@@ -71,18 +71,22 @@
         copy: null,
         newConnection: false,
       },
-      AbortSignal.any([reply.callerLeft, timeout.signal]),
+      AbortSignal.any([reply.callerLeft, timeoutController.signal]),
     );
     if (sent.isErr()) {
       recordAttemptFailure(directory, server.id, sent.error);
-      return convertError(sent.error, timeout.signal.aborted);
+      return convertError(sent.error, timeoutController.signal.aborted);
     }
     const { body, head } = sent.value;
     recordResponseHead(dependencies, server, head, { sentAtMs });
     if (!head.isVerified && !head.isNotExecuted) {
-      // The answer that is due may still follow on this connection: it is not used again.
-      timeout.abort();
-      return { ...NO_ANSWER, reason: 'the answer is of another request', hasLostConnection: false };
+      // The expected response may still arrive on this connection, so that it must not be reused.
+      timeoutController.abort();
+      return {
+        ...NO_RESPONSE,
+        reason: 'the response belongs to another request',
+        hasLostConnection: false,
+      };
     }
     const read = await readBody(body);
     if (reply.callerLeft.aborted) return { kind: 'left' };
@@ -90,13 +94,22 @@
       return { kind: 'not-run', reason: `status ${head.status}`, hasArrived: true };
     }
     if (read.isErr())
-      return { ...NO_ANSWER, reason: read.error, hasLostConnection: !timeout.signal.aborted };
-    const answer = { head, body: read.value };
+      return {
+        ...NO_RESPONSE,
+        reason: read.error,
+        hasLostConnection: !timeoutController.signal.aborted,
+      };
+    const response = { head, body: read.value };
     if (head.status >= SERVER_ERROR_STATUS) {
-      return { kind: 'failed', reason: `status ${head.status}`, answer, hasLostConnection: false };
+      return {
+        kind: 'failed',
+        reason: `status ${head.status}`,
+        response,
+        hasLostConnection: false,
+      };
     }
     directory.recordSuccess(server.id);
-    return { kind: 'answered', response: answer };
+    return { kind: 'answered', response };
   } finally {
     cancelTimer();
     work.release();
--- a/src/application/forwarding/createIdentityWatch/index.ts
+++ b/src/application/forwarding/createIdentityWatch/index.ts
@@ -3,41 +3,41 @@
 import type { RouteTableHolder } from '../createRouteTableHolder';
 import type { ServerDirectory } from '../types';
 
-/** What the watch needs. */
+/** Dependencies of the identity watch. */
 export interface IdentityWatchDependencies {
   readonly client: Pick<ForwardClient, 'readIdentity'>;
   readonly clock: Clock;
   readonly directory: Pick<
     ServerDirectory,
-    'countInferred' | 'listUncertain' | 'recordAlive' | 'recordLeaving' | 'recordReplaced'
+    'listUnverified' | 'pruneInferred' | 'recordAlive' | 'recordLeaving' | 'recordReplaced'
   >;
   readonly log: EventLog;
   readonly tables: Pick<RouteTableHolder, 'readCurrent'>;
 }
 
-/** Finds out who serves at the addresses of servers that failed. */
+/** Finds out which servers are at the addresses of failed servers. */
 export interface IdentityWatch {
-  /** Begins to ask, unless it does already; it ends once no address is in question. */
+  /** Starts to check ids, unless already started. Stops by itself once no address is in doubt. */
   start(): void;
   stop(): void;
 }
 
 /**
- * Time between two questions to one address. A server that crashed is back after a second or so, and
- * its address says whose it is for two: five questions find it.
+ * Interval of checks of one address. A crashed server restarts after about a second, and its
+ * address stays with its service for two seconds: five checks find the new id.
  */
-const ASK_MS = 350;
+const CHECK_INTERVAL_MS = 350;
 
-/** Time between two looks at servers without an entry: a third of the time that they count unseen. */
-const ASK_INFERRED_MS = 2000;
+/** Interval of checks of servers without an entry: a third of the time that they count unseen. */
+const INFERRED_CHECK_INTERVAL_MS = 2000;
 
 /**
- * Creates the watch over servers that failed: a server that starts again has a new id, which stands
- * in the store only, and the store may be away for longer than the server.
+ * Creates the watch over failed servers. A server that restarts has a new id, which is written only
+ * to the store, and the store may be down for longer than the server.
  *
- * Without it every server that crashes during an outage of the store is lost to the gateways until
- * the store is back: with two of three availability zones lost in turn, the streams of ten seconds
- * stood in the queues of a third of the servers, and 1 in 5 was served.
+ * Without the watch, gateways lose every server that crashes during a store outage until the store
+ * is back. When two of three availability zones failed in turn, the streams of ten seconds queued
+ * at a third of the servers, and 1 in 5 was served.
  */
 export const createIdentityWatch = ({
   client,
@@ -48,7 +48,7 @@
 }: IdentityWatchDependencies): IdentityWatch => {
   let stopLoop: (() => void) | null = null;
 
-  const ask = async (): Promise<void> => {
+  const checkIdentities = async (): Promise<void> => {
     const services = tables.readCurrent()?.services;
     await Promise.all(
       directory.listUnverified().map(async (server) => {
@@ -74,17 +74,17 @@
       if (stopLoop) return;
       stopLoop = startLoop({
         clock,
-        firstDelayMs: ASK_MS,
+        firstDelayMs: CHECK_INTERVAL_MS,
         runStep: async () => {
-          await ask();
-          if (directory.listUnverified().length > 0) return ASK_MS;
-          if (directory.pruneInferred() > 0) return ASK_INFERRED_MS;
+          await checkIdentities();
+          if (directory.listUnverified().length > 0) return CHECK_INTERVAL_MS;
+          if (directory.pruneInferred() > 0) return INFERRED_CHECK_INTERVAL_MS;
           stopLoop = null;
           return null;
         },
         handleFailure: (reason) => {
-          log.error('asking for ids failed unexpectedly', { reason });
-          return ASK_MS;
+          log.error('identity check failed unexpectedly', { reason });
+          return CHECK_INTERVAL_MS;
         },
       });
     },
--- a/src/application/forwarding/createQuarantineRows/index.ts
+++ b/src/application/forwarding/createQuarantineRows/index.ts
@@ -3,39 +3,42 @@
 import { startLoop } from '../../time';
 import type { CrashHistory } from '../createCrashHistory';
 
-/** What rows of quarantines need. */
+/** Dependencies of the quarantine rows. */
 export interface QuarantineRowsDependencies {
   readonly table: string;
   readonly store: Pick<RowSource, 'readRows'> & RowWriter;
   readonly crashes: Pick<CrashHistory, 'findQuarantine' | 'mergeOutcome'>;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Rows of requests that crashed nothing for this long are removed. */
+  /** Rows whose last crash is older than this are removed. */
   readonly retentionMs: number;
 }
 
-/** Keeps quarantines in the shared store, for processes that all end at the same moment. */
+/** Persists quarantines in the shared store, so that they survive if all processes end at once. */
 export interface QuarantineRows {
-  /** Reads what was written before this process started. */
+  /** Reads the quarantines that were written before this process started. */
   startRead(): void;
-  /** Writes a quarantine that began here, unless it is void a moment later. */
+  /** Writes a quarantine that this VM began, unless it is lifted shortly after. */
   startWrite(fingerprint: string): void;
-  /** Writes those again that this process wrote, as the store may have lost them. */
+  /** Writes this process's quarantines again, as the store may have lost them. */
   startRewrite(): void;
   stop(): void;
 }
 
-/** By then a server that only reset a connection has answered something else. */
-const CONFIRM_MS = 500;
+/**
+ * Delay before a quarantine is written: by then a server that only reset a connection has answered
+ * another request.
+ */
+const CONFIRM_DELAY_MS = 500;
 
-/** Time between two tries of a call that failed. */
+/** Time between two attempts of a failed call. */
 const RETRY_MS = 1000;
-const MAX_TRIES = 30;
+const MAX_ATTEMPTS = 30;
 
-/** Rows removed at a time: the rest waits for the next start of a VM. */
-const MAX_REMOVED = 100;
+/** Maximum number of rows removed at once; the next VM that starts removes more. */
+const MAX_REMOVED_ROWS = 100;
 
-/** Creates what keeps quarantines in a table of the shared store. */
+/** Creates the quarantine rows in a table of the shared store. */
 export const createQuarantineRows = ({
   clock,
   crashes,
@@ -47,8 +50,8 @@
   const stops = new Set<() => void>();
   const written = new Set<string>();
 
-  /** Repeats a call until it works; `runOnce` returns why it did not, or null. */
-  const startTries = (
+  /** Retries a call until it succeeds; `runOnce` resolves with the reason of a failure, or null. */
+  const startWithRetries = (
     call: string,
     firstDelayMs: number,
     runOnce: () => Promise<string | null>,
@@ -57,7 +60,7 @@
     const handleFailure = (reason: string): number | null => {
       tries += 1;
       log.warn('quarantine rows failed', { call, reason, tries });
-      return tries < MAX_TRIES ? RETRY_MS : null;
+      return tries < MAX_ATTEMPTS ? RETRY_MS : null;
     };
     const stop = startLoop({
       clock,
@@ -73,8 +76,8 @@
     stops.add(stop);
   };
 
-  /** Takes a row; false if it is too old to be kept. */
-  const takeRow = ({ key, value }: SharedRow): boolean => {
+  /** Merges a row into the crash history; returns false if the row is too old to be kept. */
+  const mergeRow = ({ key, value }: SharedRow): boolean => {
     const read = decodeQuarantine(key, value ?? Buffer.alloc(0));
     if (read.isErr()) {
       log.warn('quarantine row refused', { fingerprint: key, reason: read.error });
@@ -95,20 +98,20 @@
     return true;
   };
 
-  const readAll = async (): Promise<string | null> => {
+  const readQuarantines = async (): Promise<string | null> => {
     const read = await store.readRows(table);
     if (read.isErr()) return read.error.kind;
     const old = read.value.rows
-      .filter((row) => !takeRow(row))
+      .filter((row) => !mergeRow(row))
       .map(({ key }) => key)
-      .slice(0, MAX_REMOVED);
+      .slice(0, MAX_REMOVED_ROWS);
     log.info('quarantine rows read', { rows: read.value.rows.length, removed: old.length });
     if (old.length === 0) return null;
     const removed = await store.changeRows({ table, writes: [], removed: old });
     return removed.isErr() ? removed.error.kind : null;
   };
 
-  const write = async (fingerprint: string): Promise<string | null> => {
+  const writeQuarantine = async (fingerprint: string): Promise<string | null> => {
     const quarantine = crashes.findQuarantine(fingerprint);
     if (!quarantine) {
       written.delete(fingerprint);
@@ -129,10 +132,13 @@
   };
 
   return {
-    startRead: () => startTries('read', 0, readAll),
-    startWrite: (fingerprint) => startTries('write', CONFIRM_MS, () => write(fingerprint)),
+    startRead: () => startWithRetries('read', 0, readQuarantines),
+    startWrite: (fingerprint) =>
+      startWithRetries('write', CONFIRM_DELAY_MS, () => writeQuarantine(fingerprint)),
     startRewrite: () =>
-      written.forEach((fingerprint) => startTries('rewrite', 0, () => write(fingerprint))),
+      written.forEach((fingerprint) =>
+        startWithRetries('rewrite', 0, () => writeQuarantine(fingerprint)),
+      ),
     stop: () => stops.forEach((stop) => stop()),
   };
 };
--- a/src/application/forwarding/createRetryBudget/test.ts
+++ b/src/application/forwarding/createRetryBudget/test.ts
@@ -10,60 +10,58 @@
   return count;
 };
 
-test('retries are bounded by the requests of the window and a part of the free ones', (t) => {
+test('retries are bounded by a fraction of recent requests and a share of the extra retries', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 2 });
-  for (let index = 0; index < 20; index += 1) allowance.recordRequest('s');
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 2 });
+  for (let index = 0; index < 20; index += 1) budget.recordRequest('s');
   // 0.9 of 0.5 x 20 + 10 / 2.
   t.is(
-    acquireAll(() => allowance.acquireRetry('s')),
+    acquireAll(() => budget.acquireRetry('s')),
     13,
   );
   t.is(
-    acquireAll(() => allowance.acquireRetry('other')),
+    acquireAll(() => budget.acquireRetry('other')),
     4,
   );
 });
 
-// Symptom: a service gets more repeats than all VMs together may send.
-// Sequence: many VMs retry at once.
-// Cause: each takes the whole of the free retries for itself.
-test('the free retries are shared by the VMs that are known', (t) => {
+// Guards against exceeding the common bound: if many VMs retry at once, none of them may take all
+// of the extra retries for itself.
+test('the extra retries are shared among the known VMs', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 10 });
-  t.false(allowance.acquireRetry('s'));
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 10 });
+  t.false(budget.acquireRetry('s'));
 });
 
-test('the window slides: old requests and retries are forgotten', (t) => {
+test('old requests and retries leave the sliding window', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
   t.is(
-    acquireAll(() => allowance.acquireRetry('s')),
+    acquireAll(() => budget.acquireRetry('s')),
     9,
   );
   clock.advance(9000);
-  t.false(allowance.acquireRetry('s'));
+  t.false(budget.acquireRetry('s'));
   clock.advance(2000);
   t.is(
-    acquireAll(() => allowance.acquireRetry('s')),
+    acquireAll(() => budget.acquireRetry('s')),
     9,
   );
 });
 
-// Symptom: a run that was stopped to be moved stands still for seconds.
-// Sequence: many runs are moved; all repeats of the window are used; the next ones are refused.
-// Cause: planned repeats use up what lost runs need.
-test('a kind of repeat may be held to a part, and one that reached no server is given back', (t) => {
+// Guards against planned retries that use up the budget of lost runs. When many runs were migrated
+// at once, the last ones got no retry after they had been stopped, and stalled for seconds.
+test('a caller may be limited to a share of the budget, and an unused retry can be released', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
   t.is(
-    acquireAll(() => allowance.acquireRetry('s', { part: 0.5 })),
+    acquireAll(() => budget.acquireRetry('s', { share: 0.5 })),
     4,
   );
   t.is(
-    acquireAll(() => allowance.acquireRetry('s')),
+    acquireAll(() => budget.acquireRetry('s')),
     5,
   );
-  allowance.releaseRetry('s');
-  t.true(allowance.acquireRetry('s'));
+  budget.releaseRetry('s');
+  t.true(budget.acquireRetry('s'));
 });
--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -5,38 +5,41 @@
 import { startServerWork } from '../_lib/startServerWork';
 import type { ServerDirectory, SuspicionCause } from '../types';
 
-/** What a directory needs. */
+/** Dependencies of the server directory. */
 export interface ServerDirectoryDependencies extends ServerRecordsDependencies {
-  /** How long an address stays with its service after a server's end. */
+  /** How long an address stays with its service after the server has ended. */
   readonly reuseAfterMs: number;
   /** Called when this VM itself begins to suspect a server. */
   readonly handleSuspected: (id: string, cause: SuspicionCause) => void;
-  /** Called when this VM itself met a server that has no entry yet. */
+  /** Called when this VM itself discovers a server that has no entry yet. */
   readonly handleInferred: (entry: ServerEntry) => void;
 }
 
-/** For this long an answer to this VM weighs more than what another VM says. */
-const OWN_EVIDENCE_MS = 200;
+/** For this long, a response to this VM outweighs a suspicion that another VM reports. */
+const OWN_OBSERVATION_TTL_MS = 200;
 
-/** What was on its way when a server ended may be read this much later. */
-const LAST_WORDS_MS = 250;
+/** Data that was in transit when a server ended may be read this much later. */
+const LATE_DATA_MS = 250;
 
-/** First time for which a failed server gets work only if all others failed too; it doubles. */
-const FIRST_SUSPICION_MS = 1000;
+/**
+ * Duration of the first suspicion, during which the server gets work only if all others failed too.
+ * It doubles with every further suspicion.
+ */
+const MIN_SUSPICION_MS = 1000;
 const MAX_SUSPICION_MS = 8000;
 
-/** A server without an entry is asked for its id when it has not answered for this long. */
-const INFERRED_ASK_MS = 2000;
+/** The id of a server without an entry is checked when it has not answered for this long. */
+const INFERRED_CHECK_AFTER_MS = 2000;
 
-/** A server without an entry that has not answered for this long takes no new work. */
-const INFERRED_AGE_MS = 6000;
+/** A server without an entry that has not answered for this long gets no new work. */
+const INFERRED_TTL_MS = 6000;
 
 /**
- * A prompt that another VM sent counts for this long: reports, which are some hundred milliseconds
- * old, show it from then on. Of the prompts that met another one on the platform, nine in ten came
- * within 190 ms after it.
+ * How long a prompt of another VM counts. Afterwards reports, which are some hundred milliseconds
+ * old, include it. Of the prompts that met another one on the platform, nine in ten came within 190
+ * ms after it.
  */
-const TOLD_MS = 400;
+const PEER_PROMPT_TTL_MS = 400;
 
 /** Creates the directory of the backend servers. */
 export const createServerDirectory = (
@@ -45,20 +48,20 @@
   const { clock, handleInferred, handleSuspected, log, reuseAfterMs } = dependencies;
   const records = createServerRecords(dependencies);
 
-  const isThere = ({ aliveAtMs, entry, goneAtMs, isInferred }: ServerRecord): boolean => {
+  const isPresent = ({ aliveAtMs, entry, goneAtMs, isInferred }: ServerRecord): boolean => {
     const nowMs = clock.readMonotonicMs();
-    const isKnown = !isInferred || nowMs - aliveAtMs < INFERRED_AGE_MS;
+    const isKnown = !isInferred || nowMs - aliveAtMs < INFERRED_TTL_MS;
     return !entry.isLeaving && goneAtMs > nowMs && isKnown;
   };
 
   const isServing = (record: ServerRecord): boolean =>
-    isThere(record) && record.pausedUntilMs <= clock.readMonotonicMs();
+    isPresent(record) && record.pausedUntilMs <= clock.readMonotonicMs();
 
-  const isLimited = ({ rateLimitedUntilMs }: ServerRecord): boolean =>
+  const isRateLimited = ({ rateLimitedUntilMs }: ServerRecord): boolean =>
     rateLimitedUntilMs > clock.readMonotonicMs();
 
-  const listTold = ({ peerPrompts }: ServerRecord): readonly PeerPrompt[] => {
-    const sinceMs = clock.readMonotonicMs() - TOLD_MS;
+  const listRecent = ({ peerPrompts }: ServerRecord): readonly PeerPrompt[] => {
+    const sinceMs = clock.readMonotonicMs() - PEER_PROMPT_TTL_MS;
     return peerPrompts.filter(({ receivedAtMs }) => receivedAtMs > sinceMs);
   };
 
@@ -74,7 +77,7 @@
       return records
         .list()
         .filter((record) => record.entry.service === service)
-        .filter((record) => isServing(record) && !isLimited(record))
+        .filter((record) => isServing(record) && !isRateLimited(record))
         .map((record) => buildServerStatus(record, nowMs));
     },
     findServing: (id) => {
@@ -90,13 +93,13 @@
     countPendingPrefillTokens: (id) => {
       const record = records.find(id);
       if (!record) return 0;
-      return record.prefillTokens + listTold(record).reduce((sum, { tokens }) => sum + tokens, 0);
+      return record.prefillTokens + listRecent(record).reduce((sum, { tokens }) => sum + tokens, 0);
     },
     recordPeerPrompt: (id, tokens) => {
       const record = records.find(id);
       if (!record) return;
-      const toldAtMs = clock.readMonotonicMs();
-      record.peerPrompts = [...listTold(record), { tokens, receivedAtMs: toldAtMs }];
+      const receivedAtMs = clock.readMonotonicMs();
+      record.peerPrompts = [...listRecent(record), { tokens, receivedAtMs }];
     },
     addCopy: (id) => {
       const record = records.find(id);
@@ -125,13 +128,13 @@
     },
     isRateLimited: (id) => {
       const record = records.find(id);
-      return record !== undefined && isLimited(record);
+      return record !== undefined && isRateLimited(record);
     },
     readShortestPauseMs: (service) => {
       const nowMs = clock.readMonotonicMs();
       const pauses = records
         .list()
-        .filter((record) => record.entry.service === service && isThere(record))
+        .filter((record) => record.entry.service === service && isPresent(record))
         .map(
           ({ rateLimitedUntilMs, pausedUntilMs }) =>
             Math.max(rateLimitedUntilMs, pausedUntilMs) - nowMs,
@@ -143,19 +146,19 @@
       const record = records.find(id);
       if (!record) return;
       const nowMs = clock.readMonotonicMs();
-      // Several attempts that fail at once are one failure.
+      // Attempts that fail at the same time count as one failure.
       if (record.suspectedUntilMs > nowMs) return;
-      // Another VM's path to a server may be cut: what this VM saw itself just now goes first.
-      const isToldOnly = cause === 'told';
-      if (isToldOnly && nowMs - record.aliveAtMs < OWN_EVIDENCE_MS) return;
+      // Another VM may be cut off from the server: recent responses to this VM take precedence.
+      const isReportedByPeer = cause === 'told';
+      if (isReportedByPeer && nowMs - record.aliveAtMs < OWN_OBSERVATION_TTL_MS) return;
       const holdMs = Math.min(
         MAX_SUSPICION_MS,
-        FIRST_SUSPICION_MS * 2 ** record.consecutiveSuspicions,
+        MIN_SUSPICION_MS * 2 ** record.consecutiveSuspicions,
       );
       record.consecutiveSuspicions += 1;
       record.suspectedUntilMs = nowMs + holdMs;
       log.warn('server suspected', { server: id, cause, holdMs });
-      if (!isToldOnly) handleSuspected(id, cause);
+      if (!isReportedByPeer) handleSuspected(id, cause);
     },
     recordSuccess: (id) => {
       const record = records.find(id);
@@ -183,7 +186,7 @@
         .list()
         .some(
           ({ aliveAtMs, entry }) =>
-            aliveAtMs > atMs + LAST_WORDS_MS && formatIncarnation(entry) === incarnation,
+            aliveAtMs > atMs + LATE_DATA_MS && formatIncarnation(entry) === incarnation,
         ),
     recordStartTime: records.recordStartTime,
     addInferred: (entry) => {
@@ -196,7 +199,7 @@
         .filter(({ pausedUntilMs }) => pausedUntilMs <= nowMs)
         .filter(({ aliveAtMs, isInferred, consecutiveSuspicions }) =>
           isInferred
-            ? nowMs - aliveAtMs > INFERRED_ASK_MS
+            ? nowMs - aliveAtMs > INFERRED_CHECK_AFTER_MS
             : consecutiveSuspicions > 0 &&
               isAddressReserved({ lastAnswerAtMs: aliveAtMs, nowMs, reuseAfterMs }),
         )
@@ -205,7 +208,7 @@
     pruneInferred: () => {
       const nowMs = clock.readMonotonicMs();
       const inferred = records.list().filter(({ isInferred }) => isInferred);
-      const old = inferred.filter(({ aliveAtMs }) => nowMs - aliveAtMs >= INFERRED_AGE_MS);
+      const old = inferred.filter(({ aliveAtMs }) => nowMs - aliveAtMs >= INFERRED_TTL_MS);
       old.forEach(({ entry }) => records.forgetServer(entry.id));
       return inferred.length - old.length;
     },
--- a/src/application/limits/createPermitClient/index.ts
+++ b/src/application/limits/createPermitClient/index.ts
@@ -9,14 +9,14 @@
 import type { ServerLimits } from '../createServerLimits';
 import type { LimitPeer, PermitRequest } from '../types';
 
-/** What permits need. */
+/** Dependencies of the permit client. */
 export interface PermitClientDependencies {
   /** This VM. */
   readonly self: OwnerCandidate;
   readonly listPeers: () => readonly LimitPeer[];
-  /** Asks another VM; null if it does not answer in time. */
+  /** Asks another VM for a permit; resolves with null if the VM does not respond in time. */
   readonly askPeer: (address: string, request: PermitRequest) => Promise<PermitDecision | null>;
-  /** Gives a permit back to another VM; nothing depends on its arrival. */
+  /** Returns an unused permit to another VM. Best effort: nothing depends on delivery. */
   readonly notifyReleased: (address: string, server: string) => void;
   readonly owner: LimitOwner;
   readonly limits: Pick<ServerLimits, 'readLimitPerS'>;
@@ -26,11 +26,11 @@
 
 /** The right to send one request to a server. */
 export interface Permit {
-  /** Gives it back: no request was sent. */
+  /** Returns the permit unused: no request was sent. */
   release(): void;
 }
 
-/** Asks for the right to send requests to servers with a rate limit. */
+/** Acquires permits to send requests to servers with a rate limit. */
 export interface PermitClient {
   /** Resolves with a permit, or with the time in milliseconds after which to ask again. */
   acquirePermit(server: string): Promise<Permit | number>;
@@ -38,60 +38,64 @@
   forgetServer(server: string): void;
 }
 
-/** A VM that may be asked; without an address it is this one. */
+/** A VM that may own a server's limit; its address is null for this VM. */
 interface Owner extends OwnerCandidate {
   readonly address: string | null;
 }
 
-/** A request that this VM sent, and the owners that know of it. */
-interface Send {
+/** A request that this VM sent, and the VMs that know of it. */
+interface SentRequest {
   readonly atMs: number;
-  readonly knownTo: Set<string>;
+  readonly knownToVms: Set<string>;
 }
 
 const MS_PER_S = 1000;
 
-/** Owners that must agree: VMs that know different others still have one in common. */
-const NEEDED_OWNERS = 2;
+/**
+ * Owners that must grant a permit: VMs with different membership views share at least one of them.
+ */
+const OWNER_QUORUM = 2;
 
-/** A owner that did not answer is passed over for this long. */
-const UNREACHABLE_MS = 2000;
+/** An owner that did not respond is skipped for this long. */
+const SILENT_OWNER_SKIP_MS = 2000;
 
-/** Distinguishes the part that this VM takes by itself from what it keeps for others. */
-const ALONE_SUFFIX = ' alone';
+/** Separates this VM's local share of a limit from the limits that it owns for all VMs. */
+const LOCAL_SHARE_SUFFIX = ' alone';
 
-/** A part below one request in the window is none. */
-const MIN_PART_PER_S = MS_PER_S / PERMIT_WINDOW_MS;
+/** A share below one request per window counts as none. */
+const MIN_SHARE_PER_S = MS_PER_S / PERMIT_WINDOW_MS;
 
-/** When to ask again while too few owners answer. */
-const ALONE_WAIT_MS = 500;
+/** Time until the next attempt while too few owners respond. */
+const NO_QUORUM_WAIT_MS = 500;
 
 /**
- * Creates the permits of this VM.
+ * Creates the permit client of this VM.
  *
- * A limit of some requests a second holds for hundreds of VMs together: each VM's even part of it is less
- * than one request in the time that is looked at. So VMs ask the one that keeps the server's limit, and
- * a second one confirms it: where VMs know different others, for example after a loss, or an owner is
- * silent, the two that they ask still have one in common.
+ * A limit of a few requests per second is shared by hundreds of VMs, so that an even share per VM
+ * would be less than one request per window. Instead, VMs ask the VM that owns the server's limit,
+ * and a second owner confirms the permit. If VMs have different membership views, for example after
+ * a failure, or if an owner does not respond, the two owners that they ask still overlap in one.
  */
 export const createPermitClient = (dependencies: PermitClientDependencies): PermitClient => {
   const { askPeer, clock, owner, limits, listPeers, log, self, notifyReleased } = dependencies;
   const { availabilityZone, vm: name } = self;
-  const here: Owner = { vm: name, availabilityZone, address: null };
-  const sendsOf = new Map<string, Send[]>();
+  const thisVm: Owner = { vm: name, availabilityZone, address: null };
+  const sentRequestsByServer = new Map<string, SentRequest[]>();
   const unreachableUntilMs = new Map<string, number>();
 
-  const addSend = (server: string): Send => {
+  const addSentRequest = (server: string): SentRequest => {
     const nowMs = clock.readMonotonicMs();
-    const kept = (sendsOf.get(server) ?? []).filter(({ atMs }) => atMs > nowMs - PERMIT_WINDOW_MS);
-    const send = { atMs: nowMs, knownTo: new Set<string>() };
-    sendsOf.set(server, [...kept, send]);
-    return send;
+    const recent = (sentRequestsByServer.get(server) ?? []).filter(
+      ({ atMs }) => atMs > nowMs - PERMIT_WINDOW_MS,
+    );
+    const sentRequest = { atMs: nowMs, knownToVms: new Set<string>() };
+    sentRequestsByServer.set(server, [...recent, sentRequest]);
+    return sentRequest;
   };
 
-  const removeSend = (server: string, send: Send): void => {
-    const kept = sendsOf.get(server)?.filter((one) => one !== send);
-    if (kept) sendsOf.set(server, kept);
+  const removeSentRequest = (server: string, sentRequest: SentRequest): void => {
+    const others = sentRequestsByServer.get(server)?.filter((one) => one !== sentRequest);
+    if (others) sentRequestsByServer.set(server, others);
   };
 
   const isReachable = ({ vm }: Owner): boolean =>
@@ -102,72 +106,74 @@
     request: Omit<PermitRequest, 'sender' | 'sentAgesMs'>,
   ): Promise<PermitDecision | null> => {
     const nowMs = clock.readMonotonicMs();
-    const untold = (sendsOf.get(request.server) ?? []).filter(
-      ({ atMs, knownTo }) => !knownTo.has(vm) && atMs > nowMs - PERMIT_WINDOW_MS,
+    const unreported = (sentRequestsByServer.get(request.server) ?? []).filter(
+      ({ atMs, knownToVms }) => !knownToVms.has(vm) && atMs > nowMs - PERMIT_WINDOW_MS,
     );
-    const sent = {
+    const fullRequest = {
       ...request,
       sender: name,
-      sentAgesMs: untold.map(({ atMs }) => Math.round(nowMs - atMs)),
+      sentAgesMs: unreported.map(({ atMs }) => Math.round(nowMs - atMs)),
     };
-    // Before the answer: what is asked meanwhile must not count twice.
-    untold.forEach(({ knownTo }) => knownTo.add(vm));
+    // Marked before the response arrives, so that a concurrent request does not report them twice.
+    unreported.forEach(({ knownToVms }) => knownToVms.add(vm));
     const decision =
-      address === null ? owner.handlePermitRequest(sent) : await askPeer(address, sent);
+      address === null
+        ? owner.handlePermitRequest(fullRequest)
+        : await askPeer(address, fullRequest);
     if (!decision) {
-      untold.forEach(({ knownTo }) => knownTo.delete(vm));
-      unreachableUntilMs.set(vm, clock.readMonotonicMs() + UNREACHABLE_MS);
+      unreported.forEach(({ knownToVms }) => knownToVms.delete(vm));
+      unreachableUntilMs.set(vm, clock.readMonotonicMs() + SILENT_OWNER_SKIP_MS);
       log.info('limit owner silent', { server: request.server, owner: vm });
     }
     return decision;
   };
 
-  const releaseAt = (owners: readonly Owner[], server: string): void =>
+  const releasePermits = (owners: readonly Owner[], server: string): void =>
     owners.forEach(({ address }) => {
       if (address === null) owner.releasePermit(server);
       else notifyReleased(address, server);
     });
 
-  /** Without enough owners that answer, this VM keeps to its even part. */
-  const decideAlone = (server: string, partPerS: number): PermitDecision => {
-    if (partPerS < MIN_PART_PER_S) return { isGranted: false, waitMs: ALONE_WAIT_MS };
+  /** Decides by this VM's even share of the limit while too few owners respond. */
+  const decideLocally = (server: string, sharePerS: number): PermitDecision => {
+    if (sharePerS < MIN_SHARE_PER_S) return { isGranted: false, waitMs: NO_QUORUM_WAIT_MS };
     return owner.handlePermitRequest({
       sender: name,
-      server: `${server}${ALONE_SUFFIX}`,
-      limitPerS: partPerS,
+      server: `${server}${LOCAL_SHARE_SUFFIX}`,
+      limitPerS: sharePerS,
       sentAgesMs: [],
       isConfirmation: false,
     });
   };
 
   const buildPermit = (server: string, granted: readonly Owner[]): Permit => {
-    const send = addSend(server);
-    granted.forEach(({ vm }) => send.knownTo.add(vm));
+    const sentRequest = addSentRequest(server);
+    granted.forEach(({ vm }) => sentRequest.knownToVms.add(vm));
     return {
       release: () => {
-        removeSend(server, send);
-        releaseAt(granted, server);
+        removeSentRequest(server, sentRequest);
+        releasePermits(granted, server);
       },
     };
   };
 
   const askOwners = async (server: string, limitPerS: number): Promise<Permit | number> => {
     const granted: Owner[] = [];
-    const vms: readonly Owner[] = [here, ...listPeers()];
-    const needed = Math.min(NEEDED_OWNERS, vms.length);
+    const vms: readonly Owner[] = [thisVm, ...listPeers()];
+    const needed = Math.min(OWNER_QUORUM, vms.length);
     for (const candidate of rankLimitOwners(vms.filter(isReachable), server)) {
       const isConfirmation = granted.length > 0;
       const decision = await askOwner(candidate, { server, limitPerS, isConfirmation });
       if (decision && !decision.isGranted) {
-        releaseAt(granted, server);
+        releasePermits(granted, server);
         return decision.waitMs;
       }
       if (decision) granted.push(candidate);
       if (granted.length >= needed) return buildPermit(server, granted);
     }
-    releaseAt(granted, server);
-    const alone = decideAlone(server, limitPerS / vms.length);
-    return alone.isGranted ? buildPermit(server, []) : alone.waitMs;
+    releasePermits(granted, server);
+    const localDecision = decideLocally(server, limitPerS / vms.length);
+    return localDecision.isGranted ? buildPermit(server, []) : localDecision.waitMs;
   };
 
   return {
@@ -177,7 +183,7 @@
       return askOwners(server, limitPerS);
     },
     forgetServer: (server) => {
-      sendsOf.delete(server);
+      sentRequestsByServer.delete(server);
     },
   };
 };
