--- a/src/application/_lib/createPaceHistory/index.ts
+++ b/src/application/_lib/createPaceHistory/index.ts
@@ -53,7 +53,7 @@
       const before = readPaces(service);
       const perToken = sample.firstTokenMs / Math.max(1, sample.promptCharacters);
       const prefillMsPerToken = updateUndisturbedEstimate(before.prefillMsPerToken, perToken);
-      paces.set(service, { ...before, prefillMsPerToken: prefillMsPerToken });
+      paces.set(service, { ...before, prefillMsPerToken });
     },
     recordRun: (service, runMs) => {
       const before = readPaces(service);
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -89,7 +89,7 @@
   const predict = ({ report, pendingPrefillTokens }: ReportedServer): number =>
     predictFirstEventMs(report, {
       ...needs,
-      pendingPrefillTokens: pendingPrefillTokens,
+      pendingPrefillTokens,
       paces: run.paces.readEnginePaces(run.context.service),
       latencyGoalMs: run.context.route.latencyGoalMs,
     });
--- a/src/application/forwarding/_lib/startSilenceWatch/index.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/index.ts
@@ -49,7 +49,7 @@
     gapGoalMs: route.gapGoalMs,
     latencyGoalMs: route.latencyGoalMs,
     slowestPrefillMs: slowest.confirmMs,
-    expectedFirstEventMs: expectedFirstEventMs,
+    expectedFirstEventMs,
   });
 };
 
--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -173,7 +173,7 @@
       records.endServer(id);
       const { aliveAtMs: lastAnswerAtMs, entry } = record;
       const times = {
-        lastAnswerAtMs: lastAnswerAtMs,
+        lastAnswerAtMs,
         nowMs: clock.readMonotonicMs(),
         reuseAfterMs,
       };
--- a/src/application/peers/_lib/createLocalFacts/index.ts
+++ b/src/application/peers/_lib/createLocalFacts/index.ts
@@ -47,9 +47,9 @@
       stored?.kind === 'load'
         ? { fact: stored, sentAtMs: factStore.readWrittenAtMs(`load:${name}`) ?? nowMs }
         : null;
-    const leastMs = serverCount * LOAD_MIN_INTERVAL_MS_PER_SERVER;
-    const refreshMs = Math.max(LOAD_REFRESH_MS, leastMs);
-    const options = { slots: report.slots, nowMs, leastMs, refreshMs };
+    const minIntervalMs = serverCount * LOAD_MIN_INTERVAL_MS_PER_SERVER;
+    const refreshIntervalMs = Math.max(LOAD_REFRESH_MS, minIntervalMs);
+    const options = { slots: report.slots, nowMs, minIntervalMs, refreshIntervalMs };
     if (!isLoadUpdateDue(sent, fact, options)) return;
     if (JSON.stringify(factStore.find(`state:${name}`)) !== JSON.stringify(state)) {
       factStore.write(`state:${name}`, state, readSelf().vm);
--- a/tests/model/_lib/createClaimModel/index.ts
+++ b/tests/model/_lib/createClaimModel/index.ts
@@ -28,7 +28,7 @@
 /** The product's rules. */
 export const CLAIM_RULES: ClaimRules = {
   chooseAcquireStep,
-  chooseTakeoverStep: chooseTakeoverStep,
+  chooseTakeoverStep,
   chooseUpdateStep,
   revisions: [
     { claim: 100, takeOver: 1000 },
--- a/tests/model/_lib/createLeaseModel/index.ts
+++ b/tests/model/_lib/createLeaseModel/index.ts
@@ -19,7 +19,7 @@
 
 /** The product's rules. */
 export const LEASE_RULES: LeaseRules = {
-  updateLeaseObservation: updateLeaseObservation,
+  updateLeaseObservation,
   isOrderAllowed,
   isTakeoverDue,
   countsFrom: 'send',
