--- a/src/application/forwarding/_lib/forwardStream/index.ts
+++ b/src/application/forwarding/_lib/forwardStream/index.ts
@@ -94,7 +94,7 @@
       run.copy?.release();
       if (outcome === 'answered' && firstEventMs !== null) {
         const tookMs = clock.readMonotonicMs() - request.arrivedAtMs;
-        paces.recordRun(context.service, tookMs - firstEventMs);
+        paces.recordRunDuration(context.service, tookMs - firstEventMs);
       }
       logDecision(dependencies, context, 'stream ended', {
         outcome,
--- a/src/application/forwarding/_lib/readStreamEvents/index.ts
+++ b/src/application/forwarding/_lib/readStreamEvents/index.ts
@@ -47,7 +47,7 @@
     // A prompt that waited for others is no pace sample: a VM that had seen only such a prompt took
     // every engine for three times too slow, and refused streams that idle engines could have
     // started.
-    if (attempt.wasServerIdle) run.paces.recordReading(service, sample);
+    if (attempt.wasServerIdle) run.paces.recordPrefill(service, sample);
   }
 };
 
--- a/src/application/forwarding/types/StreamRun.ts
+++ b/src/application/forwarding/types/StreamRun.ts
@@ -4,7 +4,7 @@
 import type { KvCopy } from '../../ports';
 import type { ServerWork } from '../_lib/startServerWork';
 import type { OverloadTracker } from '../_lib/createOverloadTracker';
-import type { PaceHistory } from '../../_lib/createPaceHistory';
+import type { LatencyHistory } from '../../_lib/createLatencyHistory';
 import type { Refusal } from './CallerReply';
 import type { ForwardContext } from './ForwardContext';
 import type { ForwardingDependencies } from './ForwardingDependencies';
@@ -48,7 +48,7 @@
   readonly context: ForwardContext;
   /** Equal for every repetition of the request by its caller (see `computeFingerprint`). */
   readonly fingerprint: string;
-  readonly paces: PaceHistory;
+  readonly paces: LatencyHistory;
   readonly overload: OverloadTracker;
   readonly attempts: Map<number, StreamAttempt>;
   readonly readState: () => GenerationState;
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -59,7 +59,7 @@
     self: settings,
     listPeers: () => listMembers(),
     calls,
-    tellLimit: (limit) => sendLimit(limit),
+    publishLimit: (limit) => sendLimit(limit),
     clock,
     log,
     randomness,
@@ -95,7 +95,7 @@
     randomness,
     sendReport: calls.reportTrial,
     store,
-    tellVerdict: (verdict) => sendVerdict(verdict),
+    publishVerdict: (verdict) => sendVerdict(verdict),
   });
   const { crashes, crashProbe, quarantineRows } = wireCrashes({
     client,
@@ -105,7 +105,7 @@
     randomness,
     store,
     tables,
-    tellOutcome: (outcome) => sendOutcome(outcome),
+    publishOutcome: (outcome) => sendOutcome(outcome),
   });
   // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
   const shared = computeStalenessLimits(settings.bounds);
