--- a/src/application/claims/_lib/createAbandonedClaims/index.ts
+++ b/src/application/claims/_lib/createAbandonedClaims/index.ts
@@ -15,10 +15,10 @@
 const MAX_ABANDONED = 1000;
 
 /** Rows looked at in one sweep. */
-const SWEEP_SIZE = 10;
+const SWEEP_BATCH_SIZE = 10;
 
 /** A write that has not shown by then was lost on its way, milliseconds. */
-const SETTLED_MS = 30_000;
+const PENDING_WRITE_TIMEOUT_MS = 30_000;
 
 /**
  * Creates the list of abandoned claims.
@@ -39,7 +39,7 @@
       await table.removeRow(current);
       return;
     }
-    if (current !== null || clock.readMonotonicMs() - sinceMs > SETTLED_MS) {
+    if (current !== null || clock.readMonotonicMs() - sinceMs > PENDING_WRITE_TIMEOUT_MS) {
       abandoned.delete(row.claimId);
     }
   };
@@ -54,7 +54,7 @@
     removeStale: async () => {
       if (sweeping || abandoned.size === 0) return;
       sweeping = true;
-      const batch = [...abandoned.values()].slice(0, SWEEP_SIZE);
+      const batch = [...abandoned.values()].slice(0, SWEEP_BATCH_SIZE);
       await Promise.all(batch.map(({ row, sinceMs }) => removeOne(row, sinceMs)));
       sweeping = false;
     },
--- a/src/application/claims/_lib/runClaimSteps/index.ts
+++ b/src/application/claims/_lib/runClaimSteps/index.ts
@@ -8,10 +8,10 @@
 export const CLAIM_DEADLINE_MS = 1000;
 
 /** How a change of a claim ended. */
-export type ClaimEnd = Extract<ClaimStep, { kind: 'done' | 'lost' }>;
+export type FinalClaimStep = Extract<ClaimStep, { kind: 'done' | 'lost' }>;
 
 /** The store gave no verdict. */
-export interface UnfinishedClaim {
+export interface UnresolvedClaim {
   readonly error: StoreError;
   /** Whether one of the writes may still take effect. */
   readonly pendingWrite: boolean;
@@ -24,20 +24,23 @@
   readonly chooseStep: (sent: ClaimRow, reply: ClaimReply) => ClaimStep;
 }
 
-const LATE: StoreError = { kind: 'ambiguous', reason: 'no verdict within the deadline' };
+const DEADLINE_EXCEEDED: StoreError = {
+  kind: 'ambiguous',
+  reason: 'no verdict within the deadline',
+};
 
 /** Writes and reads back until the rule gives an end, the store fails, or time is up. */
 export async function runClaimSteps(
   table: ClaimTable,
   clock: Clock,
   { row, expectedRevision, chooseStep }: ClaimChangePlan,
-): Promise<Result<ClaimEnd, UnfinishedClaim>> {
-  const untilMs = clock.readMonotonicMs() + CLAIM_DEADLINE_MS;
+): Promise<Result<FinalClaimStep, UnresolvedClaim>> {
+  const deadlineMs = clock.readMonotonicMs() + CLAIM_DEADLINE_MS;
   let sent = row;
   let pendingWrite = false;
 
   const runStep = async (
-    step: Exclude<ClaimStep, ClaimEnd>,
+    step: Exclude<ClaimStep, FinalClaimStep>,
   ): Promise<Result<ClaimReply, StoreError>> => {
     if (step.kind === 'read') {
       const read = await table.readRow(sent.workspace, sent.keyDigest);
@@ -54,8 +57,9 @@
     const reply: Result<ClaimReply, StoreError> = await runStep(step);
     if (reply.isErr()) return err({ error: reply.error, pendingWrite });
     step = chooseStep(sent, reply.value);
-    const ended = step.kind === 'done' || step.kind === 'lost';
-    if (!ended && clock.readMonotonicMs() >= untilMs) return err({ error: LATE, pendingWrite });
+    const isFinal = step.kind === 'done' || step.kind === 'lost';
+    if (!isFinal && clock.readMonotonicMs() >= deadlineMs)
+      return err({ error: DEADLINE_EXCEEDED, pendingWrite });
   }
   return ok(step);
 }
--- a/src/application/claims/createClaims/index.ts
+++ b/src/application/claims/createClaims/index.ts
@@ -17,7 +17,7 @@
 import { createAbandonedClaims } from '../_lib/createAbandonedClaims';
 import { createClaimTable } from '../_lib/createClaimTable';
 import { createUpdateQueue } from '../_lib/createUpdateQueue';
-import { runClaimSteps, type ClaimEnd } from '../_lib/runClaimSteps';
+import { runClaimSteps, type FinalClaimStep } from '../_lib/runClaimSteps';
 
 /** What the claims need. */
 export interface ClaimsDependencies {
@@ -41,7 +41,7 @@
 const buildAnswerKey = (row: ClaimRow): string =>
   `answers/${row.workspace}/${row.keyDigest}/${row.claimId}`;
 
-const convertEnd = (end: ClaimEnd): Result<ClaimRow, ClaimError> =>
+const convertFinalStep = (end: FinalClaimStep): Result<ClaimRow, ClaimError> =>
   end.kind === 'done' ? ok(end.row) : err({ kind: 'lost', row: end.row });
 
 /** Creates the claims of this VM over the platform's table and object store. */
@@ -49,7 +49,7 @@
   const { objectStore, clock, randomness, vm, peerAddress } = dependencies;
   const table = createClaimTable(dependencies);
   const abandoned = createAbandonedClaims(table, clock);
-  const buildSeed = (): Claimant => ({
+  const buildClaimant = (): Claimant => ({
     claimId: randomness.readHex(CLAIM_ID_BYTES),
     vm,
     peerAddress,
@@ -66,7 +66,7 @@
       expectedRevision: row.revision,
       chooseStep: (sent, reply) => chooseUpdateStep(sent, change, reply),
     });
-    return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertEnd);
+    return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertFinalStep);
   };
   const updates = createUpdateQueue(writeChange);
 
@@ -82,7 +82,7 @@
 
   return {
     acquireClaim: async (request) => {
-      const row = buildClaim(request, buildSeed());
+      const row = buildClaim(request, buildClaimant());
       const ended = await runClaimSteps(table, clock, {
         row,
         expectedRevision: null,
@@ -108,13 +108,13 @@
     },
 
     takeOverClaim: async (seen) => {
-      const row = buildTakeoverClaim(seen, buildSeed());
+      const row = buildTakeoverClaim(seen, buildClaimant());
       const ended = await runClaimSteps(table, clock, {
         row,
         expectedRevision: seen.revision,
         chooseStep: (sent, reply) => chooseTakeoverStep(seen, sent, reply),
       });
-      return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertEnd);
+      return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertFinalStep);
     },
 
     updateClaim: (row, change) => updates.add(row, change),
--- a/src/application/forwarding/_lib/forwardStream/index.ts
+++ b/src/application/forwarding/_lib/forwardStream/index.ts
@@ -93,7 +93,7 @@
       run.copy?.release();
       if (outcome === 'answered' && firstEventMs !== null) {
         const tookMs = clock.readMonotonicMs() - request.arrivedAtMs;
-        paces.recordRun(context.service, tookMs - firstEventMs);
+        paces.recordRunDuration(context.service, tookMs - firstEventMs);
       }
       recordDecision(dependencies, context, 'stream ended', {
         outcome,
--- a/src/application/forwarding/_lib/readStreamEvents/index.ts
+++ b/src/application/forwarding/_lib/readStreamEvents/index.ts
@@ -43,7 +43,7 @@
     run.paces.recordFirstToken(service, sample);
     // One that waited for others says little of the pace: a VM that had seen only such a one took
     // every engine for three times too slow, and refused what free ones could have begun.
-    if (attempt.wasFree) run.paces.recordReading(service, sample);
+    if (attempt.wasFree) run.paces.recordPrefill(service, sample);
   }
 };
 
--- a/src/application/forwarding/createForwarder/index.ts
+++ b/src/application/forwarding/createForwarder/index.ts
@@ -8,7 +8,7 @@
   RouteKind,
   type ForwardedRequest,
 } from '../../../domain/forwarding';
-import { createPaceHistory } from '../../_lib/createPaceHistory';
+import { createLatencyHistory } from '../../_lib/createLatencyHistory';
 import { createOverloadWatch } from '../_lib/createOverloadWatch';
 import { forwardCall } from '../_lib/forwardCall';
 import { forwardStream } from '../_lib/forwardStream';
@@ -43,7 +43,7 @@
 /** Creates the forwarder of this VM. */
 export const createForwarder = (dependencies: ForwardingDependencies): Forwarder => {
   const { clock, log, meter, randomness, retries, rollouts, tables } = dependencies;
-  const shared = { paces: createPaceHistory(), overload: createOverloadWatch(clock) };
+  const shared = { paces: createLatencyHistory(), overload: createOverloadWatch(clock) };
   const startedAtMs = clock.readMonotonicMs();
   /** By route: the longest time that a caller waited. */
   const longestWaitMs = new Map<string, number>();
--- a/src/application/forwarding/types/StreamRun.ts
+++ b/src/application/forwarding/types/StreamRun.ts
@@ -4,7 +4,7 @@
 import type { KvCopy } from '../../ports';
 import type { ServerWork } from '../_lib/startServerWork';
 import type { OverloadWatch } from '../_lib/createOverloadWatch';
-import type { PaceHistory } from '../../_lib/createPaceHistory';
+import type { LatencyHistory } from '../../_lib/createLatencyHistory';
 import type { Refusal } from './CallerReply';
 import type { ForwardContext } from './ForwardContext';
 import type { ForwardingDependencies } from './ForwardingDependencies';
@@ -46,7 +46,7 @@
   readonly context: ForwardContext;
   /** The same each time that its caller sends it (`computeFingerprint`). */
   readonly fingerprint: string;
-  readonly paces: PaceHistory;
+  readonly paces: LatencyHistory;
   readonly overload: OverloadWatch;
   readonly attempts: Map<number, StreamAttempt>;
   readonly readState: () => GenerationState;
--- a/src/application/generations/_lib/computeAttemptLimits/index.ts
+++ b/src/application/generations/_lib/computeAttemptLimits/index.ts
@@ -17,13 +17,13 @@
 }
 
 /** Kept tokens come at once when a stream is read again, so a connection's limits are enough. */
-const RESUME_LIMITS: SilenceLimits = { suspectMs: 250, confirmMs: 500 };
+const MIN_RESUME_LIMITS: SilenceLimits = { suspectMs: 250, confirmMs: 500 };
 
 /**
  * Room for a prefill on a server that is at work: it waits behind others there. Without it a burst
  * of requests makes each engine look stuck, and all of them are taken out of service at once.
  */
-const QUEUED_FACTOR = 4;
+const BUSY_SERVER_FACTOR = 4;
 
 const NO_LIMITS: SilenceLimits = { suspectMs: Infinity, confirmMs: Infinity };
 
@@ -38,17 +38,17 @@
     const limits = computePrefillLimits(firstTokens, promptCharacters, {
       isServerDead: serverDead,
     });
-    const factor = serverActive ? QUEUED_FACTOR : 1;
+    const factor = serverActive ? BUSY_SERVER_FACTOR : 1;
     return { suspectMs: limits.suspectMs * factor, confirmMs: limits.confirmMs * factor };
   },
   [AttemptPhase.Streaming]: (handle, { serverDead }) =>
     computeSilenceLimits(handle.gaps, { isServerDead: serverDead }),
   [AttemptPhase.Resuming]: (handle) => {
-    if (handle.gaps.count === 0) return RESUME_LIMITS;
+    if (handle.gaps.count === 0) return MIN_RESUME_LIMITS;
     const own = computeSilenceLimits(handle.gaps, { isServerDead: false });
     return {
-      suspectMs: Math.max(RESUME_LIMITS.suspectMs, own.suspectMs),
-      confirmMs: Math.max(RESUME_LIMITS.confirmMs, own.confirmMs),
+      suspectMs: Math.max(MIN_RESUME_LIMITS.suspectMs, own.suspectMs),
+      confirmMs: Math.max(MIN_RESUME_LIMITS.confirmMs, own.confirmMs),
     };
   },
 };
--- a/src/application/generations/_lib/convertEngineError/index.ts
+++ b/src/application/generations/_lib/convertEngineError/index.ts
@@ -2,7 +2,7 @@
 import type { EngineError } from '../../../ports';
 
 /** Reasons of the engine client that mean that no connection could be made. */
-const STATUS_PREFIX = 'status ';
+const HTTP_STATUS_PREFIX = 'status ';
 
 type Converters = {
   readonly [Kind in EngineError['kind']]: (
@@ -15,7 +15,7 @@
   'not-started': (error, reader) => ({
     kind: 'not-started',
     reader,
-    refused: !error.reason.startsWith(STATUS_PREFIX),
+    refused: !error.reason.startsWith(HTTP_STATUS_PREFIX),
   }),
   broken: (_error, reader) => ({ kind: 'broken', reader }),
   'stream-gone': (_error, reader) => ({ kind: 'stream-gone', reader }),
--- a/src/application/generations/_lib/createCancelQueue/index.ts
+++ b/src/application/generations/_lib/createCancelQueue/index.ts
@@ -7,7 +7,7 @@
 }
 
 /** Streams remembered of one server; an engine drops a stream that nobody reads by itself. */
-const MAX_REMEMBERED = 200;
+const MAX_QUEUED_PER_SERVER = 200;
 
 /**
  * Creates the queue of cancellations.
@@ -23,24 +23,24 @@
   engineClient: EngineClient,
   health: HealthRegistry,
 ): CancelQueue => {
-  const waiting = new Map<string, Map<string, BackendServer>>();
+  const queued = new Map<string, Map<string, BackendServer>>();
 
-  const remember = (server: BackendServer, streamId: string): void => {
-    const streams = waiting.get(server.name) ?? new Map<string, BackendServer>();
-    if (streams.size < MAX_REMEMBERED) streams.set(streamId, server);
-    waiting.set(server.name, streams);
+  const enqueue = (server: BackendServer, streamId: string): void => {
+    const streams = queued.get(server.name) ?? new Map<string, BackendServer>();
+    if (streams.size < MAX_QUEUED_PER_SERVER) streams.set(streamId, server);
+    queued.set(server.name, streams);
   };
 
   const cancel = async (server: BackendServer, streamId: string): Promise<void> => {
     const cancelled = await engineClient.cancelStream(server, streamId);
     // A server that refuses connections has no process, and so no stream either.
-    if (cancelled.isErr() && cancelled.error.kind !== 'not-started') remember(server, streamId);
+    if (cancelled.isErr() && cancelled.error.kind !== 'not-started') enqueue(server, streamId);
   };
 
   health.addListener((backendServer, state) => {
     if (state !== BackendHealth.Serving) return;
-    const streams = waiting.get(backendServer);
-    waiting.delete(backendServer);
+    const streams = queued.get(backendServer);
+    queued.delete(backendServer);
     streams?.forEach((server, streamId) => {
       cancel(server, streamId).catch(() => undefined);
     });
--- a/src/application/generations/_lib/createClaimKeeper/index.ts
+++ b/src/application/generations/_lib/createClaimWriter/index.ts
@@ -4,17 +4,17 @@
 import { waitDelay } from '../../../time';
 
 /** What a claim keeper needs. */
-export interface ClaimKeeperDependencies {
+export interface ClaimWriterDependencies {
   readonly claims: Claims;
   readonly clock: Clock;
   /** Called once if another VM has taken the claim over. */
   readonly handleLost: () => void;
   /** Takes the write of the end, which settles when the end is stored or given up. */
-  readonly handleEnd: (write: Promise<void>) => void;
+  readonly addPendingWrite: (write: Promise<void>) => void;
 }
 
 /** Writes the progress of one claimed generation, one write at a time. */
-export interface ClaimKeeper {
+export interface ClaimWriter {
   /** Records who runs it; `ok` means that the row says so. */
   recordAttempt(attempt: {
     readonly backendServer: string;
@@ -25,14 +25,14 @@
    * Stores the answer, or marks the claim as failed where there is none. What surely did not run
    * leaves no stream in the row, so that a repeat may run it.
    */
-  recordEnd(answer: StoredAnswer | null, options: { readonly ran: boolean }): void;
+  recordOutcome(answer: StoredAnswer | null, options: { readonly ran: boolean }): void;
 }
 
 type Write = (row: ClaimRow) => Promise<Result<ClaimRow, ClaimError>>;
 
 /** An answer is worth some tries, but not a queue of them that fills the memory of an entry. */
-const MAX_END_TRIES = 20;
-const MIN_END_RETRY_MS = 500;
+const MAX_OUTCOME_WRITE_TRIES = 20;
+const MIN_OUTCOME_RETRY_DELAY_MS = 500;
 
 /**
  * Creates the keeper of a claim that this VM holds.
@@ -41,10 +41,10 @@
  * @param firstRow - Row as granted.
  * @returns Keeper.
  */
-export const createClaimKeeper = (
-  dependencies: ClaimKeeperDependencies,
+export const createClaimWriter = (
+  dependencies: ClaimWriterDependencies,
   firstRow: ClaimRow,
-): ClaimKeeper => {
+): ClaimWriter => {
   let row = firstRow;
   let isLost = false;
   let tail: Promise<unknown> = Promise.resolve();
@@ -70,18 +70,18 @@
     return next;
   };
 
-  const recordEnd = async (write: Write, tries: number): Promise<void> => {
+  const retryOutcomeWrite = async (write: Write, tries: number): Promise<void> => {
     const written = await addWrite(write);
-    if (written.isOk() || written.error.kind === 'lost' || tries >= MAX_END_TRIES) return;
-    const delayMs = Math.max(MIN_END_RETRY_MS, written.error.retryAfterMs);
+    if (written.isOk() || written.error.kind === 'lost' || tries >= MAX_OUTCOME_WRITE_TRIES) return;
+    const delayMs = Math.max(MIN_OUTCOME_RETRY_DELAY_MS, written.error.retryAfterMs);
     await waitDelay(dependencies.clock, delayMs);
-    await recordEnd(write, tries + 1);
+    await retryOutcomeWrite(write, tries + 1);
   };
 
   return {
     recordAttempt: (change) =>
       addWrite((current) => dependencies.claims.updateClaim(current, change)),
-    recordEnd: (answer, { ran }) => {
+    recordOutcome: (answer, { ran }) => {
       const failed = {
         state: ClaimState.Failed,
         ...(ran ? {} : { streamId: '', backendServer: '' }),
@@ -90,7 +90,7 @@
         answer
           ? dependencies.claims.writeAnswer(current, answer)
           : dependencies.claims.updateClaim(current, failed);
-      dependencies.handleEnd(recordEnd(write, 1));
+      dependencies.addPendingWrite(retryOutcomeWrite(write, 1));
     },
   };
 };
--- a/src/application/generations/_lib/createClaimedStart/index.ts
+++ b/src/application/generations/_lib/createClaimedStarter/index.ts
@@ -8,7 +8,7 @@
 import { claimGeneration } from '../claimGeneration';
 import { openFeed } from '../openFeed';
 import { relayGeneration } from '../relayGeneration';
-import { resumeHeld } from '../resumeHeld';
+import { resumeGeneration } from '../resumeGeneration';
 
 type Feed = Result<GenerationFeed, GenerationError>;
 type Claimed = Result<ClaimedGeneration, GenerationError>;
@@ -24,16 +24,16 @@
  * @param context - Generations of this VM.
  * @returns Function that starts such a request or attaches to the generation it already has.
  */
-export const createClaimedStart = (
+export const createClaimedStarter = (
   context: GenerationsContext,
 ): ((request: GenerationRequest, signal: AbortSignal) => Promise<Feed>) => {
-  const claiming = new Map<string, Promise<Claimed>>();
+  const pendingClaims = new Map<string, Promise<Claimed>>();
 
   const claim = async (request: GenerationRequest, keyDigest: string): Promise<Claimed> => {
     const name = `${request.workspace}#${keyDigest}`;
     // Two POSTs of one key at this VM: the second waits for the first one's claim, and is looked
     // at again after it, as its body may be another one.
-    await claiming.get(name);
+    await pendingClaims.get(name);
     const held = context.store.findByKey(request.workspace, keyDigest);
     if (held && !held.readFailure()) {
       return held.request?.digest === request.digest
@@ -41,9 +41,9 @@
         : err(buildError('idempotency_key_reused'));
     }
     const claimed = claimGeneration(context, { request, keyDigest });
-    claiming.set(name, claimed);
+    pendingClaims.set(name, claimed);
     const outcome = await claimed;
-    if (claiming.get(name) === claimed) claiming.delete(name);
+    if (pendingClaims.get(name) === claimed) pendingClaims.delete(name);
     return outcome;
   };
 
@@ -56,9 +56,9 @@
       clock: context.dependencies.clock,
       offset: 0,
       chain: buildInitialChain(request, row.generationId),
-      resumeElsewhere: (cursor, prefixTokenIds) =>
+      resumeWithoutPeer: (cursor, prefixTokenIds) =>
         cursor
-          ? resumeHeld(
+          ? resumeGeneration(
               context,
               { requestId: request.requestId, cursor, prefixTokenIds, request },
               signal,
--- a/src/application/generations/_lib/createGrowingArray/index.ts
+++ b/src/application/generations/_lib/createGrowingArray/index.ts
@@ -7,7 +7,7 @@
   slice(from: number, to: number): T;
 }
 
-const FIRST_CAPACITY = 64;
+const INITIAL_CAPACITY = 64;
 const GROWTH_FACTOR = 1.5;
 
 /**
@@ -19,7 +19,7 @@
 export const createGrowingArray = <T extends Uint32Array | Uint8Array>(
   allocate: (length: number) => T,
 ): GrowingArray<T> => {
-  let storage = allocate(FIRST_CAPACITY);
+  let storage = allocate(INITIAL_CAPACITY);
   let length = 0;
 
   const reserve = (wanted: number): void => {
--- a/src/application/generations/_lib/createNotifier/index.ts
+++ b/src/application/generations/_lib/createNotifier/index.ts
@@ -13,9 +13,9 @@
   let waiting: (() => void)[] = [];
   return {
     notify: () => {
-      const woken = waiting;
+      const resolvers = waiting;
       waiting = [];
-      woken.forEach((wake) => wake());
+      resolvers.forEach((wake) => wake());
     },
     wait: () =>
       new Promise((resolve) => {
--- a/src/application/generations/_lib/createRun/index.ts
+++ b/src/application/generations/_lib/createRun/index.ts
@@ -23,22 +23,24 @@
  *
  * @param options - What the run works with.
  * @param firstState - State to begin with.
- * @param taken - Handle of an engine's stream that is taken over, if any.
+ * @param existingAttempt - Handle of an engine's stream that is taken over, if any.
  * @returns Run that waits for its `started` input.
  */
 export const createRun = (
   options: RunOptions,
   firstState: GenerationState,
-  taken: AttemptHandle | null = null,
+  existingAttempt: AttemptHandle | null = null,
 ): GenerationRun => {
   const { clock } = options.dependencies;
   const { log } = options;
   const notifier = createNotifier();
-  const handles = new Map<number, AttemptHandle>(taken ? [[taken.attempt, taken]] : []);
+  const handles = new Map<number, AttemptHandle>(
+    existingAttempt ? [[existingAttempt.attempt, existingAttempt]] : [],
+  );
   const queue = createInputQueue<GenerationInput>();
   let state = firstState;
   let failure: GenerationError | null = null;
-  let leader: AttemptHandle | null = taken;
+  let lastDelivering: AttemptHandle | null = existingAttempt;
   let idleSinceMs: number | null = clock.readMonotonicMs();
   let retryAtMs: number | null = null;
   let hasStarted = false;
@@ -56,7 +58,7 @@
     // Engines that number events instead of tokens are read by the forwarding, never by a run.
     if (!('tokenIds' in effect.batch)) return;
     log.append(effect.batch);
-    leader = handles.get(effect.attempt) ?? leader;
+    lastDelivering = handles.get(effect.attempt) ?? lastDelivering;
     if (effect.batch.finishReason !== null) {
       closeAttempt(context, effect.attempt, 'finished', { cancel: false });
     }
@@ -66,15 +68,15 @@
     const offset = log.readEndOffset();
     const isMarked = log.readFinishReason() !== null;
     if (!isMarked) log.append({ offset, tokenIds: [], text: '', finishReason });
-    options.claim.keeper?.recordEnd(buildAnswer(context), { ran: true });
+    options.claim.writer?.recordOutcome(buildAnswer(context), { ran: true });
   };
 
   const fail = (error: GenerationError): void => {
     failure = error;
-    options.claim.keeper?.recordEnd(null, { ran: error.runState !== RunState.NotRun });
+    options.claim.writer?.recordOutcome(null, { ran: error.runState !== RunState.NotRun });
   };
 
-  const runOne = (effect: GenerationEffect): void => {
+  const handleEffect = (effect: GenerationEffect): void => {
     if (effect.kind === 'deliver') deliver(effect);
     else if (effect.kind === 'finish') finish(effect.finishReason);
     else if (effect.kind === 'fail') fail(effect.failure);
@@ -82,18 +84,18 @@
     else runEffect(context, effect satisfies AttemptEffect);
   };
 
-  const takeInput = (input: GenerationInput): void => {
+  const handleInput = (input: GenerationInput): void => {
     if (input.kind === 'retry-due') retryAtMs = null;
     const next = updateGeneration(state, input);
     state = next.state;
-    next.effects.forEach(runOne);
+    next.effects.forEach(handleEffect);
     const isFollowed = state.callers > 0 && !isEnded();
     if (isFollowed) idleSinceMs = null;
     else idleSinceMs ??= clock.readMonotonicMs();
     if (next.effects.length > 0 || input.kind === 'caller-left') notifier.notify();
   };
 
-  queue.setHandler(takeInput);
+  queue.setHandler(handleInput);
 
   const run: GenerationRun = {
     generationId: options.generationId,
@@ -105,8 +107,8 @@
     attempts: handles,
     readState: () => state,
     readFailure: () => failure,
-    readLeader: () => leader,
-    setClaimKeeper: (keeper) => Object.assign(options.claim, { keeper }),
+    readLastDeliveringAttempt: () => lastDelivering,
+    setClaimWriter: (writer) => Object.assign(options.claim, { writer }),
     isEnded,
     readIdleSinceMs: () => idleSinceMs,
     readRetryAtMs: () => retryAtMs,
--- a/src/application/generations/_lib/createSweeper/index.ts
+++ b/src/application/generations/_lib/createSweeper/index.ts
@@ -11,7 +11,7 @@
 const SWEEP_INTERVAL_MS = 25;
 
 /** A timer that is later than this tells that the process stood still. */
-const STALL_MS = 75;
+const STALL_THRESHOLD_MS = 75;
 
 /**
  * Creates a sweeper.
@@ -30,7 +30,7 @@
     cancelTimer = clock.startTimer(SWEEP_INTERVAL_MS, () => {
       const lateMs = clock.readMonotonicMs() - dueAtMs;
       cancelTimer = null;
-      if (sweep(lateMs > STALL_MS ? lateMs : 0) && !cancelTimer) schedule();
+      if (sweep(lateMs > STALL_THRESHOLD_MS ? lateMs : 0) && !cancelTimer) schedule();
     });
   };
 
--- a/src/application/generations/_lib/openFeed/index.ts
+++ b/src/application/generations/_lib/openFeed/index.ts
@@ -4,7 +4,7 @@
 import { buildError } from '../buildError';
 import { createNotifier } from '../createNotifier';
 
-const hasNews = (run: GenerationRun, offset: number): boolean =>
+const hasUpdate = (run: GenerationRun, offset: number): boolean =>
   run.isEnded() || run.log.readEndOffset() > offset;
 
 /**
@@ -24,12 +24,12 @@
   const feed = run.attach(offset);
   if (!feed) return err(buildError('generation_lost'));
   run.start();
-  const gone = createNotifier();
-  signal.addEventListener('abort', gone.notify, { once: true });
-  while (!hasNews(run, offset) && !signal.aborted) {
-    await Promise.race([run.waitForChange(), gone.wait()]);
+  const disconnected = createNotifier();
+  signal.addEventListener('abort', disconnected.notify, { once: true });
+  while (!hasUpdate(run, offset) && !signal.aborted) {
+    await Promise.race([run.waitForChange(), disconnected.wait()]);
   }
-  signal.removeEventListener('abort', gone.notify);
+  signal.removeEventListener('abort', disconnected.notify);
   const failure = run.readFailure();
   if (failure && run.log.readEndOffset() <= offset) {
     feed.detach();
--- a/src/application/generations/_lib/readEnginePrefix/index.ts
+++ b/src/application/generations/_lib/readEnginePrefix/index.ts
@@ -1,12 +1,12 @@
 import type { GenerationsContext } from '../../types';
-import type { TakenStream } from '../buildRun';
+import type { ExistingStream } from '../buildRun';
 
 /** Kept tokens come at once; an engine that takes longer is better left to the silence limits. */
 const READ_TIMEOUT_MS = 400;
 
 const readTokens = async (
   context: GenerationsContext,
-  { server, streamId }: TakenStream,
+  { server, streamId }: ExistingStream,
   count: number,
   signal: AbortSignal,
 ): Promise<readonly number[] | null> => {
@@ -28,13 +28,13 @@
  * Reads the first tokens of an engine's stream, as its new reader does not have them.
  *
  * @param context - Generations of this VM.
- * @param taken - Stream to read.
+ * @param existingStream - Stream to read.
  * @param count - Tokens wanted.
  * @returns At least so many tokens, fewer if the stream broke, or null if it cannot be read soon.
  */
 export const readEnginePrefix = async (
   context: GenerationsContext,
-  taken: TakenStream,
+  existingStream: ExistingStream,
   count: number,
 ): Promise<readonly number[] | null> => {
   const abort = new AbortController();
@@ -42,7 +42,10 @@
   const timeout = new Promise<null>((resolve) => {
     stopTimer = context.dependencies.clock.startTimer(READ_TIMEOUT_MS, () => resolve(null));
   });
-  const tokens = await Promise.race([readTokens(context, taken, count, abort.signal), timeout]);
+  const tokens = await Promise.race([
+    readTokens(context, existingStream, count, abort.signal),
+    timeout,
+  ]);
   stopTimer();
   abort.abort();
   return tokens;
--- a/src/application/generations/_lib/recordResume/index.ts
+++ b/src/application/generations/_lib/recordResume/index.ts
@@ -4,9 +4,9 @@
  * Records that a generation goes on after a failure.
  *
  * @param context - Run.
- * @param way - How it goes on.
+ * @param method - How it goes on.
  */
-export const recordResume = (context: RunContext, way: string): void => {
+export const recordResume = (context: RunContext, method: string): void => {
   const { decisionLog, configuration } = context.dependencies;
   decisionLog.record({
     kind: 'resume',
@@ -16,7 +16,7 @@
     candidates: [],
     filtered: [],
     choice: '',
-    reason: `${way} at token ${context.log.readEndOffset()}`,
+    reason: `${method} at token ${context.log.readEndOffset()}`,
     configurationVersion: configuration.readCurrent()?.version ?? 0,
   });
 };
--- a/src/application/generations/_lib/relayGeneration/index.ts
+++ b/src/application/generations/_lib/relayGeneration/index.ts
@@ -10,17 +10,17 @@
   readonly offset: number;
   readonly chain: string;
   /** Goes on without the peer; the cursor is null if nothing has been relayed. */
-  readonly resumeElsewhere: (
+  readonly resumeWithoutPeer: (
     last: Cursor | null,
     tokenIds: readonly number[],
   ) => Promise<Result<GenerationFeed, GenerationError>>;
 }
 
 /** Silence after which a peer that has begun to deliver is taken for stuck. */
-const SILENCE_LIMIT_MS = 2_000;
+const SILENCE_TIMEOUT_MS = 2_000;
 
 /** Failures that tell of the peer's part in the generation and not of the generation. */
-const PEER_CODES: ReadonlySet<string> = new Set([
+const PEER_ERROR_CODES: ReadonlySet<string> = new Set([
   'peer_lost',
   'generation_moved',
   'generation_expired',
@@ -31,11 +31,11 @@
 const readNext = async (
   iterator: AsyncIterator<GenerationEvent>,
   clock: Clock,
-  limited: boolean,
+  hasTimeout: boolean,
 ): Promise<GenerationEvent | typeof LOST> => {
   let stopTimer = (): void => undefined;
   const silence = new Promise<typeof LOST>((resolve) => {
-    if (limited) stopTimer = clock.startTimer(SILENCE_LIMIT_MS, () => resolve(LOST));
+    if (hasTimeout) stopTimer = clock.startTimer(SILENCE_TIMEOUT_MS, () => resolve(LOST));
   });
   const next = iterator.next().then((result) => (result.done ? LOST : result.value));
   const event = await Promise.race([next, silence]);
@@ -65,7 +65,7 @@
       const event = await readNext(iterator, options.clock, last !== null);
       if (event === LOST) return last;
       if (event.kind === 'failed') {
-        if (PEER_CODES.has(event.error.code)) return last;
+        if (PEER_ERROR_CODES.has(event.error.code)) return last;
         yield event;
         isAttached = false;
         return last;
@@ -87,12 +87,12 @@
     const last = yield* relayPeer(relayed);
     feed.detach();
     if (!isAttached) return;
-    const elsewhere = await options.resumeElsewhere(last, relayed);
-    if (elsewhere.isErr()) {
-      yield { kind: 'failed', error: elsewhere.error };
+    const resumed = await options.resumeWithoutPeer(last, relayed);
+    if (resumed.isErr()) {
+      yield { kind: 'failed', error: resumed.error };
       return;
     }
-    current = elsewhere.value;
+    current = resumed.value;
     if (isAttached) yield* current.events;
     else current.detach();
   }
--- a/src/application/generations/_lib/resumeHeld/index.ts
+++ b/src/application/generations/_lib/resumeGeneration/index.ts
@@ -8,11 +8,11 @@
 
 type Feed = Result<GenerationFeed, GenerationError>;
 
-const findAgreeing = (context: GenerationsContext, cursor: Cursor): GenerationRun | null => {
+const findMatchingRun = (context: GenerationsContext, cursor: Cursor): GenerationRun | null => {
   const run = context.store.find(cursor.workspace, cursor.generationId);
   if (!run || run.readFailure()) return null;
-  const agrees = run.log.computeChainAt(cursor.offset) === cursor.chain;
-  return agrees && run.log.findBatch(cursor.offset) !== null ? run : null;
+  const isMatching = run.log.computeChainAt(cursor.offset) === cursor.chain;
+  return isMatching && run.log.findBatch(cursor.offset) !== null ? run : null;
 };
 
 const takeOver = async (
@@ -21,7 +21,7 @@
   signal: AbortSignal,
 ): Promise<Feed> => {
   // A second connection of the same caller may have taken it over while the peer was asked.
-  const held = findAgreeing(context, resume.cursor);
+  const held = findMatchingRun(context, resume.cursor);
   if (held) return openFeed(held, resume.cursor.offset, signal);
   const run = await takeOverGeneration(context, resume);
   if (run.isErr()) return err(run.error);
@@ -51,13 +51,13 @@
  * @param signal - Aborted when the caller goes away.
  * @returns Feed from the cursor on, or a clear error.
  */
-export const resumeHeld = async (
+export const resumeGeneration = async (
   context: GenerationsContext,
   resume: ResumeRequest,
   signal: AbortSignal,
 ): Promise<Feed> => {
   const { cursor, prefixTokenIds } = resume;
-  const held = findAgreeing(context, cursor);
+  const held = findMatchingRun(context, cursor);
   if (held) return openFeed(held, cursor.offset, signal);
   const peer = await attachToPeer(context, resume);
   if (!peer) return takeOver(context, resume, signal);
@@ -65,7 +65,7 @@
     clock: context.dependencies.clock,
     offset: cursor.offset,
     chain: cursor.chain,
-    resumeElsewhere: (last, tokenIds) => {
+    resumeWithoutPeer: (last, tokenIds) => {
       const prefix = prefixTokenIds
         ? [...prefixTokenIds.slice(0, cursor.offset), ...tokenIds]
         : null;
--- a/src/application/generations/_lib/runEffect/index.ts
+++ b/src/application/generations/_lib/runEffect/index.ts
@@ -22,7 +22,7 @@
 };
 
 /** A defect in a started attempt must not leave its generation waiting without end. */
-const watchAttempt = (
+const handleDefects = (
   context: RunContext,
   reader: { readonly attempt: number; readonly connection: number },
   work: Promise<void>,
@@ -37,11 +37,11 @@
 const RUNNERS: Runners = {
   'open-attempt': (context, effect) => {
     if (effect.purpose !== 'start') recordResume(context, effect.purpose);
-    watchAttempt(context, effect.reader, startAttempt(context, effect));
+    handleDefects(context, effect.reader, startAttempt(context, effect));
   },
   'resume-stream': (context, effect) => {
     recordResume(context, 'same stream');
-    watchAttempt(context, effect.reader, resumeStream(context, effect));
+    handleDefects(context, effect.reader, resumeStream(context, effect));
   },
   'cancel-attempt': (context, { attempt }) =>
     closeAttempt(context, attempt, 'failed', { cancel: true }),
--- a/src/application/generations/_lib/sweepRun/index.ts
+++ b/src/application/generations/_lib/sweepRun/index.ts
@@ -2,13 +2,13 @@
 import { BackendHealth } from '../../../../domain/types';
 import type { GenerationRun, GenerationsDependencies } from '../../types';
 import { computeAttemptLimits } from '../computeAttemptLimits';
-import type { PaceHistory } from '../../../_lib/createPaceHistory';
+import type { LatencyHistory } from '../../../_lib/createLatencyHistory';
 import type { ServerActivity } from '../createServerActivity';
 
 /** What a sweep looks with. */
 export interface SweepOptions {
   readonly dependencies: GenerationsDependencies;
-  readonly paces: PaceHistory;
+  readonly latencyHistory: LatencyHistory;
   readonly serverActivity: ServerActivity;
   readonly nowMs: number;
   /** Time that this process itself was stalled before the sweep, in milliseconds. */
@@ -18,7 +18,7 @@
 }
 
 /** A server that delivered a token to any stream so lately is at work. */
-const ACTIVE_MS = 200;
+const ACTIVITY_WINDOW_MS = 200;
 
 const sweepAttempt = (run: GenerationRun, attempt: Attempt, options: SweepOptions): void => {
   const handle = run.attempts.get(attempt.attempt);
@@ -31,10 +31,10 @@
     return;
   }
   const limits = computeAttemptLimits(attempt.phase, handle, {
-    firstTokens: options.paces.listFirstTokens(run.service),
+    firstTokens: options.latencyHistory.listFirstTokens(run.service),
     promptCharacters: run.request?.promptCharacters ?? 0,
     serverActive:
-      options.nowMs - options.serverActivity.readLastMs(attempt.backendServer) < ACTIVE_MS,
+      options.nowMs - options.serverActivity.readLastMs(attempt.backendServer) < ACTIVITY_WINDOW_MS,
     serverDead:
       options.dependencies.health.readHealth(attempt.backendServer) === BackendHealth.Dead,
   });
--- a/src/application/generations/_lib/takeOverGeneration/index.ts
+++ b/src/application/generations/_lib/takeOverGeneration/index.ts
@@ -5,44 +5,47 @@
 import type { GenerationRun, GenerationsContext } from '../../types';
 import { buildError } from '../buildError';
 import { buildInitialChain } from '../buildInitialChain';
-import { buildRun, type TakenStream } from '../buildRun';
+import { buildRun, type ExistingStream } from '../buildRun';
 import { findServer } from '../findServer';
 import { readEnginePrefix } from '../readEnginePrefix';
 
 /** Tokens up to the cursor with the request they answer, so that any engine can go on. */
-interface WholePrefix {
+interface VerifiedPrefix {
   readonly request: GenerationRequest;
   readonly chain: string;
   readonly tokenIds: readonly number[];
 }
 
-const checkPrefix = (
+const verifyPrefix = (
   cursor: Cursor,
   request: GenerationRequest,
   tokenIds: readonly number[],
-): WholePrefix | null => {
+): VerifiedPrefix | null => {
   const held = tokenIds.slice(0, cursor.offset);
   const chain = buildInitialChain(request, cursor.generationId);
-  const agrees = held.length === cursor.offset && addTokensToChain(chain, held) === cursor.chain;
-  return agrees ? { request, chain, tokenIds: held } : null;
+  const isMatching =
+    held.length === cursor.offset && addTokensToChain(chain, held) === cursor.chain;
+  return isMatching ? { request, chain, tokenIds: held } : null;
 };
 
 const findPrefix = async (
   context: GenerationsContext,
   resume: ResumeRequest,
-  taken: TakenStream | null,
-): Promise<Result<WholePrefix | null, GenerationError>> => {
+  existingStream: ExistingStream | null,
+): Promise<Result<VerifiedPrefix | null, GenerationError>> => {
   const { cursor, request, prefixTokenIds } = resume;
   if (!request) return ok(null);
   if (cursor.offset === 0 || prefixTokenIds) {
-    const prefix = checkPrefix(cursor, request, prefixTokenIds ?? []);
+    const prefix = verifyPrefix(cursor, request, prefixTokenIds ?? []);
     return prefix ? ok(prefix) : err(buildError('prefix_mismatch'));
   }
   const held = context.store.find(cursor.workspace, cursor.generationId)?.log.listTokenIds();
-  const own = held ? checkPrefix(cursor, request, held) : null;
-  if (own) return ok(own);
-  const kept = taken ? await readEnginePrefix(context, taken, cursor.offset) : null;
-  return ok(kept ? checkPrefix(cursor, request, kept) : null);
+  const localPrefix = held ? verifyPrefix(cursor, request, held) : null;
+  if (localPrefix) return ok(localPrefix);
+  const engineTokens = existingStream
+    ? await readEnginePrefix(context, existingStream, cursor.offset)
+    : null;
+  return ok(engineTokens ? verifyPrefix(cursor, request, engineTokens) : null);
 };
 
 /**
@@ -59,21 +62,21 @@
 ): Promise<Result<GenerationRun, GenerationError>> => {
   const { cursor } = resume;
   const server = findServer(context, cursor);
-  const taken = server && cursor.streamId ? { server, streamId: cursor.streamId } : null;
-  const found = await findPrefix(context, resume, taken);
+  const existingStream = server && cursor.streamId ? { server, streamId: cursor.streamId } : null;
+  const found = await findPrefix(context, resume, existingStream);
   if (found.isErr()) return err(found.error);
   const prefix = found.value;
-  if (!taken && !prefix) return err(buildError('generation_lost'));
+  if (!existingStream && !prefix) return err(buildError('generation_lost'));
   const run = buildRun(context, {
     generationId: cursor.generationId,
     workspace: cursor.workspace,
     service: cursor.service,
     request: prefix?.request ?? null,
     chain: prefix?.chain ?? cursor.chain,
-    missing: prefix ? 0 : cursor.offset,
+    missingTokens: prefix ? 0 : cursor.offset,
     prefixTokenIds: prefix?.tokenIds ?? [],
     newestAttempt: cursor.attempt,
-    taken,
+    existingStream,
     keyed: false,
   });
   context.addRun(run);
--- a/src/application/keeper/createKeeper/index.ts
+++ b/src/application/keeper/createKeeper/index.ts
@@ -12,13 +12,13 @@
 } from '../../ports';
 
 /** Time between two looks at the engines while one of them is not as desired. */
-export const TURN_MS = 1_000;
+export const RECONCILE_INTERVAL_MS = 1_000;
 /** Shortest time between two looks while all are as desired. */
-export const IDLE_TURN_MS = 5_000;
+export const MIN_IDLE_RECONCILE_INTERVAL_MS = 5_000;
 /** Idle looks are spread out in large regions: each report costs some 500 bytes of the budget. */
 const IDLE_MS_PER_ENGINE = 150;
-const RESEND_MS = 30_000;
-const BESIDE_MS = 300_000;
+const RESEND_AFTER_MS = 30_000;
+const SIDE_BY_SIDE_TIMEOUT_MS = 300_000;
 
 /** What the keeper needs. */
 export interface KeeperDependencies {
@@ -47,12 +47,14 @@
 };
 
 function listTargets(configuration: Configuration, region: string): readonly EngineTarget[] {
-  const here = new Set(
+  const regionServers = new Set(
     configuration.backendServers
       .filter((server) => server.region === region)
       .map(({ name }) => name),
   );
-  return configuration.engineTargets.filter(({ backendServer }) => here.has(backendServer));
+  return configuration.engineTargets.filter(({ backendServer }) =>
+    regionServers.has(backendServer),
+  );
 }
 
 /** Creates the keeper. */
@@ -61,11 +63,11 @@
   const pending = new Map<string, PendingOrder>();
   let loadsBlockedUntilMs = 0;
   let plan: OrderPlan | null = null;
-  let turn: Promise<void> = Promise.resolve();
+  let reconciliation: Promise<void> = Promise.resolve();
   let stopped = false;
   let engineCount = 0;
-  let isTurnRunning = false;
-  let isTurnWanted = false;
+  let isReconciling = false;
+  let isReconcileRequested = false;
   let cancelTimer = (): void => {};
   let removeListener = (): void => {};
 
@@ -79,10 +81,10 @@
   const readState = async (server: BackendServer): Promise<EngineState> => {
     const report = (await deps.engines.readLoad(server)).unwrapOr(null);
     // Engines that don't check orders still tell the highest token that they were sent.
-    if (report !== null) lease.recordStale(report.fencingToken);
+    if (report !== null) lease.recordObservedToken(report.fencingToken);
     return buildState(server.name, report);
   };
-  const removeFulfilled = (states: readonly EngineState[], current: OrderPlan): void => {
+  const removeCompleted = (states: readonly EngineState[], current: OrderPlan): void => {
     const unfinished = new Set([
       ...current.orders.map(({ order }) => order.backendServer),
       ...current.waiting.map(({ backendServer }) => backendServer),
@@ -105,7 +107,7 @@
     pending.set(backendServer, { models, role, sentAtMs, firstSentAtMs });
   };
   const errorHandlers: OrderErrorHandlers = {
-    'stale-order': ({ fencingToken }) => lease.recordStale(fencingToken),
+    'stale-order': ({ fencingToken }) => lease.recordObservedToken(fencingToken),
     'not-started': ({ retryAfterMs }) => {
       loadsBlockedUntilMs = Math.max(loadsBlockedUntilMs, clock.readMonotonicMs() + retryAfterMs);
     },
@@ -144,7 +146,7 @@
       configurationVersion,
     });
 
-  const runTurn = async (): Promise<void> => {
+  const reconcile = async (): Promise<void> => {
     const current = deps.configuration.readCurrent();
     if (current === null || lease.readOrderToken() === null) {
       // Another keeper's orders are not known here: what was pending says nothing any more.
@@ -166,11 +168,11 @@
       fencingToken,
       nowMs,
       maxLoads: deps.maxLoads,
-      resendAfterMs: RESEND_MS,
-      sideBySideTimeoutMs: BESIDE_MS,
+      resendAfterMs: RESEND_AFTER_MS,
+      sideBySideTimeoutMs: SIDE_BY_SIDE_TIMEOUT_MS,
       loadsBlocked: nowMs < loadsBlockedUntilMs,
     });
-    removeFulfilled(states, plan);
+    removeCompleted(states, plan);
     for (const planned of plan.orders) {
       const server = servers.get(planned.order.backendServer);
       recordDecision(planned, current.version);
@@ -178,35 +180,37 @@
     }
   };
   const computeDelayMs = (): number => {
-    if (isTurnWanted) return 0;
+    if (isReconcileRequested) return 0;
     const isBusy = pending.size > 0 || (plan !== null && plan.orders.length > 0);
-    return isBusy ? TURN_MS : Math.max(IDLE_TURN_MS, engineCount * IDLE_MS_PER_ENGINE);
+    return isBusy
+      ? RECONCILE_INTERVAL_MS
+      : Math.max(MIN_IDLE_RECONCILE_INTERVAL_MS, engineCount * IDLE_MS_PER_ENGINE);
   };
-  const runTurns = async (): Promise<void> => {
-    isTurnRunning = true;
-    isTurnWanted = false;
-    turn = runTurn();
-    await turn;
-    isTurnRunning = false;
-    if (!stopped) cancelTimer = clock.startTimer(computeDelayMs(), runTurns);
+  const runReconcileLoop = async (): Promise<void> => {
+    isReconciling = true;
+    isReconcileRequested = false;
+    reconciliation = reconcile();
+    await reconciliation;
+    isReconciling = false;
+    if (!stopped) cancelTimer = clock.startTimer(computeDelayMs(), runReconcileLoop);
   };
-  const runTurnSoon = (): void => {
-    isTurnWanted = true;
-    if (isTurnRunning || stopped) return;
+  const scheduleReconcile = (): void => {
+    isReconcileRequested = true;
+    if (isReconciling || stopped) return;
     cancelTimer();
-    cancelTimer = clock.startTimer(0, runTurns);
+    cancelTimer = clock.startTimer(0, runReconcileLoop);
   };
 
   return {
     start: () => {
-      removeListener = deps.configuration.addListener(runTurnSoon);
-      runTurns();
+      removeListener = deps.configuration.addListener(scheduleReconcile);
+      runReconcileLoop();
     },
     stop: async () => {
       stopped = true;
       removeListener();
       cancelTimer();
-      await turn;
+      await reconciliation;
     },
     readPlan: () => plan,
   };
--- a/src/application/lease/createLeaseHolder/index.ts
+++ b/src/application/lease/createLeaseHolder/index.ts
@@ -24,7 +24,7 @@
 /** Partition of the lease rows; the sort key is the region. */
 export const LEASE_PARTITION = 'lease';
 /** Mean time between two looks at a lease that another process holds. */
-const WATCH_MS = 4_000;
+const WATCH_INTERVAL_MS = 4_000;
 const WATCH_JITTER = 0.25;
 const HOLDER_ID_BYTES = 8;
 
@@ -59,9 +59,9 @@
   /** The fencing token if an order may be sent right now, else null. Ask before each order. */
   readOrderToken(): number | null;
   /** An engine has seen a higher token: someone else holds, or held, the lease. */
-  recordStale(fencingToken: number): void;
+  recordObservedToken(fencingToken: number): void;
   /** The row as last seen, or null. */
-  readLastSeen(): LeaseRow | null;
+  readLastObservedRow(): LeaseRow | null;
 }
 
 /**
@@ -78,8 +78,8 @@
   const { region, vm, table, clock, randomness, log } = deps;
   const holder = `${vm}-${randomness.readHex(HOLDER_ID_BYTES)}`;
   let held: HeldLease | null = null;
-  let sighting: LeaseObservation | null = null;
-  let leastRevision = 0;
+  let observation: LeaseObservation | null = null;
+  let minRevision = 0;
   let stopped = false;
   let cancelTimer = (): void => {};
 
@@ -105,54 +105,54 @@
       return false;
     }
     const row = decoded === null ? null : decoded.unwrapOr(null);
-    sighting = updateLeaseObservation(sighting, row, clock.readMonotonicMs());
+    observation = updateLeaseObservation(observation, row, clock.readMonotonicMs());
     return true;
   };
-  const isWritten = async (
+  const confirmWrite = async (
     written: Result<void, StoreError>,
     revision: number,
   ): Promise<boolean> => {
     if (written.isOk()) return true;
     if (written.error.kind !== 'ambiguous') return false;
     const isRead = await readRow();
-    return isRead && sighting?.row?.holder === holder && sighting.row.revision === revision;
+    return isRead && observation?.row?.holder === holder && observation.row.revision === revision;
   };
   const writeLease = async (before: LeaseRow | null): Promise<void> => {
-    const revision = Math.max((before?.revision ?? 0) + 1, leastRevision);
+    const revision = Math.max((before?.revision ?? 0) + 1, minRevision);
     const row: LeaseRow = { holder, vm, durationMs, revision };
     const condition: WriteCondition =
       before === null ? { kind: 'absent' } : { kind: 'revision', revision: before.revision };
     // The lease counts from before the write: the table may apply it at any moment from here on.
     const renewedAtMs = clock.readMonotonicMs();
     const written = await table.writeItem(buildItem(row), condition);
-    if (!(await isWritten(written, revision))) {
+    if (!(await confirmWrite(written, revision))) {
       if (written.isErr() && written.error.kind === 'condition-failed') dropLease('taken over');
       return;
     }
     if (stopped) return;
     if (held === null) log.info('lease taken', { region, revision });
     held = { revision, renewedAtMs, durationMs };
-    sighting = updateLeaseObservation(sighting, row, clock.readMonotonicMs());
+    observation = updateLeaseObservation(observation, row, clock.readMonotonicMs());
   };
-  const runTurn = async (): Promise<void> => {
+  const runCycle = async (): Promise<void> => {
     const isRead = await readRow();
-    if (isRead && !stopped && sighting !== null) {
-      const isOwn = sighting.row?.holder === holder;
+    if (isRead && !stopped && observation !== null) {
+      const isOwn = observation.row?.holder === holder;
       if (!isOwn) dropLease('another holder');
-      const isDue = isTakeoverDue(sighting, clock.readMonotonicMs(), takeoverMarginMs);
-      if (isOwn || isDue) await writeLease(sighting.row);
+      const isDue = isTakeoverDue(observation, clock.readMonotonicMs(), takeoverMarginMs);
+      if (isOwn || isDue) await writeLease(observation.row);
     }
     if (stopped) return;
     const jitter = 1 + WATCH_JITTER * (2 * randomness.readFraction() - 1);
     cancelTimer = clock.startTimer(
-      held === null ? WATCH_MS * jitter : LEASE_RENEWAL_INTERVAL_MS,
-      runTurn,
+      held === null ? WATCH_INTERVAL_MS * jitter : LEASE_RENEWAL_INTERVAL_MS,
+      runCycle,
     );
   };
 
   return {
     start: () => {
-      runTurn();
+      runCycle();
     },
     stop: async () => {
       stopped = true;
@@ -170,11 +170,11 @@
       isOrderAllowed(held, clock.readMonotonicMs(), orderMarginMs)
         ? (held?.revision ?? null)
         : null,
-    recordStale: (fencingToken) => {
+    recordObservedToken: (fencingToken) => {
       if (held === null || fencingToken <= held.revision) return;
-      leastRevision = fencingToken + 1;
+      minRevision = fencingToken + 1;
       dropLease('an engine has seen a higher token');
     },
-    readLastSeen: () => sighting?.row ?? null,
+    readLastObservedRow: () => observation?.row ?? null,
   };
 }
--- a/src/application/shutdown/createShutdown/index.ts
+++ b/src/application/shutdown/createShutdown/index.ts
@@ -33,7 +33,7 @@
 }
 
 /** Time that handed-over answers get to reach their callers before they are given up. */
-const HAND_OVER_GRACE_MS = 2000;
+const HAND_OVER_TIMEOUT_MS = 2000;
 
 interface RunningWork {
   readonly handOver: (() => void) | null;
@@ -53,15 +53,15 @@
     finished += draining === null ? 0 : 1;
     if (running.size === 0) resolveIdle?.();
   };
-  const listHandedOver = (): RunningWork[] =>
+  const listResumableWork = (): RunningWork[] =>
     [...running].filter(({ handOver }) => handOver !== null);
   // A caller that reads nothing would hold the drain for ever; it has its cursor all the same.
-  const dropStuckWork = (): void => listHandedOver().forEach(endWork);
+  const dropStuckWork = (): void => listResumableWork().forEach(endWork);
   const handOverWork = (): (() => void) => {
-    const work = listHandedOver();
+    const work = listResumableWork();
     handedOver = work.length;
     work.forEach(({ handOver }) => handOver?.());
-    return dependencies.clock.startTimer(HAND_OVER_GRACE_MS, dropStuckWork);
+    return dependencies.clock.startTimer(HAND_OVER_TIMEOUT_MS, dropStuckWork);
   };
   const waitForIdle = async (boundMs: number): Promise<DrainOutcome> => {
     const idle = new Promise<void>((resolve) => {
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -104,7 +104,7 @@
     exchange.recordOwnLeaving(true);
     const limits = configuration.readCurrent()?.configuration.limits;
     const outcome = await shutdown.drain(limits?.drainMs ?? DEFAULT_DRAIN_MS);
-    await generations.waitForEnds(END_WRITE_MS);
+    await generations.waitForPendingWrites(END_WRITE_MS);
     return outcome;
   };
   deferred.setTarget({
