--- a/src/application/generations/_lib/attachClaimWriter/index.ts
+++ b/src/application/generations/_lib/attachClaimWriter/index.ts
@@ -3,11 +3,11 @@
 import { createClaimWriter } from '../createClaimWriter';
 
 /**
- * Gives a run the claim under which it may be sent.
+ * Attaches a writer to a run for the claim under which the run's attempts may be sent.
  *
  * @param context - Generations of this VM.
  * @param run - Run of the claimed request.
- * @param row - Claim as granted to this VM.
+ * @param row - Row of the claim as granted to this VM.
  */
 export const attachClaimWriter = (
   context: GenerationsContext,
--- a/src/application/generations/_lib/buildAnswer/index.ts
+++ b/src/application/generations/_lib/buildAnswer/index.ts
@@ -12,10 +12,10 @@
 };
 
 /**
- * Builds the answer to store of a finished generation.
+ * Builds the answer to store for a finished generation.
  *
  * @param context - Run that has finished.
- * @returns Answer, or null if its beginning is not held here.
+ * @returns Answer, or null if this VM does not hold the generation from its first token.
  */
 export const buildAnswer = (context: RunContext): StoredAnswer | null => {
   const batches = listBatches(context);
--- a/src/application/generations/_lib/buildClaimedRun/index.ts
+++ b/src/application/generations/_lib/buildClaimedRun/index.ts
@@ -3,12 +3,12 @@
 import { buildRun, type ExistingStream } from '../buildRun';
 
 /**
- * Builds the run of a claimed request from its first token on.
+ * Builds the run of a claimed request, which starts at its first token.
  *
  * @param context - Generations of this VM.
  * @param claimed - Request.
- * @param start - Id, and the engine's stream that is taken over if there is one.
- * @returns Run; the caller holds it in the store.
+ * @param start - Generation id, and the engine's stream if one is taken over.
+ * @returns Run; the caller adds it to the store.
  */
 export const buildClaimedRun = (
   context: GenerationsContext,
--- a/src/application/generations/_lib/buildDemand/index.ts
+++ b/src/application/generations/_lib/buildDemand/index.ts
@@ -1,17 +1,17 @@
 import type { Attempt } from '../../../../domain/generation';
 import type { Demand, GenerationRequest, Service } from '../../../../domain/types';
 
-/** Characters of a token on average, for estimates of load only. */
+/** Average characters per token; used only to estimate load. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** How long a resume may wait in the queue: longer than a new request, as it holds finished work. */
+/** Queue timeout of a resume. It may outwait a new request, as tokens are already generated. */
 const RESUME_DEADLINE_MS = 30_000;
 
-/** What one attempt asks for. */
+/** Options of one attempt. */
 export interface DemandOptions {
   readonly purpose: Attempt['purpose'];
   readonly excludedServers: readonly string[];
-  /** Tokens already held. */
+  /** Number of tokens already held. */
   readonly offset: number;
   readonly nowMs: number;
   /** Deadline of the first token, in monotonic milliseconds. */
@@ -19,11 +19,11 @@
 }
 
 /**
- * Builds what an attempt asks of the routing.
+ * Builds the demand that an attempt sends to the router.
  *
  * @param request - Caller's request.
- * @param service - Its service as configured.
- * @param options - The attempt.
+ * @param service - Configured service of the request.
+ * @param options - Options of the attempt.
  * @returns Demand.
  */
 export const buildDemand = (
--- a/src/application/generations/_lib/buildError/index.ts
+++ b/src/application/generations/_lib/buildError/index.ts
@@ -1,7 +1,7 @@
 import { RunState } from '../../../../domain/types';
 import type { GenerationError } from '../../../ports';
 
-/** Errors that callers get before any run is attached to. */
+/** Errors returned to callers that are not yet attached to a run. */
 const ERRORS = {
   unknown_service: { status: 404, runState: RunState.NotRun, message: 'no such service' },
   store_unavailable: {
@@ -39,17 +39,17 @@
     runState: RunState.Ran,
     message: 'no copy of the generation is left: send the request and the tokens received',
   },
-  caller_gone: { status: 499, runState: RunState.Unknown, message: 'the caller went away' },
+  caller_gone: { status: 499, runState: RunState.Unknown, message: 'the caller disconnected' },
 } as const;
 
-/** Codes of these errors. */
+/** Code of an error that is returned before a run is attached to. */
 export type ErrorCode = keyof typeof ERRORS;
 
 /**
- * Builds the error of a code.
+ * Builds the error for a code.
  *
- * @param code - Code as the caller gets it.
- * @param options.retryAfterMs - When to come back, in milliseconds; 0 if that cannot help.
+ * @param code - Code that the caller receives.
+ * @param options.retryAfterMs - Delay before a retry, in milliseconds; 0 if a retry cannot help.
  * @returns Error.
  */
 export const buildError = (
--- a/src/application/generations/_lib/buildGenerationId/index.ts
+++ b/src/application/generations/_lib/buildGenerationId/index.ts
@@ -1,6 +1,6 @@
 import type { GenerationsContext } from '../../types';
 
-/** Enough random bytes that two generations never share an id. */
+/** Random bytes of an id; enough to rule out collisions in practice. */
 const GENERATION_ID_BYTES = 12;
 
 /**
--- a/src/application/generations/_lib/buildInitialChain/index.ts
+++ b/src/application/generations/_lib/buildInitialChain/index.ts
@@ -4,8 +4,8 @@
 /**
  * Builds the chain digest of a generation at offset 0.
  *
- * It covers whether the request may be run again: a caller that comes back with the right prefix
- * but without its mark as non-idempotent would otherwise get a second run of it.
+ * The digest covers whether the request is idempotent. Otherwise a caller that resumes with the
+ * right prefix, but without marking the request as non-idempotent, would cause a second run.
  *
  * @param request - Original request.
  * @param generationId - Id of the generation.
--- a/src/application/generations/_lib/buildRun/index.ts
+++ b/src/application/generations/_lib/buildRun/index.ts
@@ -5,13 +5,13 @@
 import { createRun } from '../createRun';
 import { createTokenLog } from '../createTokenLog';
 
-/** An engine's stream that goes on under a new reader. */
+/** A stream that an engine already runs and that this VM reads from now on. */
 export interface ExistingStream {
   readonly server: BackendServer;
   readonly streamId: string;
 }
 
-/** What a run begins with. */
+/** Initial values of a run. */
 export interface RunStart {
   readonly generationId: string;
   readonly workspace: string;
@@ -19,10 +19,10 @@
   readonly request: GenerationRequest | null;
   /** Chain digest before `prefixTokenIds`. */
   readonly chain: string;
-  /** Tokens before them that are not held. */
+  /** Number of tokens before `prefixTokenIds` that are not held. */
   readonly missingTokens: number;
   readonly prefixTokenIds: readonly number[];
-  /** Number of the newest attempt known of. */
+  /** Number of the newest known attempt. */
   readonly newestAttempt: number;
   readonly existingStream: ExistingStream | null;
   readonly keyed: boolean;
@@ -34,8 +34,8 @@
  * Builds a run that is ready for its `started` input.
  *
  * @param context - Generations of this VM.
- * @param start - What it begins with.
- * @returns Run; the caller holds it in the store.
+ * @param start - Initial values of the run.
+ * @returns Run; the caller adds it to the store.
  */
 export const buildRun = (context: GenerationsContext, start: RunStart): GenerationRun => {
   const { dependencies, cancelQueue, latencyHistory, serverActivity } = context;
--- a/src/application/generations/_lib/claimGeneration/index.ts
+++ b/src/application/generations/_lib/claimGeneration/index.ts
@@ -13,7 +13,7 @@
 import { handleExistingClaim } from '../handleExistingClaim';
 import { attachClaimWriter } from '../attachClaimWriter';
 
-/** Times that a claim may change hands while it is looked at, before the caller is sent away. */
+/** Tries to acquire a claim that other VMs keep taking over, before the caller gets an error. */
 const MAX_CLAIM_TRIES = 5;
 const RETRY_AFTER_MS = 1_000;
 
@@ -33,7 +33,7 @@
     const retryAfterMs = 'retryAfterMs' in error ? error.retryAfterMs : 0;
     return err(buildError('store_unavailable', { retryAfterMs }));
   }
-  // Best effort while the store is down: repeats at this entry still attach to the one run.
+  // Best effort while the store is down: repeats of the request at this VM attach to the same run.
   context.addRun(run, keyDigest);
   return ok({ kind: 'run', run });
 };
@@ -49,9 +49,10 @@
     existingStream: null,
     newestAttempt: 0,
   });
-  // Held before the claim is written: a second POST of the key, at another VM, may read the row
-  // and ask for the generation before the reply of the write is here. Told that it is not held,
-  // that VM would take the claim over, and this VM's caller would lose its answer.
+  // The run is added before the claim is written. Another VM that gets a POST with the same key may
+  // read the row and ask for the generation before the response to the write arrives here. If this
+  // VM did not hold the run yet, the other VM would take the claim over, and this VM's caller would
+  // lose its answer.
   context.addRun(run);
   const outcome = await context.dependencies.claims.acquireClaim({
     workspace: request.workspace,
@@ -71,11 +72,14 @@
 };
 
 /**
- * Finds or makes the one generation of a claimed request. Nothing is sent before the claim is ours.
+ * Finds or creates the single generation of a claimed request.
+ *
+ * A non-idempotent request is sent only after this VM holds the claim. An idempotent one runs
+ * without a claim while the store is unavailable.
  *
  * @param context - Generations of this VM.
  * @param claimed - Request with its key.
- * @returns Run or peer to follow, or why there is none.
+ * @returns Run or peer feed to follow, or an error.
  */
 export const claimGeneration = async (
   context: GenerationsContext,
--- a/src/application/generations/_lib/closeAttempt/index.ts
+++ b/src/application/generations/_lib/closeAttempt/index.ts
@@ -2,12 +2,12 @@
 import type { RunContext } from '../../types';
 
 /**
- * Stops reading an attempt and gives its slot back.
+ * Stops reading an attempt and releases its slot.
  *
- * @param context - Run that it belongs to.
- * @param attempt - Number of the attempt; one that is closed already is left alone.
- * @param outcome - How the use of its slot ended.
- * @param options.cancel - Also stop it at its engine.
+ * @param context - Run that the attempt belongs to.
+ * @param attempt - Number of the attempt; has no effect if the attempt is already closed.
+ * @param outcome - Outcome to report for the slot.
+ * @param options.cancel - Whether to cancel the stream at the engine as well.
  */
 export const closeAttempt = (
   context: RunContext,
--- a/src/application/generations/_lib/computeAttemptLimits/index.ts
+++ b/src/application/generations/_lib/computeAttemptLimits/index.ts
@@ -7,7 +7,7 @@
 import { AttemptPhase } from '../../../../domain/generation';
 import type { AttemptHandle } from '../../types';
 
-/** What the limits of one attempt follow from. */
+/** Inputs to the silence limits of one attempt. */
 export interface LimitOptions {
   readonly firstTokens: readonly FirstTokenSample[];
   readonly promptCharacters: number;
@@ -16,12 +16,13 @@
   readonly serverDead: boolean;
 }
 
-/** Kept tokens come at once when a stream is read again, so a connection's limits are enough. */
+/** An engine sends its kept tokens at once on a resume, so only the connection needs time. */
 const MIN_RESUME_LIMITS: SilenceLimits = { suspectMs: 250, confirmMs: 500 };
 
 /**
- * Room for a prefill on a server that is at work: it waits behind others there. Without it a burst
- * of requests makes each engine look stuck, and all of them are taken out of service at once.
+ * Factor on the prefill limits of a server that is delivering to other streams, as the prefill may
+ * be queued there. Without it, a burst of requests makes every engine look stuck, and all of them
+ * are taken out of service at once.
  */
 const BUSY_SERVER_FACTOR = 4;
 
@@ -57,8 +58,8 @@
  * Computes how long an attempt may be silent in its phase.
  *
  * @param phase - Phase of the attempt.
- * @param handle - Its figures.
- * @param options - Figures of its service and evidence against its server.
+ * @param handle - Handle of the attempt, with its gap statistics.
+ * @param options - First-token samples of the service and the state of the server.
  * @returns Limits in milliseconds.
  */
 export const computeAttemptLimits = (
--- a/src/application/generations/_lib/convertEngineError/index.ts
+++ b/src/application/generations/_lib/convertEngineError/index.ts
@@ -1,7 +1,7 @@
 import type { GenerationInput, ReaderId } from '../../../../domain/generation';
 import type { EngineError } from '../../../ports';
 
-/** Reasons of the engine client that mean that no connection could be made. */
+/** Starts the reason of an error that reports an HTTP status, so that a connection was made. */
 const HTTP_STATUS_PREFIX = 'status ';
 
 type Converters = {
@@ -25,10 +25,10 @@
 };
 
 /**
- * Converts an error of the engine client to what happened to the generation.
+ * Converts an error of the engine client to an input of the generation.
  *
  * @param error - Error of a call or a stream.
- * @param reader - Attempt and connection that it came from.
+ * @param reader - Attempt and connection that the error came from.
  * @returns Input of the generation.
  */
 export const convertEngineError = (error: EngineError, reader: ReaderId): GenerationInput => {
--- a/src/application/generations/_lib/createAttemptHandle/index.ts
+++ b/src/application/generations/_lib/createAttemptHandle/index.ts
@@ -6,7 +6,7 @@
  *
  * @param attempt - Number of the attempt.
  * @param nowMs - Monotonic time, in milliseconds.
- * @param gaps - Figures until it has gaps of its own.
+ * @param gaps - Gap statistics to start with, until the attempt has gaps of its own.
  * @returns Handle.
  */
 export const createAttemptHandle = (
--- a/src/application/generations/_lib/createCancelQueue/index.ts
+++ b/src/application/generations/_lib/createCancelQueue/index.ts
@@ -1,22 +1,23 @@
 import { BackendHealth, type BackendServer } from '../../../../domain/types';
 import type { EngineClient, HealthRegistry } from '../../../ports';
 
-/** Cancels engine streams, also those of engines that do not answer now. */
+/** Cancels engine streams, including those of engines that are not responding. */
 export interface CancelQueue {
   cancel(server: BackendServer, streamId: string): void;
 }
 
-/** Streams remembered of one server; an engine drops a stream that nobody reads by itself. */
+/** Cancellations queued per server; an engine drops a stream by itself if nobody reads it. */
 const MAX_QUEUED_PER_SERVER = 200;
 
 /**
  * Creates the queue of cancellations.
  *
- * A paused engine does not hear a cancellation. When it wakes it would go on with generations that
- * run elsewhere by now, and take slots and power for nothing; so it is told again once it is back.
+ * A paused engine does not receive a cancellation. After the pause it would continue generations
+ * that run elsewhere by then, and waste slots and power. So failed cancellations are sent again
+ * once the server is healthy.
  *
  * @param engineClient - Calls to engines.
- * @param health - Tells when a server is back.
+ * @param health - Notifies when a server serves again.
  * @returns Queue.
  */
 export const createCancelQueue = (
@@ -33,7 +34,7 @@
 
   const cancel = async (server: BackendServer, streamId: string): Promise<void> => {
     const cancelled = await engineClient.cancelStream(server, streamId);
-    // A server that refuses connections has no process, and so no stream either.
+    // A server that refuses connections has no running process, and so no stream.
     if (cancelled.isErr() && cancelled.error.kind !== 'not-started') enqueue(server, streamId);
   };
 
--- a/src/application/generations/_lib/createClaimWriter/index.ts
+++ b/src/application/generations/_lib/createClaimWriter/index.ts
@@ -3,43 +3,43 @@
 import type { ClaimError, Claims, Clock } from '../../../ports';
 import { waitDelay } from '../../../time';
 
-/** What a claim keeper needs. */
+/** Dependencies of a claim writer. */
 export interface ClaimWriterDependencies {
   readonly claims: Claims;
   readonly clock: Clock;
-  /** Called once if another VM has taken the claim over. */
+  /** Called once if another VM takes the claim over. */
   readonly handleLost: () => void;
-  /** Takes the write of the end, which settles when the end is stored or given up. */
+  /** Registers the outcome's write, which settles when the outcome is stored or given up. */
   readonly addPendingWrite: (write: Promise<void>) => void;
 }
 
-/** Writes the progress of one claimed generation, one write at a time. */
+/** Writes the progress of one claimed generation to its claim, one write at a time. */
 export interface ClaimWriter {
-  /** Records who runs it; `ok` means that the row says so. */
+  /** Records the running attempt; `ok` means that the row is written. */
   recordAttempt(attempt: {
     readonly backendServer: string;
     readonly streamId: string;
     readonly attempt: number;
   }): Promise<Result<void, ClaimError>>;
   /**
-   * Stores the answer, or marks the claim as failed where there is none. What surely did not run
-   * leaves no stream in the row, so that a repeat may run it.
+   * Stores the answer, or marks the claim as failed if there is no answer. If the request certainly
+   * did not run, the stream is cleared from the row, so that a repeat may run the request.
    */
   recordOutcome(answer: StoredAnswer | null, options: { readonly ran: boolean }): void;
 }
 
 type Write = (row: ClaimRow) => Promise<Result<ClaimRow, ClaimError>>;
 
-/** An answer is worth some tries, but not a queue of them that fills the memory of an entry. */
+/** Bounds the retries, as pending answers fill the memory of the VM while the store is down. */
 const MAX_OUTCOME_WRITE_TRIES = 20;
 const MIN_OUTCOME_RETRY_DELAY_MS = 500;
 
 /**
- * Creates the keeper of a claim that this VM holds.
+ * Creates the writer of a claim that this VM holds.
  *
- * @param dependencies - Claims, clock and what to do when the claim is lost.
+ * @param dependencies - Claims, clock and callbacks.
  * @param firstRow - Row as granted.
- * @returns Keeper.
+ * @returns Writer.
  */
 export const createClaimWriter = (
   dependencies: ClaimWriterDependencies,
@@ -57,7 +57,7 @@
       return ok();
     }
     if (written.error.kind === 'lost') {
-      // A VM that was paused finds out here that its work went on elsewhere, before it does more.
+      // A VM that was paused learns here, before it does more work, that another VM took over.
       isLost = true;
       dependencies.handleLost();
     }
--- a/src/application/generations/_lib/createClaimedStarter/index.ts
+++ b/src/application/generations/_lib/createClaimedStarter/index.ts
@@ -19,10 +19,10 @@
     .digest('hex');
 
 /**
- * Creates the start of requests that need a claim: keyed or non-idempotent ones.
+ * Creates the function that starts requests that need a claim: keyed or non-idempotent ones.
  *
  * @param context - Generations of this VM.
- * @returns Function that starts such a request or attaches to the generation it already has.
+ * @returns Function that starts such a request, or attaches to its existing generation.
  */
 export const createClaimedStarter = (
   context: GenerationsContext,
@@ -31,8 +31,8 @@
 
   const claim = async (request: GenerationRequest, keyDigest: string): Promise<Claimed> => {
     const name = `${request.workspace}#${keyDigest}`;
-    // Two POSTs of one key at this VM: the second waits for the first one's claim, and is looked
-    // at again after it, as its body may be another one.
+    // Of two POSTs with the same key at this VM, the second waits for the claim of the first. Its
+    // request is compared afterwards, as its body may differ.
     await pendingClaims.get(name);
     const held = context.store.findByKey(request.workspace, keyDigest);
     if (held && !held.readFailure()) {
--- a/src/application/generations/_lib/createFeed/index.ts
+++ b/src/application/generations/_lib/createFeed/index.ts
@@ -3,7 +3,7 @@
 import type { GenerationEvent, GenerationFeed } from '../../../ports';
 import type { GenerationRun } from '../../types';
 
-/** Where a feed begins, and who relays it. */
+/** Start position of a feed, and the VM that serves it. */
 export interface FeedStart {
   readonly vm: string;
   readonly batchIndex: number;
@@ -30,11 +30,11 @@
 /**
  * Creates one caller's view of a run.
  *
- * The feed reads the run's log at the caller's own pace, so that a slow caller holds nothing up and
- * costs no memory of its own.
+ * The feed reads the run's log at the caller's pace, so a slow caller delays nobody and needs no
+ * buffer of its own.
  *
- * @param run - Generation to follow; the caller counts as attached until it detaches.
- * @param start - Where to begin.
+ * @param run - Run to follow; the caller counts as attached until it detaches.
+ * @param start - Start position and serving VM.
  * @returns Feed that ends after the finish reason or a failure.
  */
 export const createFeed = (run: GenerationRun, start: FeedStart): GenerationFeed => {
--- a/src/application/generations/_lib/createGrowingArray/index.ts
+++ b/src/application/generations/_lib/createGrowingArray/index.ts
@@ -1,9 +1,9 @@
-/** Packed numbers that can be appended to. */
+/** Append-only typed array. */
 export interface GrowingArray<T extends Uint32Array | Uint8Array> {
   append(values: ArrayLike<number>): void;
   read(index: number): number;
   readLength(): number;
-  /** A view of a part; valid until the next append. */
+  /** Returns a view of a range; valid until the next append. */
   slice(from: number, to: number): T;
 }
 
@@ -13,8 +13,8 @@
 /**
  * Creates an empty growing array.
  *
- * @param allocate - Makes storage of the wanted type and length.
- * @returns Array that grows by half of its size.
+ * @param allocate - Allocates storage of the wanted type and length.
+ * @returns Array that grows by half of its size when it is full.
  */
 export const createGrowingArray = <T extends Uint32Array | Uint8Array>(
   allocate: (length: number) => T,
--- a/src/application/generations/_lib/createNotifier/index.ts
+++ b/src/application/generations/_lib/createNotifier/index.ts
@@ -1,11 +1,11 @@
-/** Wakes all who wait for the next change. */
+/** Resolves all pending waits at the next change. */
 export interface Notifier {
   notify(): void;
   wait(): Promise<void>;
 }
 
 /**
- * Creates a notifier; a notification that nobody waits for is not kept.
+ * Creates a notifier. A notification without pending waits is dropped.
  *
  * @returns Notifier.
  */
--- a/src/application/generations/_lib/createPendingWrites/index.ts
+++ b/src/application/generations/_lib/createPendingWrites/index.ts
@@ -1,18 +1,19 @@
 import type { Clock } from '../../../ports';
 
-/** Ends of claimed generations that are not yet written to the store. */
+/** Writes of the outcomes of claimed generations that the store has not yet confirmed. */
 export interface PendingWrites {
-  /** Keeps the write in mind until it has settled. */
+  /** Tracks a write until it settles. */
   add(write: Promise<void>): void;
-  /** Resolves when all have settled, or after `boundMs`. */
+  /** Resolves when all writes have settled, or after `boundMs` at the latest. */
   wait(boundMs: number): Promise<void>;
 }
 
 /**
- * Creates the list of pending ends.
+ * Creates an empty set of pending writes.
  *
- * The caller has its last token before the answer is stored. A process that exits in between would
- * leave a claim without its answer, and a repeat of the key would find neither; so a shutdown waits.
+ * The caller receives its last token before the answer is stored. If the process exits in between,
+ * the claim has no answer, and a repeat with the same key finds neither the answer nor the running
+ * generation. So a shutdown waits for the pending writes.
  */
 export const createPendingWrites = (clock: Clock): PendingWrites => {
   const writes = new Set<Promise<void>>();
--- a/src/application/generations/_lib/createReplayRun/index.ts
+++ b/src/application/generations/_lib/createReplayRun/index.ts
@@ -6,8 +6,8 @@
 import { createTokenLog } from '../createTokenLog';
 
 /**
- * Creates a finished run from a stored answer, so that it is replayed batch by batch as it was
- * first sent, and can be resumed with a cursor like any other.
+ * Creates a finished run from a stored answer. The answer is replayed in its original batches and
+ * can be resumed with a cursor like any other run.
  *
  * @param context - Generations of this VM.
  * @param request - Repeated request.
--- a/src/application/generations/_lib/createRun/index.ts
+++ b/src/application/generations/_lib/createRun/index.ts
@@ -14,16 +14,16 @@
 import { createNotifier } from '../createNotifier';
 import { runEffect, type AttemptEffect } from '../runEffect';
 
-/** A run's part of the context, without what the run itself provides. */
+/** The part of a run's context that its creator provides. */
 export type RunOptions = Omit<RunContext, 'handles' | 'readState' | 'dispatch'>;
 
 /**
- * Creates a run: the one place where a generation's state lives. Each input goes through the pure
- * transition, and its effects are run in order before the next input is looked at.
+ * Creates a run, which owns the state of one generation. Each input is applied by a pure state
+ * transition, whose effects are executed in order before the next input is handled.
  *
- * @param options - What the run works with.
- * @param firstState - State to begin with.
- * @param existingAttempt - Handle of an engine's stream that is taken over, if any.
+ * @param options - Part of the context that the caller provides.
+ * @param firstState - Initial state.
+ * @param existingAttempt - Handle of the attempt whose stream is taken over, if any.
  * @returns Run that waits for its `started` input.
  */
 export const createRun = (
@@ -55,7 +55,7 @@
   const isEnded = (): boolean => state.phase === 'finished' || state.phase === 'failed';
 
   const deliver = (effect: Extract<GenerationEffect, { kind: 'deliver' }>): void => {
-    // Engines that number events instead of tokens are read by the forwarding, never by a run.
+    // Streams of engines that number events instead of tokens are forwarded, never read by a run.
     if (!('tokenIds' in effect.batch)) return;
     log.append(effect.batch);
     lastDelivering = handles.get(effect.attempt) ?? lastDelivering;
--- a/src/application/generations/_lib/createRunStore/index.ts
+++ b/src/application/generations/_lib/createRunStore/index.ts
@@ -2,7 +2,7 @@
 
 /** Runs held by this VM. */
 export interface RunStore {
-  /** Holds a run; one of the same generation before it goes on only for those who follow it. */
+  /** Adds a run. An older run of the same generation continues only for its attached callers. */
   add(run: GenerationRun, keyDigest?: string): void;
   find(workspace: string, generationId: string): GenerationRun | null;
   findByKey(workspace: string, keyDigest: string): GenerationRun | null;
--- a/src/application/generations/_lib/createServerActivity/index.ts
+++ b/src/application/generations/_lib/createServerActivity/index.ts
@@ -1,7 +1,7 @@
-/** When each backend server last delivered a token to this VM, on any stream. */
+/** Times at which each backend server last delivered a token to this VM, on any stream. */
 export interface ServerActivity {
   record(backendServer: string, nowMs: number): void;
-  /** Monotonic time in milliseconds; -Infinity if it never has. */
+  /** Monotonic time in milliseconds; -Infinity if the server has delivered no token. */
   readLastMs(backendServer: string): number;
 }
 
--- a/src/application/generations/_lib/createSweeper/index.ts
+++ b/src/application/generations/_lib/createSweeper/index.ts
@@ -1,25 +1,25 @@
 import type { Clock } from '../../../ports';
 
-/** Runs one shared timer while there is something to look at. */
+/** Runs a sweep on one shared timer while there are runs to check. */
 export interface Sweeper {
-  /** Makes sure that the timer runs. */
+  /** Starts the timer if it is not running. */
   start(): void;
   stop(): void;
 }
 
-/** How often streams are looked at: one timer for all, as one a stream costs more than its tokens. */
+/** All streams share one timer: a timer per stream would cost more than the tokens themselves. */
 const SWEEP_INTERVAL_MS = 25;
 
-/** A timer that is later than this tells that the process stood still. */
+/** A timer that fires later than this shows that the process was stalled. */
 const STALL_THRESHOLD_MS = 75;
 
 /**
  * Creates a sweeper.
  *
  * @param clock - Time and timers.
- * @param sweep - Looks at all runs, given the time that the process stood still before, in
- *   milliseconds; false if there is nothing left to look at.
- * @returns Sweeper that stands still until it is started.
+ * @param sweep - Checks all runs; gets the time for which the process was stalled before, in
+ *   milliseconds, and returns false if no runs are left.
+ * @returns Sweeper that is stopped until `start` is called.
  */
 export const createSweeper = (clock: Clock, sweep: (stalledMs: number) => boolean): Sweeper => {
   let cancelTimer: (() => void) | null = null;
--- a/src/application/generations/_lib/createTokenLog/index.ts
+++ b/src/application/generations/_lib/createTokenLog/index.ts
@@ -3,25 +3,25 @@
 import type { TokenLog } from '../../types';
 import { createGrowingArray } from '../createGrowingArray';
 
-/** What a log begins with. */
+/** Initial values of a token log. */
 export interface TokenLogStart {
   /** Chain digest before the first token in `prefixTokenIds`. */
   readonly chain: string;
-  /** Tokens before them that are not held. */
+  /** Number of tokens before `prefixTokenIds` that are not held. */
   readonly missingTokens: number;
   readonly prefixTokenIds: readonly number[];
 }
 
-/** Two bytes a UTF-16 unit: unlike UTF-8 this gives back halves of a pair as an engine cut them. */
+/** Two bytes per UTF-16 unit; unlike UTF-8, preserves surrogate pairs that an engine has split. */
 const TEXT_ENCODING = 'utf16le';
 
 /**
- * Creates a log of tokens in packed arrays: 34 bytes a token of five characters, spare room
- * included (100 logs of 2000 tokens; docs/decisions/040-survival.md), as a node holds some hundred
- * thousand tokens at once.
+ * Creates a log of tokens in packed arrays, as a node holds some hundred thousand tokens at once.
+ * A token of five characters takes 34 bytes, spare capacity included (100 logs of 2000 tokens;
+ * docs/decisions/040-survival.md).
  *
- * @param start - What came before the first batch.
- * @returns Empty log after the prefix.
+ * @param start - Initial values: the prefix and what precedes it.
+ * @returns Log that holds the prefix and no batches.
  */
 export const createTokenLog = (start: TokenLogStart): TokenLog => {
   const tokenIds = createGrowingArray((length) => new Uint32Array(length));
--- a/src/application/generations/_lib/findServer/index.ts
+++ b/src/application/generations/_lib/findServer/index.ts
@@ -2,7 +2,7 @@
 import type { BackendServer } from '../../../../domain/types';
 import type { GenerationsContext } from '../../types';
 
-/** Whose stream at which server. */
+/** Workspace and service that a stream belongs to, and the server that runs it. */
 export interface StreamOwner {
   readonly workspace: string;
   readonly service: string;
@@ -10,15 +10,15 @@
 }
 
 /**
- * Finds the backend server of a stream that is to be read on, if the work may still run there.
+ * Finds the backend server of an existing stream, if the workspace may still use the server.
  *
- * What goes wrong: a place is taken from a workspace while its generation runs there; a caller that
- * comes back with an old cursor would be served from that place on. One notices by the server in
- * the decision log. So a taken-over stream passes the same filter as new work, and fails closed.
+ * A workspace may lose the right to a place while its generation runs there. A caller that resumes
+ * with an old cursor would still be served from that place; only the server named in the decision
+ * log would show it. So an existing stream passes the same filter as new work, and fails closed.
  *
  * @param context - Generations of this VM.
  * @param owner - Workspace, service and server of the stream.
- * @returns Server, or null if it is not configured or not allowed (any more).
+ * @returns Server, or null if it is no longer configured or allowed.
  */
 export const findServer = (
   context: GenerationsContext,
--- a/src/application/generations/_lib/handleExistingClaim/index.ts
+++ b/src/application/generations/_lib/handleExistingClaim/index.ts
@@ -28,7 +28,7 @@
   const run = buildClaimedRun(context, claimed, {
     generationId: claim.value.generationId,
     existingStream: server && row.streamId ? { server, streamId: row.streamId } : null,
-    // A stream that was recorded may have run, also on a server that is no longer configured.
+    // A recorded stream may have run, even if its server is no longer configured.
     newestAttempt: row.streamId ? Math.max(1, row.attempt) : 0,
   });
   attachClaimWriter(context, run, claim.value);
@@ -64,7 +64,7 @@
 const handleFailed: RowHandler = async (context, claimed, row) => {
   const canRunAgain = claimed.request.idempotent || row.streamId === '';
   if (!canRunAgain) return err(buildError('run_state_unknown'));
-  // The row as taken over says that it runs again, from nothing.
+  // The row that is taken over says that the request runs again, from its first token.
   const cleared = { ...row, streamId: '', backendServer: '', state: ClaimState.Running };
   return takeOver(context, claimed, cleared);
 };
@@ -76,14 +76,14 @@
 };
 
 /**
- * Handles a request whose key is claimed already: it is followed where it runs, taken over from a
- * VM that no longer holds it, or answered from the store. It is never begun a second time while a
- * copy of it may exist.
+ * Handles a request whose key is already claimed. The generation is followed where it runs, taken
+ * over from a VM that no longer holds it, or answered from the store. It is never started a second
+ * time while a copy of it may exist.
  *
  * @param context - Generations of this VM.
  * @param claimed - Repeated request.
- * @param row - Row of whoever has the claim.
- * @returns Where to follow it, or why it cannot be.
+ * @param row - Row of the current claim.
+ * @returns Run or peer feed to follow, a retry, or an error.
  */
 export const handleExistingClaim: RowHandler = async (context, claimed, row) =>
   row.requestDigest === claimed.request.digest
--- a/src/application/generations/_lib/openFeed/index.ts
+++ b/src/application/generations/_lib/openFeed/index.ts
@@ -8,13 +8,13 @@
   run.isEnded() || run.log.readEndOffset() > offset;
 
 /**
- * Attaches a caller to a run and waits for its first news, so that a failure before any token can
- * still be told by an HTTP status.
+ * Attaches a caller to a run and waits for the first token or the end, so that a failure before any
+ * token can still be reported by an HTTP status.
  *
  * @param run - Run to follow.
- * @param offset - Offset at which the caller goes on.
- * @param signal - Aborted when the caller goes away.
- * @returns Feed, or the failure; `generation_lost` if no batch begins at the offset.
+ * @param offset - Offset at which the caller continues.
+ * @param signal - Aborted when the caller disconnects.
+ * @returns Feed, or the failure; `generation_lost` if no batch starts at the offset.
  */
 export const openFeed = async (
   run: GenerationRun,
@@ -38,7 +38,7 @@
   if (!signal.aborted) return ok(feed);
   feed.detach();
   const state = run.readState();
-  // Nobody can come back to it, as no cursor was ever given out.
+  // No caller can resume the generation, as no cursor was ever sent.
   if (state.offset === 0 && !state.policy.keyed && state.callers === 0) {
     run.dispatch({ kind: 'cancelled' });
   }
--- a/src/application/generations/_lib/readEnginePrefix/index.ts
+++ b/src/application/generations/_lib/readEnginePrefix/index.ts
@@ -1,7 +1,7 @@
 import type { GenerationsContext } from '../../types';
 import type { ExistingStream } from '../buildRun';
 
-/** Kept tokens come at once; an engine that takes longer is better left to the silence limits. */
+/** An engine sends kept tokens at once; a slower one is left to the silence limits. */
 const READ_TIMEOUT_MS = 400;
 
 const readTokens = async (
@@ -25,12 +25,12 @@
 };
 
 /**
- * Reads the first tokens of an engine's stream, as its new reader does not have them.
+ * Reads the first tokens of an engine's stream for a VM that takes the stream over.
  *
  * @param context - Generations of this VM.
  * @param existingStream - Stream to read.
- * @param count - Tokens wanted.
- * @returns At least so many tokens, fewer if the stream broke, or null if it cannot be read soon.
+ * @param count - Number of tokens wanted.
+ * @returns At least `count` tokens, fewer if the stream broke, or null on an error or a timeout.
  */
 export const readEnginePrefix = async (
   context: GenerationsContext,
--- a/src/application/generations/_lib/readStream/index.ts
+++ b/src/application/generations/_lib/readStream/index.ts
@@ -24,7 +24,7 @@
   if (batch.tokenIds.length > 0) {
     recordFirstToken(context, handle, nowMs);
     if (handle.server) context.serverActivity.record(handle.server.name, nowMs);
-    // The first gap is the prefill, and would make the stream's limit far too long.
+    // The first gap includes the prefill and would make the silence limit far too long.
     if (handle.deliveredTokens > 0) recordGap(context, handle, nowMs - handle.lastActivityMs);
     const deliveredTokens = handle.deliveredTokens + batch.tokenIds.length;
     Object.assign(handle, { deliveredTokens });
@@ -32,18 +32,18 @@
   Object.assign(handle, { lastActivityMs: nowMs });
   const server = handle.server?.name ?? '';
   const state = health.readHealth(server);
-  // Tokens are better evidence than any peer's suspicion: it may be the peer that is cut off.
+  // Received tokens outweigh a peer's suspicion: it may be the peer that is cut off.
   if (state === BackendHealth.Suspected || state === BackendHealth.Dead) {
     health.recordRecovery(server);
   }
 };
 
 /**
- * Reads a stream until it ends and passes on what arrives.
+ * Reads a stream until it ends and dispatches each batch to the run.
  *
  * @param context - Run that the stream belongs to.
  * @param handle - Attempt that the stream belongs to.
- * @param reader - Connection over which it is read.
+ * @param reader - Connection over which the stream is read.
  * @param stream - Stream to read.
  */
 export const readStream = async (
--- a/src/application/generations/_lib/recordResume/index.ts
+++ b/src/application/generations/_lib/recordResume/index.ts
@@ -1,10 +1,10 @@
 import type { RunContext } from '../../types';
 
 /**
- * Records that a generation goes on after a failure.
+ * Records in the decision log that a generation is resumed after a failure.
  *
- * @param context - Run.
- * @param method - How it goes on.
+ * @param context - Run that is resumed.
+ * @param method - How the run is resumed.
  */
 export const recordResume = (context: RunContext, method: string): void => {
   const { decisionLog, configuration } = context.dependencies;
--- a/src/application/generations/_lib/recordSuspicion/index.ts
+++ b/src/application/generations/_lib/recordSuspicion/index.ts
@@ -5,9 +5,9 @@
 type SuspectServer = Extract<GenerationEffect, { kind: 'suspect-server' }>;
 
 /**
- * Records evidence against a server that a stream of this VM gave; known evidence is not repeated.
+ * Records evidence of a server failure from a stream of this VM, unless it is already known.
  *
- * @param context - Run whose stream gave it.
+ * @param context - Run whose stream gave the evidence.
  * @param effect - Evidence.
  */
 export const recordSuspicion = (context: RunContext, effect: SuspectServer): void => {
--- a/src/application/generations/_lib/relayGeneration/index.ts
+++ b/src/application/generations/_lib/relayGeneration/index.ts
@@ -3,23 +3,23 @@
 import type { Cursor } from '../../../../domain/types';
 import type { Clock, GenerationError, GenerationEvent, GenerationFeed } from '../../../ports';
 
-/** How a peer's feed is relayed. */
+/** Options for relaying a peer's feed. */
 export interface RelayOptions {
   readonly clock: Clock;
-  /** Offset and chain digest at which the caller stands. */
+  /** Offset and chain digest of the caller's position. */
   readonly offset: number;
   readonly chain: string;
-  /** Goes on without the peer; the cursor is null if nothing has been relayed. */
+  /** Resumes without the peer; the cursor is null if nothing has been relayed. */
   readonly resumeWithoutPeer: (
     last: Cursor | null,
     tokenIds: readonly number[],
   ) => Promise<Result<GenerationFeed, GenerationError>>;
 }
 
-/** Silence after which a peer that has begun to deliver is taken for stuck. */
+/** Silence after which a peer that has started to deliver is considered stuck. */
 const SILENCE_TIMEOUT_MS = 2_000;
 
-/** Failures that tell of the peer's part in the generation and not of the generation. */
+/** Errors that concern the peer's copy of the generation, not the generation itself. */
 const PEER_ERROR_CODES: ReadonlySet<string> = new Set([
   'peer_lost',
   'generation_moved',
@@ -44,14 +44,14 @@
 };
 
 /**
- * Relays a generation that a peer holds, and goes on without the peer if it is lost.
+ * Relays a generation that a peer holds, and resumes without the peer if the peer is lost.
  *
- * Each batch is checked against the chain: a peer that holds another run of the generation, for
- * example one that was paused, would otherwise be spliced into the caller's answer.
+ * Each batch is checked against the chain. Otherwise the tokens of a peer that holds another run of
+ * the generation, for example one that was paused, would be spliced into the caller's answer.
  *
  * @param feed - Peer's feed from the caller's offset on.
- * @param options - Where the caller stands, and what to do without the peer.
- * @returns Feed of the whole rest.
+ * @param options - The caller's position, and how to resume without the peer.
+ * @returns Feed of the rest of the generation.
  */
 export const relayGeneration = (feed: GenerationFeed, options: RelayOptions): GenerationFeed => {
   let current = feed;
--- a/src/application/generations/_lib/resumeGeneration/index.ts
+++ b/src/application/generations/_lib/resumeGeneration/index.ts
@@ -20,7 +20,7 @@
   resume: ResumeRequest,
   signal: AbortSignal,
 ): Promise<Feed> => {
-  // A second connection of the same caller may have taken it over while the peer was asked.
+  // Another connection of the same caller may have taken the generation over in the meantime.
   const held = findMatchingRun(context, resume.cursor);
   if (held) return openFeed(held, resume.cursor.offset, signal);
   const run = await takeOverGeneration(context, resume);
@@ -40,16 +40,16 @@
 };
 
 /**
- * Goes on with a generation for a caller that comes back with a cursor.
+ * Resumes a generation for a caller that sends a cursor.
  *
- * In this order: this VM's memory if its chain agrees, the VM named in the cursor, the engine's
- * stream named in it, and another engine from the prefix. A copy whose chain does not agree is of
- * another run, and is never used.
+ * The sources are tried in this order: this VM's memory, the VM named in the cursor, the engine's
+ * stream named in the cursor, and another engine that continues from the prefix. A copy whose
+ * chain does not match belongs to another run and is never used.
  *
  * @param context - Generations of this VM.
- * @param resume - Cursor and what else the caller sent.
- * @param signal - Aborted when the caller goes away.
- * @returns Feed from the cursor on, or a clear error.
+ * @param resume - Cursor, request and prefix that the caller sent.
+ * @param signal - Aborted when the caller disconnects.
+ * @returns Feed from the cursor on, or an error.
  */
 export const resumeGeneration = async (
   context: GenerationsContext,
--- a/src/application/generations/_lib/resumeStream/index.ts
+++ b/src/application/generations/_lib/resumeStream/index.ts
@@ -6,9 +6,9 @@
 type ResumeStream = Extract<GenerationEffect, { kind: 'resume-stream' }>;
 
 /**
- * Reads the stream of an attempt again over a new connection.
+ * Resumes the stream of an attempt over a new connection.
  *
- * @param context - Run that it belongs to; told of each step by inputs.
+ * @param context - Run that the attempt belongs to; receives each step as an input.
  * @param effect - Attempt, connection and offset.
  */
 export const resumeStream = async (context: RunContext, effect: ResumeStream): Promise<void> => {
--- a/src/application/generations/_lib/runEffect/index.ts
+++ b/src/application/generations/_lib/runEffect/index.ts
@@ -6,7 +6,7 @@
 import { resumeStream } from '../resumeStream';
 import { startAttempt } from '../startAttempt';
 
-/** Effects that concern attempts; the run itself keeps those that concern its end. */
+/** Effects that concern attempts; the run itself handles the others. */
 export type AttemptEffect = Extract<
   GenerationEffect,
   {
@@ -21,7 +21,7 @@
   ) => void;
 };
 
-/** A defect in a started attempt must not leave its generation waiting without end. */
+/** Fails an attempt on an unexpected error, so that its generation does not wait forever. */
 const handleDefects = (
   context: RunContext,
   reader: { readonly attempt: number; readonly connection: number },
@@ -51,9 +51,9 @@
 };
 
 /**
- * Runs one effect on the attempts of a run; returns at once.
+ * Starts one effect on the attempts of a run and returns without waiting for it.
  *
- * @param context - Run.
+ * @param context - Run that the effect belongs to.
  * @param effect - Effect to run.
  */
 export const runEffect = (context: RunContext, effect: AttemptEffect): void => {
--- a/src/application/generations/_lib/startAttempt/index.ts
+++ b/src/application/generations/_lib/startAttempt/index.ts
@@ -15,7 +15,7 @@
 
 type OpenAttempt = Extract<GenerationEffect, { kind: 'open-attempt' }>;
 
-/** Random bytes in a stream's name: two entries may start the same attempt number. */
+/** Random bytes in a stream id, as two VMs may start the same attempt number. */
 const STREAM_ID_BYTES = 4;
 
 const isClosed = (context: RunContext, handle: AttemptHandle): boolean =>
@@ -29,7 +29,7 @@
   return err({ code: RefusalCode.UnknownService, message, retryAfterMs: 0 });
 };
 
-/** Writes who runs it: before the send where it may run only once, beside it otherwise. */
+/** Records the attempt in the claim; only a non-idempotent request waits for the write. */
 const recordClaim = async (
   context: RunContext,
   handle: AttemptHandle,
@@ -81,9 +81,10 @@
 };
 
 /**
- * Starts an attempt: gets a slot, names the stream, records the claim, sends and reads.
+ * Starts an attempt: acquires a slot, names the stream, updates the claim, sends the request and
+ * reads the stream.
  *
- * @param context - Run that it belongs to; told of each step by inputs.
+ * @param context - Run that the attempt belongs to; receives each step as an input.
  * @param effect - Attempt to open.
  */
 export const startAttempt = async (context: RunContext, effect: OpenAttempt): Promise<void> => {
--- a/src/application/generations/_lib/sweepRun/index.ts
+++ b/src/application/generations/_lib/sweepRun/index.ts
@@ -5,27 +5,27 @@
 import type { LatencyHistory } from '../../../_lib/createLatencyHistory';
 import type { ServerActivity } from '../createServerActivity';
 
-/** What a sweep looks with. */
+/** Options of one sweep. */
 export interface SweepOptions {
   readonly dependencies: GenerationsDependencies;
   readonly latencyHistory: LatencyHistory;
   readonly serverActivity: ServerActivity;
   readonly nowMs: number;
-  /** Time that this process itself was stalled before the sweep, in milliseconds. */
+  /** Time for which this process was stalled before the sweep, in milliseconds. */
   readonly stalledMs: number;
   /** How long a generation is kept without a caller, in milliseconds. */
   readonly detachedMs: number;
 }
 
-/** A server that delivered a token to any stream so lately is at work. */
+/** A server that delivered a token to any stream within this time counts as active. */
 const ACTIVITY_WINDOW_MS = 200;
 
 const sweepAttempt = (run: GenerationRun, attempt: Attempt, options: SweepOptions): void => {
   const handle = run.attempts.get(attempt.attempt);
   if (!handle || attempt.phase === AttemptPhase.Opening) return;
   if (options.stalledMs > 0) {
-    // While this process stood still nothing could be read: that silence is no evidence. Without
-    // this, an entry that was paused would take every engine for dead when it wakes.
+    // While this process was stalled, it could read nothing, so the silence is no evidence. Without
+    // this, a VM that was paused would declare every engine dead when it continues.
     const lastActivityMs = Math.min(options.nowMs, handle.lastActivityMs + options.stalledMs);
     Object.assign(handle, { lastActivityMs });
     return;
@@ -45,10 +45,9 @@
 };
 
 /**
- * Looks at one run: attempts that are silent, a retry or deadline that is due, and whether it may
- * be forgotten.
+ * Checks one run for silent attempts, a due retry, a passed deadline and expiry.
  *
- * @param run - Run to look at.
+ * @param run - Run to check.
  * @param options - Time and limits.
  * @returns True if the run is to be kept.
  */
--- a/src/application/generations/_lib/takeOverGeneration/index.ts
+++ b/src/application/generations/_lib/takeOverGeneration/index.ts
@@ -9,7 +9,7 @@
 import { findServer } from '../findServer';
 import { readEnginePrefix } from '../readEnginePrefix';
 
-/** Tokens up to the cursor with the request they answer, so that any engine can go on. */
+/** Tokens up to the cursor, verified against its chain, from which any engine can continue. */
 interface VerifiedPrefix {
   readonly request: GenerationRequest;
   readonly chain: string;
@@ -49,12 +49,13 @@
 };
 
 /**
- * Takes a generation over from a VM that is gone: its engine's stream is read on from the cursor,
- * and where that is lost too another engine goes on from the prefix, if its chain agrees.
+ * Takes a generation over from a VM that no longer holds it. The engine's stream is read from the
+ * cursor on. If the stream is lost too, another engine continues from the prefix, provided that the
+ * prefix matches the chain of the cursor.
  *
  * @param context - Generations of this VM.
- * @param resume - Caller's cursor with what else it sent.
- * @returns Run that begins at the cursor, or why there is none.
+ * @param resume - Cursor, request and prefix that the caller sent.
+ * @returns Run that starts at the cursor, or an error.
  */
 export const takeOverGeneration = async (
   context: GenerationsContext,
--- a/src/application/generations/createGenerations/index.ts
+++ b/src/application/generations/createGenerations/index.ts
@@ -14,22 +14,22 @@
 import { sweepRun } from '../_lib/sweepRun';
 import type { GenerationRun, GenerationsContext, GenerationsDependencies } from '../types';
 
-/** Generations with the timer that watches them, which their owner stops. */
+/** Generations with a sweep timer that their owner stops. */
 export interface StoppableGenerations extends Generations {
-  /** Stops the timer; streams that run are left to their engines. */
+  /** Stops the timer; running streams are neither cancelled nor detached. */
   stop(): void;
-  /** Resolves when the answers of all ended generations are stored, or after `boundMs`. */
+  /** Resolves when the outcomes of all ended generations are stored, or after `boundMs`. */
   waitForPendingWrites(boundMs: number): Promise<void>;
 }
 
-/** How long a generation is kept without a caller until the first configuration says. */
+/** How long a generation is kept without a caller before a configuration is known. */
 const DEFAULT_DETACHED_MS = 60_000;
 
 /**
- * Creates the generations of an entry VM: each one survives the loss of its engine, of its caller's
+ * Creates the generations of an entry VM. Each one survives the loss of its engine, of its caller's
  * connection and of other entry VMs, as long as one copy of its tokens is left.
  *
- * @param dependencies - Ports to the engines, routing, claims, peers and the rest of this VM.
+ * @param dependencies - Ports to engines, router, claims, peers and other parts of this VM.
  * @returns Generations.
  */
 export const createGenerations = (dependencies: GenerationsDependencies): StoppableGenerations => {
--- a/src/application/generations/types/AttemptHandle.ts
+++ b/src/application/generations/types/AttemptHandle.ts
@@ -2,7 +2,7 @@
 import type { BackendServer } from '../../../domain/types';
 import type { EngineStream, Slot } from '../../ports';
 
-/** What belongs to one attempt outside of the pure state. Changed only by the attempt runner. */
+/** Resources of one attempt outside of the pure state; changed only by the attempt's own code. */
 export interface AttemptHandle {
   readonly attempt: number;
   readonly abort: AbortController;
@@ -10,7 +10,7 @@
   server: BackendServer | null;
   slot: Slot | null;
   stream: EngineStream | null;
-  /** True from the moment at which the request leaves until the engine is known not to have it. */
+  /** True from the send of the request until the engine is known not to run the stream. */
   isAtEngine: boolean;
   sentAtMs: number;
   firstTokenMs: number;
--- a/src/application/generations/types/GenerationsContext.ts
+++ b/src/application/generations/types/GenerationsContext.ts
@@ -6,7 +6,7 @@
 import type { GenerationsDependencies } from './GenerationsDependencies';
 import type { GenerationRun } from './GenerationRun';
 
-/** What the parts of the generations share. */
+/** Context shared by all generations of this VM. */
 export interface GenerationsContext {
   readonly dependencies: GenerationsDependencies;
   readonly cancelQueue: CancelQueue;
@@ -14,6 +14,6 @@
   readonly serverActivity: ServerActivity;
   readonly store: RunStore;
   readonly pendingWrites: PendingWrites;
-  /** Holds a run and keeps it under watch. */
+  /** Adds a run to the store and starts the sweeper. */
   addRun(run: GenerationRun, keyDigest?: string): void;
 }
--- a/src/application/generations/types/GenerationsDependencies.ts
+++ b/src/application/generations/types/GenerationsDependencies.ts
@@ -11,7 +11,7 @@
   Router,
 } from '../../ports';
 
-/** What the generations of an entry VM need. */
+/** Dependencies of the generations of an entry VM. */
 export interface GenerationsDependencies {
   /** Name of this VM. */
   readonly vm: string;
--- a/src/application/generations/types/RunContext.ts
+++ b/src/application/generations/types/RunContext.ts
@@ -8,12 +8,12 @@
 import type { GenerationsDependencies } from './GenerationsDependencies';
 import type { TokenLog } from './TokenLog';
 
-/** Holds the keeper of a run's claim, which is granted only after peers may follow the run. */
+/** Mutable reference to a claim writer; peers may follow the run before the claim is granted. */
 export interface ClaimWriterReference {
   writer: ClaimWriter | null;
 }
 
-/** What the parts of one run share. */
+/** Context shared by the functions that work on one run. */
 export interface RunContext {
   readonly dependencies: GenerationsDependencies;
   readonly cancelQueue: CancelQueue;
@@ -22,9 +22,9 @@
   readonly generationId: string;
   readonly workspace: string;
   readonly service: string;
-  /** Null if only an existing stream can be read on. */
+  /** Null if the run can only read an existing stream. */
   readonly request: GenerationRequest | null;
-  /** Its keeper is null for work without a claim, and until the claim is granted. */
+  /** The writer is null for work without a claim, and until the claim is granted. */
   readonly claim: ClaimWriterReference;
   readonly deadlineMs: number;
   readonly log: TokenLog;
--- a/src/application/generations/types/TokenLog.ts
+++ b/src/application/generations/types/TokenLog.ts
@@ -1,15 +1,15 @@
 import type { TokenBatch } from '../../../domain/types';
 
-/** Tokens of one generation as held in memory; only ever appended to. */
+/** Append-only log of the tokens of one generation in memory; tokens of a prefix have no text. */
 export interface TokenLog {
-  /** Tokens held from the generation's start, without text for those that came as a prefix. */
+  /** Offset after the last token, counted from the start of the generation. */
   readEndOffset(): number;
   /** Chain digest after the last token. */
   readChain(): string;
   /** Finish reason of the last batch, or null. */
   readFinishReason(): string | null;
   append(batch: TokenBatch): void;
-  /** Number of the batch that begins exactly at the offset, or null. */
+  /** Index of the batch that starts exactly at the offset, or null. */
   findBatch(offset: number): number | null;
   readBatch(index: number): TokenBatch | null;
   /** Chain digest after `offset` tokens, or null if they are not all held. */
