--- a/src/application/claims/_lib/createAbandonedClaims/index.ts
+++ b/src/application/claims/_lib/createAbandonedClaims/index.ts
@@ -2,30 +2,30 @@
 import type { Clock } from '../../../ports';
 import type { ClaimTable } from '../createClaimTable';
 
-/** Claims of non-idempotent work given up without a verdict, whose write may yet take effect. */
+/** Given-up claims of non-idempotent work whose write may still take effect. */
 export interface AbandonedClaims {
   add(row: ClaimRow): void;
-  /** Whether the row is one of these: nothing was ever sent under it. */
+  /** Whether the row is an abandoned claim, under which nothing was ever sent. */
   has(row: ClaimRow): boolean;
-  /** Removes those that took effect after all; at most one sweep runs at a time. */
+  /** Removes rows of abandoned claims that took effect; at most one sweep runs at a time. */
   removeStale(): Promise<void>;
 }
 
-/** The oldest are forgotten beyond this many. */
+/** Maximum number of claims to track; beyond it, the oldest one is dropped. */
 const MAX_ABANDONED = 1000;
 
-/** Rows looked at in one sweep. */
+/** Rows checked in one sweep. */
 const SWEEP_BATCH_SIZE = 10;
 
-/** A write that has not shown by then was lost on its way, milliseconds. */
+/** Time after which a write that has not taken effect counts as lost, in milliseconds. */
 const PENDING_WRITE_TIMEOUT_MS = 30_000;
 
 /**
- * Creates the list of abandoned claims.
+ * Creates an empty list of abandoned claims.
  *
- * Without it, a claim whose caller was told `not-run` can appear in the table later and stand for
- * work that no one does; one would notice repeats of the key that are told of a generation that
- * no VM holds.
+ * Without it, a claim whose caller was told `not-run` could appear in the table later and stand for
+ * work that nobody does. Repeats of the key would then be referred to a generation that no VM
+ * holds.
  */
 export function createAbandonedClaims(table: ClaimTable, clock: Clock): AbandonedClaims {
   const abandoned = new Map<string, { readonly row: ClaimRow; readonly sinceMs: number }>();
--- a/src/application/claims/_lib/createClaimTable/index.ts
+++ b/src/application/claims/_lib/createClaimTable/index.ts
@@ -9,19 +9,19 @@
 import type { ClaimRow } from '../../../../domain/types';
 import type { Clock, StoreError, TableItem, TableStore, WriteCondition } from '../../../ports';
 
-/** Claims as rows of the table. */
+/** Reads and writes claims as rows of the table. */
 export interface ClaimTable {
   readRow(workspace: string, keyDigest: string): Promise<Result<StoredClaim | null, StoreError>>;
-  /** Errors other than a failed condition or a lost answer had no effect. */
+  /** A failed condition or a lost response is a reply; any error means that nothing was written. */
   writeRow(row: ClaimRow, expectedRevision: number | null): Promise<Result<ClaimReply, StoreError>>;
   removeRow(row: ClaimRow): Promise<Result<void, StoreError>>;
 }
 
-/** What the table of claims needs. */
+/** Dependencies of the table of claims. */
 export interface ClaimTableDependencies {
   readonly tableStore: TableStore;
   readonly clock: Clock;
-  /** How long finished answers are kept, milliseconds; from the configuration in force. */
+  /** How long finished answers are kept, in milliseconds; from the current configuration. */
   readonly readAnswerTtlMs: () => number;
 }
 
@@ -43,7 +43,7 @@
   return convertItem(error.current).map((row) => ({ kind: 'current', row }));
 }
 
-/** Creates the rows of claims over the table. */
+/** Creates the table of claims on top of the table store. */
 export function createClaimTable(dependencies: ClaimTableDependencies): ClaimTable {
   const { tableStore, clock, readAnswerTtlMs } = dependencies;
   return {
--- a/src/application/claims/_lib/createUpdateQueue/index.ts
+++ b/src/application/claims/_lib/createUpdateQueue/index.ts
@@ -3,9 +3,9 @@
 import type { ClaimRow } from '../../../../domain/types';
 import type { ClaimError } from '../../../ports';
 
-/** Updates of claims, one at a time for each claim. */
+/** Serializes the updates of each claim. */
 export interface UpdateQueue {
-  /** Makes the change; changes that come while one is being written share the next write. */
+  /** Writes the change; changes that arrive during a write are merged into the next one. */
   add(row: ClaimRow, change: ClaimChange): Promise<Result<ClaimRow, ClaimError>>;
 }
 
@@ -16,12 +16,12 @@
 ) => Promise<Result<ClaimRow, ClaimError>>;
 
 interface Queue {
-  /** Settles when the running write, or the one that will follow it, is done. */
+  /** Resolves when the running write is done. */
   readonly running: Promise<Result<ClaimRow, ClaimError>>;
   next: { change: ClaimChange; readonly done: Promise<Result<ClaimRow, ClaimError>> } | null;
 }
 
-/** Creates a queue that groups what several callers change in one claim at the same time. */
+/** Creates a queue that merges concurrent changes of the same claim. */
 export function createUpdateQueue(writeChange: WriteChange): UpdateQueue {
   const queues = new Map<string, Queue>();
 
--- a/src/application/claims/_lib/runClaimSteps/index.ts
+++ b/src/application/claims/_lib/runClaimSteps/index.ts
@@ -4,20 +4,20 @@
 import type { Clock, StoreError } from '../../../ports';
 import type { ClaimTable } from '../createClaimTable';
 
-/** Time for a whole change of a claim, reads back included, milliseconds. */
+/** Deadline for a whole change of a claim, including reads back, in milliseconds. */
 export const CLAIM_DEADLINE_MS = 1000;
 
-/** How a change of a claim ended. */
+/** Final step of a change of a claim. */
 export type FinalClaimStep = Extract<ClaimStep, { kind: 'done' | 'lost' }>;
 
-/** The store gave no verdict. */
+/** A change of a claim whose result is unknown. */
 export interface UnresolvedClaim {
   readonly error: StoreError;
-  /** Whether one of the writes may still take effect. */
+  /** Whether a write with a lost response may still take effect. */
   readonly pendingWrite: boolean;
 }
 
-/** A change of a claim: its first write, and the rule that leads on from there. */
+/** A change of a claim: its first write, and the function that chooses each next step. */
 export interface ClaimChangePlan {
   readonly row: ClaimRow;
   readonly expectedRevision: number | null;
@@ -26,10 +26,10 @@
 
 const DEADLINE_EXCEEDED: StoreError = {
   kind: 'ambiguous',
-  reason: 'no verdict within the deadline',
+  reason: 'no definite result within the deadline',
 };
 
-/** Writes and reads back until the rule gives an end, the store fails, or time is up. */
+/** Writes and reads back until a step is final, the store fails, or the deadline has passed. */
 export async function runClaimSteps(
   table: ClaimTable,
   clock: Clock,
--- a/src/application/claims/createClaims/index.ts
+++ b/src/application/claims/createClaims/index.ts
@@ -19,32 +19,32 @@
 import { createUpdateQueue } from '../_lib/createUpdateQueue';
 import { runClaimSteps, type FinalClaimStep } from '../_lib/runClaimSteps';
 
-/** What the claims need. */
+/** Dependencies of the claims. */
 export interface ClaimsDependencies {
   readonly tableStore: TableStore;
   readonly objectStore: ObjectStore;
   readonly clock: Clock;
   readonly randomness: Randomness;
-  /** This VM, as rows name it. */
+  /** Name of this VM in the rows. */
   readonly vm: string;
   readonly peerAddress: string;
-  /** How long finished answers are kept, milliseconds; from the configuration in force. */
+  /** How long finished answers are kept, in milliseconds; from the current configuration. */
   readonly readAnswerTtlMs: () => number;
 }
 
 const CLAIM_ID_BYTES = 16;
 
-/** Leaves room for thousands of successors within safe integers. */
+/** Small enough that revisions stay safe integers over thousands of takeovers. */
 const REVISION_BYTES = 4;
 
-/** The claim id keeps a paused holder's late answer apart from its successor's. */
+/** The claim id separates the late answer of a paused holder from that of the VM that took over. */
 const buildAnswerKey = (row: ClaimRow): string =>
   `answers/${row.workspace}/${row.keyDigest}/${row.claimId}`;
 
 const convertFinalStep = (end: FinalClaimStep): Result<ClaimRow, ClaimError> =>
   end.kind === 'done' ? ok(end.row) : err({ kind: 'lost', row: end.row });
 
-/** Creates the claims of this VM over the platform's table and object store. */
+/** Creates the claims of this VM on top of the table store and the object store. */
 export function createClaims(dependencies: ClaimsDependencies): Claims {
   const { objectStore, clock, randomness, vm, peerAddress } = dependencies;
   const table = createClaimTable(dependencies);
@@ -70,7 +70,7 @@
   };
   const updates = createUpdateQueue(writeChange);
 
-  /** Nothing was sent under an abandoned claim of this VM, so a new one may take its place. */
+  /** Nothing was sent under an abandoned claim of this VM, so a new claim may replace it. */
   const replaceAbandoned = (step: ClaimStep, sent: ClaimRow): ClaimStep =>
     step.kind === 'lost' && step.row !== null && abandoned.has(step.row)
       ? {
@@ -90,7 +90,8 @@
           replaceAbandoned(chooseAcquireStep(sent, reply, readNowS()), sent),
       });
       if (ended.isErr()) {
-        // An idempotent generation runs without its claim; a late row leads its repeats to it.
+        // An idempotent generation runs without its claim. If the row appears later, it leads
+        // repeats of the request to the generation, so the row must stay.
         if (ended.error.pendingWrite && !request.idempotent) abandoned.add(row);
         return err(convertStoreError(ended.error.error));
       }
@@ -120,7 +121,7 @@
     updateClaim: (row, change) => updates.add(row, change),
 
     writeAnswer: async (row, answer) => {
-      // The object first: a row that says finished always has its answer.
+      // The object is written first, so that every finished row has its answer.
       const written = await objectStore.writeObject(buildAnswerKey(row), encodeAnswer(answer), {
         onlyIfAbsent: false,
       });
--- a/src/application/claims/createClaims/test.ts
+++ b/src/application/claims/createClaims/test.ts
@@ -53,23 +53,23 @@
   return outcome.row;
 }
 
-test('a claim whose answer was lost is granted, and to the next one it is taken', async (t) => {
-  // Symptom: a caller is refused, and its key stays blocked. Sequence: the row is written, the
-  // answer is lost. Cause: the loss is taken for a failure, or for another one's claim.
+test('a claim whose response is lost is granted, and is taken for the next claimant', async (t) => {
+  // Guards against a refused caller whose key stays blocked: the row is written, the response is
+  // lost, and the loss is treated as a failure or as a claim of another VM.
   const { table, buildVm } = startPlatform();
   table.loseNextAnswers(1);
   const row = await acquire(buildVm('entry-1', 1));
   t.is(row.vm, 'entry-1');
   const second = (await buildVm('entry-2', 2).acquireClaim(REQUEST))._unsafeUnwrap();
   t.deepEqual(second, { kind: 'taken', row });
-  // A write dropped on its way looks the same to the client, and is sent again.
+  // A lost request looks the same to the client, so the write is sent again.
   table.dropNextWrites(1);
   t.true((await buildVm('entry-1', 3).acquireClaim({ ...REQUEST, keyDigest: 'k2' })).isOk());
 });
 
-test('of two claimants exactly one is granted, in any order and with any loss', async (t) => {
-  // Symptom: two generations run under one key. Sequence: two entries claim it at once, writes
-  // and answers are lost or late. Cause: a lost answer is resolved in favour of both.
+test('exactly one of two claimants is granted, in any order and with any loss', async (t) => {
+  // Guards against two generations under one key: two VMs claim the key at once, writes and
+  // responses are lost or late, and the lost response is resolved in favour of both.
   const fate = fc.constantFrom<WriteFate>('none', 'answer', 'late');
   const property = fc.asyncProperty(
     fc.scheduler(),
@@ -86,9 +86,9 @@
   await fc.assert(property, { seed: 5, numRuns: 1000 });
 });
 
-test('a paused claimant that was taken over changes nothing any more', async (t) => {
-  // Symptom: an answer of an abandoned attempt replaces the right one. Sequence: the holder is
-  // paused, another VM takes over and finishes, the holder wakes and writes its own answer.
+test('a paused claimant cannot change a claim that another VM took over', async (t) => {
+  // Guards against a stale answer that replaces the right one: the holder is paused, another VM
+  // takes over and finishes, then the holder continues and writes its own answer.
   const { table, buildVm } = startPlatform();
   const [first, second] = [buildVm('entry-1', 1), buildVm('entry-2', 2)];
   const paused = await acquire(first);
@@ -104,8 +104,8 @@
   t.deepEqual((await first.readAnswer(finished))._unsafeUnwrap(), ANSWER);
 });
 
-test('a paused claimant does not meet its old revision again', async (t) => {
-  // Sequence: the holder is paused, the platform removes the row, another VM claims the key anew.
+test('a new claim of a key does not reuse the revision of a paused claimant', async (t) => {
+  // The holder is paused, the platform removes the row, and another VM claims the key again.
   const { table, buildVm } = startPlatform();
   const first = buildVm('entry-1', 1);
   const paused = await acquire(first);
@@ -115,7 +115,7 @@
   t.deepEqual(late._unsafeUnwrapErr(), { kind: 'lost', row: anew });
 });
 
-test('updates at the same time share a write, and a lost answer is made up for', async (t) => {
+test('concurrent updates share a write, and a lost response is recovered from', async (t) => {
   const { table, buildVm } = startPlatform();
   const claims = buildVm('entry-1', 1);
   const row = await acquire(claims);
@@ -127,7 +127,7 @@
   t.is(table.countWrites(), 2);
 });
 
-/** Claims while the write's answer is lost and the table then goes down, and waits for the error. */
+/** Claims a key: the response to the write is lost, the table goes down, and the claim fails. */
 async function claimIntoOutage(idempotent: boolean) {
   const { clock, table, buildVm } = startPlatform();
   const guarded = createResilientTableStore(table, TABLE_POLICY, {
@@ -146,22 +146,23 @@
   return { claims, outcome: await first, waitedMs: await ended };
 }
 
-test('in an outage a claim fails soon, and what it left behind goes away', async (t) => {
-  // Symptom: a key whose caller was told `not-run` is blocked after an outage. Sequence: the row
-  // is written, the answer is lost, the table goes down before the read back.
+test('a claim fails within its deadline in an outage, and its late row is removed', async (t) => {
+  // Guards against a key that stays blocked after an outage although its caller was told
+  // `not-run`: the row is written, the response is lost, and the table goes down before the read
+  // back.
   const { claims, outcome, waitedMs } = await claimIntoOutage(false);
   t.is(outcome._unsafeUnwrapErr().kind, 'store-unavailable');
   t.true(waitedMs <= 1000, `${waitedMs} ms`);
-  // Any later claim of this VM clears it away.
+  // Any later claim of this VM removes the row.
   t.true((await claims.acquireClaim({ ...REQUEST, keyDigest: 'other' })).isOk());
   await new Promise(setImmediate);
   t.is((await claims.readClaim('sello', 'key'))._unsafeUnwrap(), null);
 });
 
-test('a late claim of a generation that runs without it stays', async (t) => {
-  // Symptom: a repeat of a key at another entry begins a second generation. Sequence: as above,
-  // but the generation is idempotent and runs all the same; its row, which would lead the repeat
-  // to it, is cleared away.
+test('the late row of an idempotent generation, which runs without its claim, stays', async (t) => {
+  // Guards against a second generation for a repeat of the key at another VM: as above, but the
+  // generation is idempotent and runs anyway, and its row, which would lead the repeat to it, is
+  // removed.
   const { claims, outcome } = await claimIntoOutage(true);
   t.is(outcome._unsafeUnwrapErr().kind, 'store-unavailable');
   t.true((await claims.acquireClaim({ ...REQUEST, keyDigest: 'other' })).isOk());
@@ -169,7 +170,7 @@
   t.is((await claims.readClaim('sello', 'key'))._unsafeUnwrap()?.vm, 'entry-1');
 });
 
-test('an answer that has served its time gives way, a running claim never', async (t) => {
+test('a claim can be replaced after its answer has expired, but never while it runs', async (t) => {
   const { clock, buildVm } = startPlatform();
   const claims = buildVm('entry-1', 1);
   const row = await acquire(claims);
