--- a/src/application/keeper/createKeeper/index.ts
+++ b/src/application/keeper/createKeeper/index.ts
@@ -11,16 +11,16 @@
   EventLog,
 } from '../../ports';
 
-/** Time between two looks at the engines while one of them is not as desired. */
+/** Interval of reconciliation while an engine is not in its desired state. */
 export const RECONCILE_INTERVAL_MS = 1_000;
-/** Shortest time between two looks while all are as desired. */
+/** Minimum interval of reconciliation while all engines are in their desired state. */
 export const MIN_IDLE_RECONCILE_INTERVAL_MS = 5_000;
-/** Idle looks are spread out in large regions: each report costs some 500 bytes of the budget. */
+/** Large regions reconcile less often when idle: each load report costs about 500 bytes. */
 const IDLE_MS_PER_ENGINE = 150;
 const RESEND_AFTER_MS = 30_000;
 const SIDE_BY_SIDE_TIMEOUT_MS = 300_000;
 
-/** What the keeper needs. */
+/** Dependencies of the keeper. */
 export interface KeeperDependencies {
   readonly region: string;
   readonly lease: LeaseHolder;
@@ -29,16 +29,16 @@
   readonly clock: Clock;
   readonly decisions: DecisionLog;
   readonly log: EventLog;
-  /** Models that may be loading at once over all engines of the region. */
+  /** Maximum number of models that load at the same time, over all engines of the region. */
   readonly maxLoads: number;
 }
 
-/** Brings the engines of a region to the desired state while it holds the lease. */
+/** Reconciles the engines of a region with their desired state while this process has the lease. */
 export interface Keeper {
   start(): void;
-  /** Sends no more orders; done when the last one was answered. */
+  /** Stops sending orders; resolves when the last order was answered. */
   stop(): Promise<void>;
-  /** What the last turn found, or null before the first. */
+  /** Plan of the last reconciliation, or null if there is none under the current lease. */
   readPlan(): OrderPlan | null;
 }
 
@@ -57,7 +57,7 @@
   );
 }
 
-/** Creates the keeper. */
+/** Creates the keeper of a region. */
 export function createKeeper(deps: KeeperDependencies): Keeper {
   const { lease, clock, decisions, log } = deps;
   const pending = new Map<string, PendingOrder>();
@@ -80,7 +80,7 @@
   });
   const readState = async (server: BackendServer): Promise<EngineState> => {
     const report = (await deps.engines.readLoad(server)).unwrapOr(null);
-    // Engines that don't check orders still tell the highest token that they were sent.
+    // Engines that don't check orders still report the highest token that they received.
     if (report !== null) lease.recordObservedToken(report.fencingToken);
     return buildState(server.name, report);
   };
@@ -89,7 +89,7 @@
       ...current.orders.map(({ order }) => order.backendServer),
       ...current.waiting.map(({ backendServer }) => backendServer),
     ]);
-    // A dead engine has forgotten its orders: they must not count as loads under way for ever.
+    // A dead engine has lost its orders, so they must not count as running loads forever.
     states
       .filter(({ backendServer, serving }) => !serving || !unfinished.has(backendServer))
       .forEach(({ backendServer }) => pending.delete(backendServer));
@@ -120,13 +120,13 @@
     log.warn('order not confirmed', { backendServer, error: error.kind });
     const { kind } = error;
     errorHandlers[kind]?.(error);
-    // The engine refused: nothing is under way there. All else may have arrived.
+    // The engine refused the order, so nothing runs there. After other errors it may have arrived.
     if (error.kind === 'not-started' || error.kind === 'stale-order') pending.delete(backendServer);
   };
 
   const sendOrder = async (server: BackendServer, planned: PlannedOrder): Promise<void> => {
-    // Asked anew for each order and in the same turn of the loop as the send: between the plan and
-    // now this process may have been paused past its lease.
+    // The token is read for each order, in the same turn of the event loop as the send: since the
+    // plan was made, this process may have been paused for longer than its lease.
     const fencingToken = lease.readOrderToken();
     if (fencingToken === null || stopped) return;
     recordPending(planned);
@@ -149,7 +149,7 @@
   const reconcile = async (): Promise<void> => {
     const current = deps.configuration.readCurrent();
     if (current === null || lease.readOrderToken() === null) {
-      // Another keeper's orders are not known here: what was pending says nothing any more.
+      // Another keeper may have sent unknown orders since, so the pending ones are obsolete.
       pending.clear();
       plan = null;
       return;
--- a/src/application/lease/createLeaseHolder/index.ts
+++ b/src/application/lease/createLeaseHolder/index.ts
@@ -23,7 +23,7 @@
 
 /** Partition of the lease rows; the sort key is the region. */
 export const LEASE_PARTITION = 'lease';
-/** Mean time between two looks at a lease that another process holds. */
+/** Mean interval between two reads of a lease that another process holds. */
 const WATCH_INTERVAL_MS = 4_000;
 const WATCH_JITTER = 0.25;
 const HOLDER_ID_BYTES = 8;
@@ -41,7 +41,7 @@
   takeoverMarginMs: TAKEOVER_MARGIN_MS,
 };
 
-/** What the holder needs. */
+/** Dependencies of the lease holder. */
 export interface LeaseHolderDependencies {
   readonly region: string;
   readonly vm: string;
@@ -51,25 +51,25 @@
   readonly log: EventLog;
 }
 
-/** Holds, or waits for, the lease on a region's engine orders. */
+/** Holds, or waits for, the lease under which the engines of a region get orders. */
 export interface LeaseHolder {
   start(): void;
-  /** Gives the lease up; call it after the last order was answered. */
+  /** Releases the lease; call it after the last order was answered. */
   stop(): Promise<void>;
-  /** The fencing token if an order may be sent right now, else null. Ask before each order. */
+  /** The fencing token if an order may be sent now, or null. Must be read before each order. */
   readOrderToken(): number | null;
-  /** An engine has seen a higher token: someone else holds, or held, the lease. */
+  /** Records a token that an engine has seen; a higher one shows a newer holder of the lease. */
   recordObservedToken(fencingToken: number): void;
-  /** The row as last seen, or null. */
+  /** The row as last read or written, or null. */
   readLastObservedRow(): LeaseRow | null;
 }
 
 /**
  * Creates the holder of a region's lease.
  *
- * The row's revision grows with each renewal and is the fencing token. A reply that is lost is
- * resolved by reading the row back: if it carries this process's id at the revision that was tried,
- * the write took effect. Where that can't be read either, the lease counts as not renewed.
+ * The row's revision grows with each renewal and is the fencing token. A lost response is resolved
+ * by reading the row back: if the row has this process's id and the attempted revision, the write
+ * took effect. If the row can't be read either, the lease counts as not renewed.
  */
 export function createLeaseHolder(
   deps: LeaseHolderDependencies,
@@ -99,7 +99,7 @@
     if (read.isErr()) return false;
     const item = read.value;
     const decoded = item === null ? null : decodeLeaseRow(item.body, item.revision);
-    // A row that can't be read is not taken over: an operator must look at it first.
+    // A malformed row is not taken over, as an operator must check it first.
     if (decoded?.isErr() === true) {
       log.error('lease row is malformed', { region, reason: decoded.error.reason });
       return false;
@@ -122,7 +122,7 @@
     const row: LeaseRow = { holder, vm, durationMs, revision };
     const condition: WriteCondition =
       before === null ? { kind: 'absent' } : { kind: 'revision', revision: before.revision };
-    // The lease counts from before the write: the table may apply it at any moment from here on.
+    // The lease starts before the write, as the table may apply the write at any time from now on.
     const renewedAtMs = clock.readMonotonicMs();
     const written = await table.writeItem(buildItem(row), condition);
     if (!(await confirmWrite(written, revision))) {
@@ -163,7 +163,7 @@
       const revision = last.revision + 1;
       const row: LeaseRow = { holder: '', vm, durationMs, revision };
       const condition: WriteCondition = { kind: 'revision', revision: last.revision };
-      // If this fails the next holder waits the lease out, as after a crash.
+      // If this write fails, the next holder waits until the lease expires, as after a crash.
       await table.writeItem(buildItem(row), condition);
     },
     readOrderToken: () =>
