--- a/src/application/_lib/createBoundedMap/index.ts
+++ b/src/application/_lib/createBoundedMap/index.ts
@@ -1,11 +1,11 @@
-/** A map of the newest entries. */
+/** Map with a maximum number of entries. */
 export interface BoundedMap<Value> {
   get(key: string): Value | undefined;
-  /** Sets an entry, which is the newest one from now on. */
+  /** Sets an entry and makes it the newest one. */
   set(key: string, value: Value): void;
 }
 
-/** Creates a map that forgets its oldest entry when it would hold more than `maxEntries`. */
+/** Creates a map that evicts its oldest entry when it exceeds `maxEntries`. */
 export const createBoundedMap = <Value>(maxEntries: number): BoundedMap<Value> => {
   const entries = new Map<string, Value>();
   return {
--- a/src/application/_lib/createBoundedMap/test.ts
+++ b/src/application/_lib/createBoundedMap/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { createBoundedMap } from '.';
 
-test('the oldest entry is forgotten, where one that is set again counts as new', (t) => {
+test('the oldest entry is evicted, and an entry that is set again counts as new', (t) => {
   const map = createBoundedMap<number>(2);
   map.set('a', 1);
   map.set('b', 2);
--- a/src/application/_lib/createInputQueue/index.ts
+++ b/src/application/_lib/createInputQueue/index.ts
@@ -1,15 +1,15 @@
-/** Takes inputs one after the other, also those that come up while one is handled. */
+/** Handles inputs one at a time, including those pushed while another one is handled. */
 export interface InputQueue<T> {
   push(input: T): void;
-  /** Sets who handles inputs; must come before the first one. */
+  /** Sets the handler; must be called before the first `push`. */
   setHandler(handler: (input: T) => void): void;
 }
 
 /**
  * Creates an empty queue.
  *
- * An effect may give rise to the next input at once. Handled inside the first, it would be decided
- * on a state whose effects have not all been run; so it waits for its turn.
+ * An effect may push the next input synchronously. If that input were handled at once, it would see
+ * a state whose effects have not all been run. So it is queued until the current input is done.
  *
  * @returns Queue.
  */
--- a/src/application/_lib/createLatencyHistory/index.ts
+++ b/src/application/_lib/createLatencyHistory/index.ts
@@ -8,28 +8,28 @@
 import type { EnginePaces } from '../../../domain/forwarding';
 import { updateMovingAverage, updateUndisturbedEstimate } from '../../../domain/load';
 
-/** How fast the engines of each service answered lately, as this VM saw it. */
+/** Recent latencies of the engines of each service, as observed by this VM. */
 export interface LatencyHistory {
   recordFirstToken(service: string, sample: FirstTokenSample): void;
-  /** The same for a prompt that found a server with nothing else to read: it shows the pace. */
+  /** Records the same for a prompt on a server without other prefills, as a sample of its pace. */
   recordPrefill(service: string, sample: FirstTokenSample): void;
-  /** A stream took this long from its first event to its end. */
+  /** Records the duration of a stream from its first event to its end. */
   recordRunDuration(service: string, runMs: number): void;
-  /** Paces of the engines when nothing disturbs them; 0 while none was seen. */
+  /** Paces of the engines without interference from other work; 0 without samples. */
   readEnginePaces(service: string): EnginePaces;
-  /** Newest first-token times. */
+  /** Most recent first-token times. */
   listFirstTokens(service: string): readonly FirstTokenSample[];
   recordGap(service: string, gapMs: number): void;
-  /** Figures with which a stream begins that has no gap of its own yet. */
+  /** Initial gap statistics for a stream without gaps of its own. */
   readInitialGaps(service: string): GapStatistics;
 }
 
 const UNKNOWN_PACES: EnginePaces = { prefillMsPerToken: 0, runMs: 0 };
 
-/** A new run's weight in the mean: a burst shows within some ten of them. */
+/** Weight of a new run in the moving average: a burst shows within about ten runs. */
 const RUN_DURATION_WEIGHT = 0.1;
 
-/** Enough to hold a busy minute's extremes, few enough to forget an old load soon. */
+/** Enough to keep the extremes of a busy minute, few enough to forget an earlier load soon. */
 const MAX_SAMPLES = 32;
 
 /**
--- a/src/application/generations/_lib/createPendingWrites/index.ts
+++ b/src/application/generations/_lib/createPendingWrites/index.ts
@@ -4,8 +4,8 @@
 export interface PendingWrites {
   /** Tracks a write until it settles. */
   add(write: Promise<void>): void;
-  /** Resolves when all writes have settled, or after `boundMs` at the latest. */
-  wait(boundMs: number): Promise<void>;
+  /** Resolves when all writes have settled, or after `maxWaitMs` at the latest. */
+  wait(maxWaitMs: number): Promise<void>;
 }
 
 /**
@@ -23,11 +23,11 @@
       const remove = (): boolean => writes.delete(write);
       write.then(remove, remove);
     },
-    wait: async (boundMs) => {
+    wait: async (maxWaitMs) => {
       if (writes.size === 0) return;
       let cancelTimer = (): void => undefined;
       const timeout = new Promise<void>((resolve) => {
-        cancelTimer = clock.startTimer(boundMs, resolve);
+        cancelTimer = clock.startTimer(maxWaitMs, resolve);
       });
       await Promise.race([Promise.allSettled(writes), timeout]);
       cancelTimer();
--- a/src/application/generations/createGenerations/index.ts
+++ b/src/application/generations/createGenerations/index.ts
@@ -18,8 +18,8 @@
 export interface StoppableGenerations extends Generations {
   /** Stops the timer; running streams are neither cancelled nor detached. */
   stop(): void;
-  /** Resolves when the outcomes of all ended generations are stored, or after `boundMs`. */
-  waitForPendingWrites(boundMs: number): Promise<void>;
+  /** Resolves when the outcomes of all ended generations are stored, or after `maxWaitMs`. */
+  waitForPendingWrites(maxWaitMs: number): Promise<void>;
 }
 
 /** How long a generation is kept without a caller before a configuration is known. */
--- a/src/application/shutdown/createShutdown/index.ts
+++ b/src/application/shutdown/createShutdown/index.ts
@@ -1,45 +1,45 @@
 import type { Clock } from '../../ports';
 
-/** One piece of running work; ends once. */
+/** A unit of running work; ending it more than once has no effect. */
 export interface Work {
   end(): void;
 }
 
-/** How a drain ended. */
+/** Outcome of a drain. */
 export interface DrainOutcome {
   readonly finished: number;
-  /** Streams that were still running at the bound and went to another entry by cursor. */
+  /** Streams that still ran when the wait ended and that callers resume elsewhere by cursor. */
   readonly handedOver: number;
 }
 
-/** The state of this process's shutdown, and the work that it waits for. */
+/** Shutdown state of this process, with the running work that a drain waits for. */
 export interface Shutdown {
   isDraining(): boolean;
   /**
-   * Takes in new work, or gives null while draining.
+   * Registers new work; returns null while draining.
    *
-   * @param handOver - ends the work with a cursor; null for work that must go to its end here
+   * @param handOver - Ends the work with a cursor; null for work that must finish here.
    */
   startWork(handOver: (() => void) | null): Work | null;
   countRunning(): number;
-  /** Calls `listener` once when the drain begins. */
+  /** Adds a listener that is called once when the drain starts. */
   addListener(listener: () => void): void;
   /**
-   * Takes no new work and waits for what runs.
+   * Refuses new work and waits for the running work.
    *
-   * @param boundMs - after this the rest is handed over; work without a hand-over is waited for
+   * @param maxWaitMs - Time after which work is handed over; work without a hand-over must finish.
    */
-  drain(boundMs: number): Promise<DrainOutcome>;
+  drain(maxWaitMs: number): Promise<DrainOutcome>;
 }
 
-/** Time that handed-over answers get to reach their callers before they are given up. */
+/** Time for handed-over answers to reach their callers before the drain stops waiting for them. */
 const HAND_OVER_TIMEOUT_MS = 2000;
 
 interface RunningWork {
   readonly handOver: (() => void) | null;
 }
 
-/** Creates the shutdown state of one process; a second drain joins the first. */
+/** Creates the shutdown state of a process; a second drain returns the promise of the first. */
 export const createShutdown = (dependencies: { readonly clock: Clock }): Shutdown => {
   const running = new Set<RunningWork>();
   const listeners: (() => void)[] = [];
@@ -55,7 +55,7 @@
   };
   const listResumableWork = (): RunningWork[] =>
     [...running].filter(({ handOver }) => handOver !== null);
-  // A caller that reads nothing would hold the drain for ever; it has its cursor all the same.
+  // A caller that does not read would block the drain forever; it can still resume by its cursor.
   const dropStuckWork = (): void => listResumableWork().forEach(endWork);
   const handOverWork = (): (() => void) => {
     const work = listResumableWork();
@@ -63,12 +63,12 @@
     work.forEach(({ handOver }) => handOver?.());
     return dependencies.clock.startTimer(HAND_OVER_TIMEOUT_MS, dropStuckWork);
   };
-  const waitForIdle = async (boundMs: number): Promise<DrainOutcome> => {
+  const waitForIdle = async (maxWaitMs: number): Promise<DrainOutcome> => {
     const idle = new Promise<void>((resolve) => {
       resolveIdle = resolve;
     });
     if (running.size === 0) resolveIdle?.();
-    let cancelTimer = dependencies.clock.startTimer(boundMs, () => {
+    let cancelTimer = dependencies.clock.startTimer(maxWaitMs, () => {
       cancelTimer = handOverWork();
     });
     await idle;
@@ -88,9 +88,9 @@
     addListener: (listener) => {
       listeners.push(listener);
     },
-    drain: (boundMs) => {
+    drain: (maxWaitMs) => {
       if (draining === null) {
-        draining = waitForIdle(boundMs);
+        draining = waitForIdle(maxWaitMs);
         listeners.forEach((listener) => listener());
       }
       return draining;
