--- a/src/application/_lib/createLatencyHistory/index.ts
+++ b/src/application/_lib/createLatencyHistory/index.ts
@@ -44,16 +44,16 @@
   const readPaces = (service: string): EnginePaces => paces.get(service) ?? UNKNOWN_PACES;
   return {
     recordFirstToken: (service, sample) => {
-      const kept = samples.get(service) ?? [];
-      kept.push(sample);
-      if (kept.length > MAX_SAMPLES) kept.shift();
-      samples.set(service, kept);
+      const recent = samples.get(service) ?? [];
+      recent.push(sample);
+      if (recent.length > MAX_SAMPLES) recent.shift();
+      samples.set(service, recent);
     },
     recordPrefill: (service, sample) => {
-      const before = readPaces(service);
+      const previous = readPaces(service);
       const perToken = sample.firstTokenMs / Math.max(1, sample.promptCharacters);
-      const prefillMsPerToken = updateUndisturbedEstimate(before.prefillMsPerToken, perToken);
-      paces.set(service, { ...before, prefillMsPerToken });
+      const prefillMsPerToken = updateUndisturbedEstimate(previous.prefillMsPerToken, perToken);
+      paces.set(service, { ...previous, prefillMsPerToken });
     },
     recordRunDuration: (service, runMs) => {
       const before = readPaces(service);
--- a/src/application/claims/createClaims/index.ts
+++ b/src/application/claims/createClaims/index.ts
@@ -41,8 +41,8 @@
 const buildAnswerKey = (row: ClaimRow): string =>
   `answers/${row.workspace}/${row.keyDigest}/${row.claimId}`;
 
-const convertFinalStep = (end: FinalClaimStep): Result<ClaimRow, ClaimError> =>
-  end.kind === 'done' ? ok(end.row) : err({ kind: 'lost', row: end.row });
+const convertFinalStep = (step: FinalClaimStep): Result<ClaimRow, ClaimError> =>
+  step.kind === 'done' ? ok(step.row) : err({ kind: 'lost', row: step.row });
 
 /** Creates the claims of this VM on top of the table store and the object store. */
 export function createClaims(dependencies: ClaimsDependencies): Claims {
@@ -61,12 +61,12 @@
     row: ClaimRow,
     change: ClaimChange,
   ): Promise<Result<ClaimRow, ClaimError>> => {
-    const ended = await runClaimSteps(table, clock, {
+    const result = await runClaimSteps(table, clock, {
       row: { ...row, ...change, revision: row.revision + 1 },
       expectedRevision: row.revision,
       chooseStep: (sent, reply) => chooseUpdateStep(sent, change, reply),
     });
-    return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertFinalStep);
+    return result.mapErr(({ error }) => convertStoreError(error)).andThen(convertFinalStep);
   };
   const updates = createUpdateQueue(writeChange);
 
@@ -83,20 +83,20 @@
   return {
     acquireClaim: async (request) => {
       const row = buildClaim(request, buildClaimant());
-      const ended = await runClaimSteps(table, clock, {
+      const result = await runClaimSteps(table, clock, {
         row,
         expectedRevision: null,
         chooseStep: (sent, reply) =>
           replaceAbandoned(chooseAcquireStep(sent, reply, readNowS()), sent),
       });
-      if (ended.isErr()) {
+      if (result.isErr()) {
         // An idempotent generation runs without its claim. If the row appears later, it leads
         // repeats of the request to the generation, so the row must stay.
-        if (ended.error.pendingWrite && !request.idempotent) abandoned.add(row);
-        return err(convertStoreError(ended.error.error));
+        if (result.error.pendingWrite && !request.idempotent) abandoned.add(row);
+        return err(convertStoreError(result.error.error));
       }
       abandoned.removeStale();
-      const { kind, row: current } = ended.value;
+      const { kind, row: current } = result.value;
       if (kind === 'done') return ok({ kind: 'granted', row: current });
       return current === null
         ? err({ kind: 'lost', row: null })
@@ -110,12 +110,12 @@
 
     takeOverClaim: async (seen) => {
       const row = buildTakeoverClaim(seen, buildClaimant());
-      const ended = await runClaimSteps(table, clock, {
+      const result = await runClaimSteps(table, clock, {
         row,
         expectedRevision: seen.revision,
         chooseStep: (sent, reply) => chooseTakeoverStep(seen, sent, reply),
       });
-      return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertFinalStep);
+      return result.mapErr(({ error }) => convertStoreError(error)).andThen(convertFinalStep);
     },
 
     updateClaim: (row, change) => updates.add(row, change),
--- a/src/application/generations/_lib/computeAttemptLimits/index.ts
+++ b/src/application/generations/_lib/computeAttemptLimits/index.ts
@@ -28,9 +28,9 @@
 
 const NO_LIMITS: SilenceLimits = { suspectMs: Infinity, confirmMs: Infinity };
 
-type Compute = (handle: AttemptHandle, options: LimitOptions) => SilenceLimits;
+type ComputeLimits = (handle: AttemptHandle, options: LimitOptions) => SilenceLimits;
 
-const LIMITS: Readonly<Record<AttemptPhase, Compute>> = {
+const LIMITS_BY_PHASE: Readonly<Record<AttemptPhase, ComputeLimits>> = {
   [AttemptPhase.Opening]: () => NO_LIMITS,
   [AttemptPhase.Prefill]: (
     _handle,
@@ -46,10 +46,10 @@
     computeSilenceLimits(handle.gaps, { isServerDead: serverDead }),
   [AttemptPhase.Resuming]: (handle) => {
     if (handle.gaps.count === 0) return MIN_RESUME_LIMITS;
-    const own = computeSilenceLimits(handle.gaps, { isServerDead: false });
+    const gapLimits = computeSilenceLimits(handle.gaps, { isServerDead: false });
     return {
-      suspectMs: Math.max(MIN_RESUME_LIMITS.suspectMs, own.suspectMs),
-      confirmMs: Math.max(MIN_RESUME_LIMITS.confirmMs, own.confirmMs),
+      suspectMs: Math.max(MIN_RESUME_LIMITS.suspectMs, gapLimits.suspectMs),
+      confirmMs: Math.max(MIN_RESUME_LIMITS.confirmMs, gapLimits.confirmMs),
     };
   },
 };
@@ -66,4 +66,4 @@
   phase: AttemptPhase,
   handle: AttemptHandle,
   options: LimitOptions,
-): SilenceLimits => LIMITS[phase](handle, options);
+): SilenceLimits => LIMITS_BY_PHASE[phase](handle, options);
--- a/src/application/generations/_lib/createClaimWriter/index.ts
+++ b/src/application/generations/_lib/createClaimWriter/index.ts
@@ -47,7 +47,7 @@
 ): ClaimWriter => {
   let row = firstRow;
   let isLost = false;
-  let tail: Promise<unknown> = Promise.resolve();
+  let lastWrite: Promise<unknown> = Promise.resolve();
 
   const runWrite = async (write: Write): Promise<Result<void, ClaimError>> => {
     if (isLost) return err({ kind: 'lost', row: null });
@@ -65,8 +65,8 @@
   };
 
   const addWrite = (write: Write): Promise<Result<void, ClaimError>> => {
-    const next = tail.then(() => runWrite(write));
-    tail = next;
+    const next = lastWrite.then(() => runWrite(write));
+    lastWrite = next;
     return next;
   };
 
--- a/src/application/generations/_lib/createClaimedStarter/index.ts
+++ b/src/application/generations/_lib/createClaimedStarter/index.ts
@@ -29,7 +29,7 @@
 ): ((request: GenerationRequest, signal: AbortSignal) => Promise<Feed>) => {
   const pendingClaims = new Map<string, Promise<Claimed>>();
 
-  const claim = async (request: GenerationRequest, keyDigest: string): Promise<Claimed> => {
+  const claimOrFind = async (request: GenerationRequest, keyDigest: string): Promise<Claimed> => {
     const name = `${request.workspace}#${keyDigest}`;
     // Of two POSTs with the same key at this VM, the second waits for the claim of the first. Its
     // request is compared afterwards, as its body may differ.
@@ -48,7 +48,7 @@
   };
 
   const start = async (request: GenerationRequest, signal: AbortSignal): Promise<Feed> => {
-    const claimed = await claim(request, computeKeyDigest(request));
+    const claimed = await claimOrFind(request, computeKeyDigest(request));
     if (claimed.isErr()) return err(claimed.error);
     if (claimed.value.kind === 'run') return openFeed(claimed.value.run, 0, signal);
     const { feed, row } = claimed.value;
--- a/src/application/generations/_lib/createFeed/index.ts
+++ b/src/application/generations/_lib/createFeed/index.ts
@@ -49,7 +49,7 @@
 
   async function* readEvents(): AsyncGenerator<GenerationEvent> {
     let { batchIndex, chain } = start;
-    const takeBatch = (batch: TokenBatch): GenerationEvent => {
+    const consumeBatch = (batch: TokenBatch): GenerationEvent => {
       batchIndex += 1;
       chain = addTokensToChain(chain, batch.tokenIds);
       const offset = batch.offset + batch.tokenIds.length;
@@ -59,7 +59,7 @@
       while (isAttached) {
         const batch = run.log.readBatch(batchIndex);
         if (batch) {
-          yield takeBatch(batch);
+          yield consumeBatch(batch);
         } else if (run.isEnded()) {
           const error = run.readFailure();
           if (error) yield { kind: 'failed', error };
--- a/src/application/generations/_lib/createPendingWrites/index.ts
+++ b/src/application/generations/_lib/createPendingWrites/index.ts
@@ -20,8 +20,8 @@
   return {
     add: (write) => {
       writes.add(write);
-      const remove = (): boolean => writes.delete(write);
-      write.then(remove, remove);
+      const untrack = (): boolean => writes.delete(write);
+      write.then(untrack, untrack);
     },
     wait: async (maxWaitMs) => {
       if (writes.size === 0) return;
--- a/src/application/generations/_lib/createRunStore/index.ts
+++ b/src/application/generations/_lib/createRunStore/index.ts
@@ -10,7 +10,7 @@
   list(): readonly GenerationRun[];
 }
 
-const joinKey = (workspace: string, part: string): string => `${workspace}#${part}`;
+const buildIndexKey = (workspace: string, id: string): string => `${workspace}#${id}`;
 
 /**
  * Creates an empty store.
@@ -18,28 +18,28 @@
  * @returns Store in memory.
  */
 export const createRunStore = (): RunStore => {
-  const all = new Map<GenerationRun, readonly string[]>();
+  const keysByRun = new Map<GenerationRun, readonly string[]>();
   const index = new Map<string, GenerationRun>();
 
   return {
     add: (run, keyDigest) => {
-      const names = [joinKey(run.workspace, run.generationId)];
-      if (keyDigest) names.push(joinKey(run.workspace, keyDigest));
-      const replaced = index.get(joinKey(run.workspace, run.generationId));
-      all.set(run, names);
-      names.forEach((name) => index.set(name, run));
+      const indexKeys = [buildIndexKey(run.workspace, run.generationId)];
+      if (keyDigest) indexKeys.push(buildIndexKey(run.workspace, keyDigest));
+      const replaced = index.get(buildIndexKey(run.workspace, run.generationId));
+      keysByRun.set(run, indexKeys);
+      indexKeys.forEach((key) => index.set(key, run));
       if (replaced && replaced !== run && replaced.readState().callers === 0) {
         replaced.dispatch({ kind: 'abandoned', reason: 'expired' });
       }
     },
-    find: (workspace, generationId) => index.get(joinKey(workspace, generationId)) ?? null,
-    findByKey: (workspace, keyDigest) => index.get(joinKey(workspace, keyDigest)) ?? null,
+    find: (workspace, generationId) => index.get(buildIndexKey(workspace, generationId)) ?? null,
+    findByKey: (workspace, keyDigest) => index.get(buildIndexKey(workspace, keyDigest)) ?? null,
     remove: (run) => {
-      all.get(run)?.forEach((name) => {
-        if (index.get(name) === run) index.delete(name);
+      keysByRun.get(run)?.forEach((key) => {
+        if (index.get(key) === run) index.delete(key);
       });
-      all.delete(run);
+      keysByRun.delete(run);
     },
-    list: () => [...all.keys()],
+    list: () => [...keysByRun.keys()],
   };
 };
--- a/src/application/generations/_lib/handleExistingClaim/index.ts
+++ b/src/application/generations/_lib/handleExistingClaim/index.ts
@@ -4,7 +4,7 @@
 import { buildClaimedRun } from '../buildClaimedRun';
 import { buildError } from '../buildError';
 import { createReplayRun } from '../createReplayRun';
-import { findServer } from '../findServer';
+import { findAllowedServer } from '../findAllowedServer';
 import { attachClaimWriter } from '../attachClaimWriter';
 
 type RowHandler = (
@@ -20,7 +20,7 @@
     const { retryAfterMs } = claim.error;
     return err({ ...buildError('run_state_unknown', { retryAfterMs }), status: 503 });
   }
-  const server = findServer(context, {
+  const server = findAllowedServer(context, {
     workspace: row.workspace,
     service: claimed.request.service,
     backendServer: row.backendServer,
--- a/src/application/generations/_lib/relayGeneration/index.ts
+++ b/src/application/generations/_lib/relayGeneration/index.ts
@@ -26,18 +26,18 @@
   'generation_expired',
 ]);
 
-const LOST = Symbol('lost');
+const PEER_LOST = Symbol('lost');
 
 const readNext = async (
   iterator: AsyncIterator<GenerationEvent>,
   clock: Clock,
   hasTimeout: boolean,
-): Promise<GenerationEvent | typeof LOST> => {
+): Promise<GenerationEvent | typeof PEER_LOST> => {
   let stopTimer = (): void => undefined;
-  const silence = new Promise<typeof LOST>((resolve) => {
-    if (hasTimeout) stopTimer = clock.startTimer(SILENCE_TIMEOUT_MS, () => resolve(LOST));
+  const silence = new Promise<typeof PEER_LOST>((resolve) => {
+    if (hasTimeout) stopTimer = clock.startTimer(SILENCE_TIMEOUT_MS, () => resolve(PEER_LOST));
   });
-  const next = iterator.next().then((result) => (result.done ? LOST : result.value));
+  const next = iterator.next().then((result) => (result.done ? PEER_LOST : result.value));
   const event = await Promise.race([next, silence]);
   stopTimer();
   return event;
@@ -59,35 +59,35 @@
 
   async function* relayPeer(relayed: number[]): AsyncGenerator<GenerationEvent, Cursor | null> {
     let { offset, chain } = options;
-    let last: Cursor | null = null;
+    let lastCursor: Cursor | null = null;
     const iterator = feed.events[Symbol.asyncIterator]();
     while (isAttached) {
-      const event = await readNext(iterator, options.clock, last !== null);
-      if (event === LOST) return last;
+      const event = await readNext(iterator, options.clock, lastCursor !== null);
+      if (event === PEER_LOST) return lastCursor;
       if (event.kind === 'failed') {
-        if (PEER_ERROR_CODES.has(event.error.code)) return last;
+        if (PEER_ERROR_CODES.has(event.error.code)) return lastCursor;
         yield event;
         isAttached = false;
-        return last;
+        return lastCursor;
       }
       const next = addTokensToChain(chain, event.batch.tokenIds);
-      if (event.batch.offset !== offset || event.cursor.chain !== next) return last;
+      if (event.batch.offset !== offset || event.cursor.chain !== next) return lastCursor;
       chain = next;
       offset += event.batch.tokenIds.length;
-      last = event.cursor;
+      lastCursor = event.cursor;
       relayed.push(...event.batch.tokenIds);
       yield event;
       if (event.batch.finishReason !== null) isAttached = false;
     }
-    return last;
+    return lastCursor;
   }
 
   async function* readEvents(): AsyncGenerator<GenerationEvent> {
     const relayed: number[] = [];
-    const last = yield* relayPeer(relayed);
+    const lastCursor = yield* relayPeer(relayed);
     feed.detach();
     if (!isAttached) return;
-    const resumed = await options.resumeWithoutPeer(last, relayed);
+    const resumed = await options.resumeWithoutPeer(lastCursor, relayed);
     if (resumed.isErr()) {
       yield { kind: 'failed', error: resumed.error };
       return;
--- a/src/application/generations/_lib/startAttempt/index.ts
+++ b/src/application/generations/_lib/startAttempt/index.ts
@@ -30,7 +30,7 @@
 };
 
 /** Records the attempt in the claim; only a non-idempotent request waits for the write. */
-const recordClaim = async (
+const recordAttemptInClaim = async (
   context: RunContext,
   handle: AttemptHandle,
   request: GenerationRequest,
@@ -117,7 +117,7 @@
   }
   const streamId = `${context.generationId}.${reader.attempt}.${dependencies.randomness.readHex(STREAM_ID_BYTES)}`;
   Object.assign(handle, { slot, server: slot.server, streamId });
-  const recorded = await recordClaim(context, handle, request);
+  const recorded = await recordAttemptInClaim(context, handle, request);
   if (isClosed(context, handle)) return undefined;
   if (recorded.isErr()) {
     const retryAfterMs = 'retryAfterMs' in recorded.error ? recorded.error.retryAfterMs : 0;
--- a/src/application/generations/_lib/takeOverGeneration/index.ts
+++ b/src/application/generations/_lib/takeOverGeneration/index.ts
@@ -6,7 +6,7 @@
 import { buildError } from '../buildError';
 import { buildInitialChain } from '../buildInitialChain';
 import { buildRun, type ExistingStream } from '../buildRun';
-import { findServer } from '../findServer';
+import { findAllowedServer } from '../findAllowedServer';
 import { readEnginePrefix } from '../readEnginePrefix';
 
 /** Tokens up to the cursor, verified against its chain, from which any engine can continue. */
@@ -21,11 +21,12 @@
   request: GenerationRequest,
   tokenIds: readonly number[],
 ): VerifiedPrefix | null => {
-  const held = tokenIds.slice(0, cursor.offset);
+  const tokensToCursor = tokenIds.slice(0, cursor.offset);
   const chain = buildInitialChain(request, cursor.generationId);
   const isMatching =
-    held.length === cursor.offset && addTokensToChain(chain, held) === cursor.chain;
-  return isMatching ? { request, chain, tokenIds: held } : null;
+    tokensToCursor.length === cursor.offset &&
+    addTokensToChain(chain, tokensToCursor) === cursor.chain;
+  return isMatching ? { request, chain, tokenIds: tokensToCursor } : null;
 };
 
 const findPrefix = async (
@@ -39,8 +40,8 @@
     const prefix = verifyPrefix(cursor, request, prefixTokenIds ?? []);
     return prefix ? ok(prefix) : err(buildError('prefix_mismatch'));
   }
-  const held = context.store.find(cursor.workspace, cursor.generationId)?.log.listTokenIds();
-  const localPrefix = held ? verifyPrefix(cursor, request, held) : null;
+  const heldTokens = context.store.find(cursor.workspace, cursor.generationId)?.log.listTokenIds();
+  const localPrefix = heldTokens ? verifyPrefix(cursor, request, heldTokens) : null;
   if (localPrefix) return ok(localPrefix);
   const engineTokens = existingStream
     ? await readEnginePrefix(context, existingStream, cursor.offset)
@@ -62,7 +63,7 @@
   resume: ResumeRequest,
 ): Promise<Result<GenerationRun, GenerationError>> => {
   const { cursor } = resume;
-  const server = findServer(context, cursor);
+  const server = findAllowedServer(context, cursor);
   const existingStream = server && cursor.streamId ? { server, streamId: cursor.streamId } : null;
   const found = await findPrefix(context, resume, existingStream);
   if (found.isErr()) return err(found.error);
--- a/src/application/keeper/createKeeper/index.ts
+++ b/src/application/keeper/createKeeper/index.ts
@@ -98,12 +98,12 @@
   const recordPending = ({ order }: PlannedOrder): void => {
     const { models, role, backendServer } = order;
     const sentAtMs = clock.readMonotonicMs();
-    const before = pending.get(backendServer);
+    const previous = pending.get(backendServer);
     const isSame =
-      before !== undefined &&
-      before.role === role &&
-      JSON.stringify(before.models) === JSON.stringify(models);
-    const firstSentAtMs = isSame ? before.firstSentAtMs : sentAtMs;
+      previous !== undefined &&
+      previous.role === role &&
+      JSON.stringify(previous.models) === JSON.stringify(models);
+    const firstSentAtMs = isSame ? previous.firstSentAtMs : sentAtMs;
     pending.set(backendServer, { models, role, sentAtMs, firstSentAtMs });
   };
   const errorHandlers: OrderErrorHandlers = {
@@ -181,8 +181,8 @@
   };
   const computeDelayMs = (): number => {
     if (isReconcileRequested) return 0;
-    const isBusy = pending.size > 0 || (plan !== null && plan.orders.length > 0);
-    return isBusy
+    const isActive = pending.size > 0 || (plan !== null && plan.orders.length > 0);
+    return isActive
       ? RECONCILE_INTERVAL_MS
       : Math.max(MIN_IDLE_RECONCILE_INTERVAL_MS, engineCount * IDLE_MS_PER_ENGINE);
   };
