--- a/src/application/_lib/createLatencyHistory/index.ts
+++ b/src/application/_lib/createLatencyHistory/index.ts
@@ -8,29 +8,29 @@
 import type { EnginePaces } from '../../../domain/forwarding';
 import { updateMovingAverage, updateUndisturbedEstimate } from '../../../domain/load';
 
-/** How fast the engines of each service answered lately, as this VM saw it. */
+/** Recent latencies of the engines of each service, as observed by this VM. */
 export interface LatencyHistory {
   recordFirstToken(service: string, sample: FirstTokenSample): void;
-  /** The same for a prompt that found a server with nothing else to read: it shows the pace. */
+  /** Records the same for a prompt on a server without other prefills, as a sample of its pace. */
   recordPrefill(service: string, sample: FirstTokenSample): void;
-  /** A stream took this long from its first event to its end. */
+  /** Records the duration of a stream from its first event to its end. */
   recordRunDuration(service: string, runMs: number): void;
-  /** Paces of the engines when nothing disturbs them; 0 while none was seen. */
+  /** Paces of the engines without interference from other work; 0 without samples. */
   readEnginePaces(service: string): EnginePaces;
-  /** Newest first-token times. */
+  /** Most recent first-token times. */
   listFirstTokens(service: string): readonly FirstTokenSample[];
   recordGap(service: string, gapMs: number): void;
-  /** Figures with which a stream begins that has no gap of its own yet. */
+  /** Initial gap statistics for a stream without gaps of its own. */
   readInitialGaps(service: string): GapStatistics;
 }
 
-const NO_PACES: EnginePaces = { prefillMsPerToken: 0, runMs: 0 };
+const UNKNOWN_PACES: EnginePaces = { prefillMsPerToken: 0, runMs: 0 };
 
-/** A new run's weight in the mean: a burst shows within some ten of them. */
-const RUN_WEIGHT = 0.1;
+/** Weight of a new run in the moving average: a burst shows within about ten runs. */
+const RUN_DURATION_WEIGHT = 0.1;
 
-/** Enough to hold a busy minute's extremes, few enough to forget an old load soon. */
-const KEPT_SAMPLES = 32;
+/** Enough to keep the extremes of a busy minute, few enough to forget an earlier load soon. */
+const MAX_SAMPLES = 32;
 
 /**
  * Creates an empty history.
@@ -41,25 +41,25 @@
   const samples = new Map<string, FirstTokenSample[]>();
   const gaps = new Map<string, GapStatistics>();
   const paces = new Map<string, EnginePaces>();
-  const readPaces = (service: string): EnginePaces => paces.get(service) ?? NO_PACES;
+  const readPaces = (service: string): EnginePaces => paces.get(service) ?? UNKNOWN_PACES;
   return {
     recordFirstToken: (service, sample) => {
-      const kept = samples.get(service) ?? [];
-      kept.push(sample);
-      if (kept.length > KEPT_SAMPLES) kept.shift();
-      samples.set(service, kept);
+      const recent = samples.get(service) ?? [];
+      recent.push(sample);
+      if (recent.length > MAX_SAMPLES) recent.shift();
+      samples.set(service, recent);
     },
     recordPrefill: (service, sample) => {
-      const before = readPaces(service);
+      const previous = readPaces(service);
       const perToken = sample.firstTokenMs / Math.max(1, sample.promptCharacters);
-      const prefillMsPerToken = updateUndisturbedEstimate(before.prefillMsPerToken, perToken);
-      paces.set(service, { ...before, prefillMsPerToken });
+      const prefillMsPerToken = updateUndisturbedEstimate(previous.prefillMsPerToken, perToken);
+      paces.set(service, { ...previous, prefillMsPerToken });
     },
     recordRunDuration: (service, runMs) => {
       const before = readPaces(service);
       paces.set(service, {
         ...before,
-        runMs: updateMovingAverage(before.runMs, runMs, RUN_WEIGHT),
+        runMs: updateMovingAverage(before.runMs, runMs, RUN_DURATION_WEIGHT),
       });
     },
     readEnginePaces: readPaces,
--- a/src/application/generations/_lib/computeAttemptLimits/index.ts
+++ b/src/application/generations/_lib/computeAttemptLimits/index.ts
@@ -7,7 +7,7 @@
 import { AttemptPhase } from '../../../../domain/generation';
 import type { AttemptHandle } from '../../types';
 
-/** What the limits of one attempt follow from. */
+/** Inputs to the silence limits of one attempt. */
 export interface LimitOptions {
   readonly firstTokens: readonly FirstTokenSample[];
   readonly promptCharacters: number;
@@ -16,20 +16,21 @@
   readonly serverDead: boolean;
 }
 
-/** Kept tokens come at once when a stream is read again, so a connection's limits are enough. */
-const RESUME_LIMITS: SilenceLimits = { suspectMs: 250, confirmMs: 500 };
+/** An engine sends its kept tokens at once on a resume, so only the connection needs time. */
+const MIN_RESUME_LIMITS: SilenceLimits = { suspectMs: 250, confirmMs: 500 };
 
 /**
- * Room for a prefill on a server that is at work: it waits behind others there. Without it a burst
- * of requests makes each engine look stuck, and all of them are taken out of service at once.
+ * Factor on the prefill limits of a server that is delivering to other streams, as the prefill may
+ * be queued there. Without it, a burst of requests makes every engine look stuck, and all of them
+ * are taken out of service at once.
  */
-const QUEUED_FACTOR = 4;
+const BUSY_SERVER_FACTOR = 4;
 
 const NO_LIMITS: SilenceLimits = { suspectMs: Infinity, confirmMs: Infinity };
 
-type Compute = (handle: AttemptHandle, options: LimitOptions) => SilenceLimits;
+type ComputeLimits = (handle: AttemptHandle, options: LimitOptions) => SilenceLimits;
 
-const LIMITS: Readonly<Record<AttemptPhase, Compute>> = {
+const LIMITS_BY_PHASE: Readonly<Record<AttemptPhase, ComputeLimits>> = {
   [AttemptPhase.Opening]: () => NO_LIMITS,
   [AttemptPhase.Prefill]: (
     _handle,
@@ -38,17 +39,17 @@
     const limits = computePrefillLimits(firstTokens, promptCharacters, {
       isServerDead: serverDead,
     });
-    const factor = serverActive ? QUEUED_FACTOR : 1;
+    const factor = serverActive ? BUSY_SERVER_FACTOR : 1;
     return { suspectMs: limits.suspectMs * factor, confirmMs: limits.confirmMs * factor };
   },
   [AttemptPhase.Streaming]: (handle, { serverDead }) =>
     computeSilenceLimits(handle.gaps, { isServerDead: serverDead }),
   [AttemptPhase.Resuming]: (handle) => {
-    if (handle.gaps.count === 0) return RESUME_LIMITS;
-    const own = computeSilenceLimits(handle.gaps, { isServerDead: false });
+    if (handle.gaps.count === 0) return MIN_RESUME_LIMITS;
+    const gapLimits = computeSilenceLimits(handle.gaps, { isServerDead: false });
     return {
-      suspectMs: Math.max(RESUME_LIMITS.suspectMs, own.suspectMs),
-      confirmMs: Math.max(RESUME_LIMITS.confirmMs, own.confirmMs),
+      suspectMs: Math.max(MIN_RESUME_LIMITS.suspectMs, gapLimits.suspectMs),
+      confirmMs: Math.max(MIN_RESUME_LIMITS.confirmMs, gapLimits.confirmMs),
     };
   },
 };
@@ -57,12 +58,12 @@
  * Computes how long an attempt may be silent in its phase.
  *
  * @param phase - Phase of the attempt.
- * @param handle - Its figures.
- * @param options - Figures of its service and evidence against its server.
+ * @param handle - Handle of the attempt, with its gap statistics.
+ * @param options - First-token samples of the service and the state of the server.
  * @returns Limits in milliseconds.
  */
 export const computeAttemptLimits = (
   phase: AttemptPhase,
   handle: AttemptHandle,
   options: LimitOptions,
-): SilenceLimits => LIMITS[phase](handle, options);
+): SilenceLimits => LIMITS_BY_PHASE[phase](handle, options);
--- a/src/application/generations/_lib/convertEngineError/index.ts
+++ b/src/application/generations/_lib/convertEngineError/index.ts
@@ -1,8 +1,8 @@
 import type { GenerationInput, ReaderId } from '../../../../domain/generation';
 import type { EngineError } from '../../../ports';
 
-/** Reasons of the engine client that mean that no connection could be made. */
-const STATUS_PREFIX = 'status ';
+/** Starts the reason of an error that reports an HTTP status, so that a connection was made. */
+const HTTP_STATUS_PREFIX = 'status ';
 
 type Converters = {
   readonly [Kind in EngineError['kind']]: (
@@ -15,7 +15,7 @@
   'not-started': (error, reader) => ({
     kind: 'not-started',
     reader,
-    refused: !error.reason.startsWith(STATUS_PREFIX),
+    refused: !error.reason.startsWith(HTTP_STATUS_PREFIX),
   }),
   broken: (_error, reader) => ({ kind: 'broken', reader }),
   'stream-gone': (_error, reader) => ({ kind: 'stream-gone', reader }),
@@ -25,10 +25,10 @@
 };
 
 /**
- * Converts an error of the engine client to what happened to the generation.
+ * Converts an error of the engine client to an input of the generation.
  *
  * @param error - Error of a call or a stream.
- * @param reader - Attempt and connection that it came from.
+ * @param reader - Attempt and connection that the error came from.
  * @returns Input of the generation.
  */
 export const convertEngineError = (error: EngineError, reader: ReaderId): GenerationInput => {
--- a/src/application/generations/_lib/createClaimedStarter/index.ts
+++ b/src/application/generations/_lib/createClaimedStarter/index.ts
@@ -19,21 +19,21 @@
     .digest('hex');
 
 /**
- * Creates the start of requests that need a claim: keyed or non-idempotent ones.
+ * Creates the function that starts requests that need a claim: keyed or non-idempotent ones.
  *
  * @param context - Generations of this VM.
- * @returns Function that starts such a request or attaches to the generation it already has.
+ * @returns Function that starts such a request, or attaches to its existing generation.
  */
 export const createClaimedStarter = (
   context: GenerationsContext,
 ): ((request: GenerationRequest, signal: AbortSignal) => Promise<Feed>) => {
-  const claiming = new Map<string, Promise<Claimed>>();
+  const pendingClaims = new Map<string, Promise<Claimed>>();
 
-  const claim = async (request: GenerationRequest, keyDigest: string): Promise<Claimed> => {
+  const claimOrFind = async (request: GenerationRequest, keyDigest: string): Promise<Claimed> => {
     const name = `${request.workspace}#${keyDigest}`;
-    // Two POSTs of one key at this VM: the second waits for the first one's claim, and is looked
-    // at again after it, as its body may be another one.
-    await claiming.get(name);
+    // Of two POSTs with the same key at this VM, the second waits for the claim of the first. Its
+    // request is compared afterwards, as its body may differ.
+    await pendingClaims.get(name);
     const held = context.store.findByKey(request.workspace, keyDigest);
     if (held && !held.readFailure()) {
       return held.request?.digest === request.digest
@@ -41,14 +41,14 @@
         : err(buildError('idempotency_key_reused'));
     }
     const claimed = claimGeneration(context, { request, keyDigest });
-    claiming.set(name, claimed);
+    pendingClaims.set(name, claimed);
     const outcome = await claimed;
-    if (claiming.get(name) === claimed) claiming.delete(name);
+    if (pendingClaims.get(name) === claimed) pendingClaims.delete(name);
     return outcome;
   };
 
   const start = async (request: GenerationRequest, signal: AbortSignal): Promise<Feed> => {
-    const claimed = await claim(request, computeKeyDigest(request));
+    const claimed = await claimOrFind(request, computeKeyDigest(request));
     if (claimed.isErr()) return err(claimed.error);
     if (claimed.value.kind === 'run') return openFeed(claimed.value.run, 0, signal);
     const { feed, row } = claimed.value;
--- a/src/application/generations/_lib/openFeed/index.ts
+++ b/src/application/generations/_lib/openFeed/index.ts
@@ -4,17 +4,17 @@
 import { buildError } from '../buildError';
 import { createNotifier } from '../createNotifier';
 
-const hasNews = (run: GenerationRun, offset: number): boolean =>
+const hasUpdate = (run: GenerationRun, offset: number): boolean =>
   run.isEnded() || run.log.readEndOffset() > offset;
 
 /**
- * Attaches a caller to a run and waits for its first news, so that a failure before any token can
- * still be told by an HTTP status.
+ * Attaches a caller to a run and waits for the first token or the end, so that a failure before any
+ * token can still be reported by an HTTP status.
  *
  * @param run - Run to follow.
- * @param offset - Offset at which the caller goes on.
- * @param signal - Aborted when the caller goes away.
- * @returns Feed, or the failure; `generation_lost` if no batch begins at the offset.
+ * @param offset - Offset at which the caller continues.
+ * @param signal - Aborted when the caller disconnects.
+ * @returns Feed, or the failure; `generation_lost` if no batch starts at the offset.
  */
 export const openFeed = async (
   run: GenerationRun,
@@ -24,12 +24,12 @@
   const feed = run.attach(offset);
   if (!feed) return err(buildError('generation_lost'));
   run.start();
-  const gone = createNotifier();
-  signal.addEventListener('abort', gone.notify, { once: true });
-  while (!hasNews(run, offset) && !signal.aborted) {
-    await Promise.race([run.waitForChange(), gone.wait()]);
+  const disconnected = createNotifier();
+  signal.addEventListener('abort', disconnected.notify, { once: true });
+  while (!hasUpdate(run, offset) && !signal.aborted) {
+    await Promise.race([run.waitForChange(), disconnected.wait()]);
   }
-  signal.removeEventListener('abort', gone.notify);
+  signal.removeEventListener('abort', disconnected.notify);
   const failure = run.readFailure();
   if (failure && run.log.readEndOffset() <= offset) {
     feed.detach();
@@ -38,7 +38,7 @@
   if (!signal.aborted) return ok(feed);
   feed.detach();
   const state = run.readState();
-  // Nobody can come back to it, as no cursor was ever given out.
+  // No caller can resume the generation, as no cursor was ever sent.
   if (state.offset === 0 && !state.policy.keyed && state.callers === 0) {
     run.dispatch({ kind: 'cancelled' });
   }
--- a/src/application/generations/_lib/takeOverGeneration/index.ts
+++ b/src/application/generations/_lib/takeOverGeneration/index.ts
@@ -9,49 +9,54 @@
 import { findAllowedServer } from '../findAllowedServer';
 import { readEnginePrefix } from '../readEnginePrefix';
 
-/** Tokens up to the cursor with the request they answer, so that any engine can go on. */
-interface WholePrefix {
+/** Tokens up to the cursor, verified against its chain, from which any engine can continue. */
+interface VerifiedPrefix {
   readonly request: GenerationRequest;
   readonly chain: string;
   readonly tokenIds: readonly number[];
 }
 
-const checkPrefix = (
+const verifyPrefix = (
   cursor: Cursor,
   request: GenerationRequest,
   tokenIds: readonly number[],
-): WholePrefix | null => {
-  const held = tokenIds.slice(0, cursor.offset);
+): VerifiedPrefix | null => {
+  const tokensToCursor = tokenIds.slice(0, cursor.offset);
   const chain = buildInitialChain(request, cursor.generationId);
-  const agrees = held.length === cursor.offset && addTokensToChain(chain, held) === cursor.chain;
-  return agrees ? { request, chain, tokenIds: held } : null;
+  const isMatching =
+    tokensToCursor.length === cursor.offset &&
+    addTokensToChain(chain, tokensToCursor) === cursor.chain;
+  return isMatching ? { request, chain, tokenIds: tokensToCursor } : null;
 };
 
 const findPrefix = async (
   context: GenerationsContext,
   resume: ResumeRequest,
-  taken: ExistingStream | null,
-): Promise<Result<WholePrefix | null, GenerationError>> => {
+  existingStream: ExistingStream | null,
+): Promise<Result<VerifiedPrefix | null, GenerationError>> => {
   const { cursor, request, prefixTokenIds } = resume;
   if (!request) return ok(null);
   if (cursor.offset === 0 || prefixTokenIds) {
-    const prefix = checkPrefix(cursor, request, prefixTokenIds ?? []);
+    const prefix = verifyPrefix(cursor, request, prefixTokenIds ?? []);
     return prefix ? ok(prefix) : err(buildError('prefix_mismatch'));
   }
-  const held = context.store.find(cursor.workspace, cursor.generationId)?.log.listTokenIds();
-  const own = held ? checkPrefix(cursor, request, held) : null;
-  if (own) return ok(own);
-  const kept = taken ? await readEnginePrefix(context, taken, cursor.offset) : null;
-  return ok(kept ? checkPrefix(cursor, request, kept) : null);
+  const heldTokens = context.store.find(cursor.workspace, cursor.generationId)?.log.listTokenIds();
+  const localPrefix = heldTokens ? verifyPrefix(cursor, request, heldTokens) : null;
+  if (localPrefix) return ok(localPrefix);
+  const engineTokens = existingStream
+    ? await readEnginePrefix(context, existingStream, cursor.offset)
+    : null;
+  return ok(engineTokens ? verifyPrefix(cursor, request, engineTokens) : null);
 };
 
 /**
- * Takes a generation over from a VM that is gone: its engine's stream is read on from the cursor,
- * and where that is lost too another engine goes on from the prefix, if its chain agrees.
+ * Takes a generation over from a VM that no longer holds it. The engine's stream is read from the
+ * cursor on. If the stream is lost too, another engine continues from the prefix, provided that the
+ * prefix matches the chain of the cursor.
  *
  * @param context - Generations of this VM.
- * @param resume - Caller's cursor with what else it sent.
- * @returns Run that begins at the cursor, or why there is none.
+ * @param resume - Cursor, request and prefix that the caller sent.
+ * @returns Run that starts at the cursor, or an error.
  */
 export const takeOverGeneration = async (
   context: GenerationsContext,
@@ -59,11 +64,11 @@
 ): Promise<Result<GenerationRun, GenerationError>> => {
   const { cursor } = resume;
   const server = findAllowedServer(context, cursor);
-  const taken = server && cursor.streamId ? { server, streamId: cursor.streamId } : null;
-  const found = await findPrefix(context, resume, taken);
+  const existingStream = server && cursor.streamId ? { server, streamId: cursor.streamId } : null;
+  const found = await findPrefix(context, resume, existingStream);
   if (found.isErr()) return err(found.error);
   const prefix = found.value;
-  if (!taken && !prefix) return err(buildError('generation_lost'));
+  if (!existingStream && !prefix) return err(buildError('generation_lost'));
   const run = buildRun(context, {
     generationId: cursor.generationId,
     workspace: cursor.workspace,
@@ -73,7 +78,7 @@
     missingTokens: prefix ? 0 : cursor.offset,
     prefixTokenIds: prefix?.tokenIds ?? [],
     newestAttempt: cursor.attempt,
-    existingStream: taken,
+    existingStream,
     keyed: false,
   });
   context.addRun(run);
--- a/src/application/generations/createGenerations/index.ts
+++ b/src/application/generations/createGenerations/index.ts
@@ -14,38 +14,38 @@
 import { sweepRun } from '../_lib/sweepRun';
 import type { GenerationRun, GenerationsContext, GenerationsDependencies } from '../types';
 
-/** Generations with the timer that watches them, which their owner stops. */
+/** Generations with a sweep timer that their owner stops. */
 export interface StoppableGenerations extends Generations {
-  /** Stops the timer; streams that run are left to their engines. */
+  /** Stops the timer; running streams are neither cancelled nor detached. */
   stop(): void;
-  /** Resolves when the answers of all ended generations are stored, or after `boundMs`. */
-  waitForPendingWrites(boundMs: number): Promise<void>;
+  /** Resolves when the outcomes of all ended generations are stored, or after `maxWaitMs`. */
+  waitForPendingWrites(maxWaitMs: number): Promise<void>;
 }
 
-/** How long a generation is kept without a caller until the first configuration says. */
+/** How long a generation is kept without a caller before a configuration is known. */
 const DEFAULT_DETACHED_MS = 60_000;
 
 /**
- * Creates the generations of an entry VM: each one survives the loss of its engine, of its caller's
+ * Creates the generations of an entry VM. Each one survives the loss of its engine, of its caller's
  * connection and of other entry VMs, as long as one copy of its tokens is left.
  *
- * @param dependencies - Ports to the engines, routing, claims, peers and the rest of this VM.
+ * @param dependencies - Ports to engines, router, claims, peers and other parts of this VM.
  * @returns Generations.
  */
 export const createGenerations = (dependencies: GenerationsDependencies): StoppableGenerations => {
   const { clock, configuration, engineClient, health } = dependencies;
   const store = createRunStore();
-  const pendingEnds = createPendingWrites(clock);
+  const pendingWrites = createPendingWrites(clock);
   const latencyHistory = createLatencyHistory();
   const serverActivity = createServerActivity();
-  const watch = { dependencies, latencyHistory: latencyHistory, serverActivity };
+  const sharedParts = { dependencies, latencyHistory, serverActivity };
 
   const sweep = (stalledMs: number): boolean => {
     const limits = configuration.readCurrent()?.configuration.limits;
     const detachedMs = limits?.detachedMs ?? DEFAULT_DETACHED_MS;
     const nowMs = clock.readMonotonicMs();
     store.list().forEach((run) => {
-      if (!sweepRun(run, { ...watch, nowMs, stalledMs, detachedMs })) {
+      if (!sweepRun(run, { ...sharedParts, nowMs, stalledMs, detachedMs })) {
         store.remove(run);
       }
     });
@@ -54,10 +54,10 @@
   const sweeper = createSweeper(clock, sweep);
 
   const context: GenerationsContext = {
-    ...watch,
+    ...sharedParts,
     cancelQueue: createCancelQueue(engineClient, health),
     store,
-    pendingWrites: pendingEnds,
+    pendingWrites,
     addRun: (run, keyDigest) => {
       store.add(run, keyDigest);
       sweeper.start();
@@ -65,7 +65,7 @@
   };
   const startClaimed = createClaimedStarter(context);
 
-  const startPlain: Generations['startGeneration'] = (request, signal) => {
+  const startUnclaimed: Generations['startGeneration'] = (request, signal) => {
     const generationId = buildGenerationId(context);
     const run = buildRun(context, {
       generationId,
@@ -92,7 +92,7 @@
     startGeneration: (request, signal) =>
       request.idempotencyKey !== '' || !request.idempotent
         ? startClaimed(request, signal)
-        : startPlain(request, signal),
+        : startUnclaimed(request, signal),
     resumeGeneration: (resume, signal) => resumeGeneration(context, resume, signal),
     findGeneration: (workspace, generationId, offset): GenerationFeed | null =>
       findRun(workspace, generationId)?.attach(offset) ?? null,
@@ -103,6 +103,6 @@
     },
     countRunning: () => store.list().filter((run) => !run.isEnded()).length,
     stop: sweeper.stop,
-    waitForPendingWrites: pendingEnds.wait,
+    waitForPendingWrites: pendingWrites.wait,
   };
 };
