--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -13,10 +13,10 @@
 import type { Entry, EntryOverrides, EntrySettings, StartError } from '../types';
 
 /** Bound of a drain before a configuration names one. */
-const DEFAULT_DRAIN_MS = 30_000;
+const DEFAULT_DRAIN_TIMEOUT_MS = 30_000;
 
 /** Longest wait of a drain for the answers of ended generations to be stored. */
-const END_WRITE_MS = 5000;
+const ANSWER_WRITE_TIMEOUT_MS = 5000;
 
 const createCursorCodec = (keys: EntrySettings['cursorKeys']): CursorCodec => ({
   sign: (cursor) => signCursor(cursor, keys),
@@ -24,7 +24,7 @@
 });
 
 /** Starts what an entry does by itself; the returned function stops it. */
-const startLoops = (
+const startBackgroundLoops = (
   base: EntryBase,
   parts: EntryParts,
   settings: EntrySettings,
@@ -103,8 +103,8 @@
   const drain = async (): Promise<DrainOutcome> => {
     exchange.recordOwnLeaving(true);
     const limits = configuration.readCurrent()?.configuration.limits;
-    const outcome = await shutdown.drain(limits?.drainMs ?? DEFAULT_DRAIN_MS);
-    await generations.waitForEnds(END_WRITE_MS);
+    const outcome = await shutdown.drain(limits?.drainMs ?? DEFAULT_DRAIN_TIMEOUT_MS);
+    await generations.waitForEnds(ANSWER_WRITE_TIMEOUT_MS);
     return outcome;
   };
   deferred.setTarget({
@@ -153,7 +153,7 @@
     await stopConnections();
     return err({ kind: 'cannot-listen', reason: callers.error.reason });
   }
-  const stopLoops = startLoops(base, parts, settings, () => {
+  const stopBackgroundLoops = startBackgroundLoops(base, parts, settings, () => {
     drain();
   });
   log.info('entry started', { vm: settings.vm.name, callers: callers.value.url, peerAddress });
@@ -169,13 +169,13 @@
     drain,
     waitForDrain: () =>
       new Promise((resolve) => {
-        const follow = (): void => resolve(drain());
-        shutdown.addListener(follow);
+        const resolveWithDrain = (): void => resolve(drain());
+        shutdown.addListener(resolveWithDrain);
         // The platform's list may have begun the drain before anybody waited for it.
-        if (shutdown.isDraining()) follow();
+        if (shutdown.isDraining()) resolveWithDrain();
       }),
     stop: async () => {
-      await stopLoops();
+      await stopBackgroundLoops();
       await callers.value.stop();
       await stopConnections();
     },
--- a/src/programs/gateway/_lib/createGatewayLog/index.ts
+++ b/src/programs/gateway/_lib/createGatewayLog/index.ts
@@ -8,12 +8,12 @@
 import type { EventLog } from '../../../../application/ports';
 
 /** Log lines that may wait for standard output, in characters: about 5000 lines. */
-const MAX_WAITING_CHARACTERS = 1_500_000;
+const MAX_QUEUED_CHARACTERS = 1_500_000;
 
 const STANDARD_OUTPUT = 1;
 
 /** Pause before a full pipe is written to again. */
-const FULL_PIPE_MS = 5;
+const FULL_PIPE_RETRY_MS = 5;
 
 /**
  * Writes to standard output without ever blocking the loop.
@@ -24,7 +24,7 @@
   const bytes = Buffer.from(text);
   const writeFrom = (offset: number): void =>
     write(STANDARD_OUTPUT, bytes, offset, bytes.length - offset, null, (error, written) => {
-      if (error?.code === 'EAGAIN') setTimeout(() => writeFrom(offset), FULL_PIPE_MS);
+      if (error?.code === 'EAGAIN') setTimeout(() => writeFrom(offset), FULL_PIPE_RETRY_MS);
       else if (error || offset + written >= bytes.length) done();
       else writeFrom(offset + written);
     });
@@ -40,7 +40,7 @@
 /** Creates the log of a gateway: one JSON line a message, on standard output. */
 export const createGatewayLog = async (vm: string): Promise<GatewayLog> => {
   const lines = createLineQueue({
-    maxCharacters: MAX_WAITING_CHARACTERS,
+    maxCharacters: MAX_QUEUED_CHARACTERS,
     buildDropLine: (dropped) => `${JSON.stringify({ message: 'log lines dropped', dropped })}\n`,
     write: writeOutput,
   });
--- a/src/programs/gateway/_lib/recordReady/index.ts
+++ b/src/programs/gateway/_lib/logReady/index.ts
@@ -1,11 +1,11 @@
 import type { GatewayParts } from '../../types';
 
-const LOOK_MS = 50;
+const CHECK_INTERVAL_MS = 50;
 
 const BYTES_PER_MB = 1024 * 1024;
 
 /** What is looked at. */
-export interface ReadyRecorderParts extends Pick<
+export interface LogReadyDependencies extends Pick<
   GatewayParts,
   'clock' | 'directory' | 'log' | 'tables'
 > {
@@ -17,18 +17,18 @@
  *
  * @returns ends the watch
  */
-export const recordReady = ({
+export const logReady = ({
   clock,
   directory,
   isReady,
   log,
   tables,
-}: ReadyRecorderParts): (() => void) => {
+}: LogReadyDependencies): (() => void) => {
   const startedAtMs = clock.readMonotonicMs();
   let cancelTimer = (): void => undefined;
-  const look = (): void => {
+  const checkReadiness = (): void => {
     if (!isReady()) {
-      cancelTimer = clock.startTimer(LOOK_MS, look);
+      cancelTimer = clock.startTimer(CHECK_INTERVAL_MS, checkReadiness);
       return;
     }
     const { system, user } = process.cpuUsage();
@@ -40,6 +40,6 @@
       servers: directory.countServing(),
     });
   };
-  look();
+  checkReadiness();
   return () => cancelTimer();
 };
--- a/src/programs/gateway/_lib/startEndpoints/index.ts
+++ b/src/programs/gateway/_lib/startEndpoints/index.ts
@@ -2,7 +2,7 @@
 import { err, ok, type Result } from 'neverthrow';
 import { startCallerServer, type CallerServer, type ListenError } from '../../../../adapters/http';
 import { createGatewayHandlers, startGatewayServer } from '../../../../adapters/connect';
-import { CALLS } from '../../../../../platform';
+import { PATHS } from '../../../../../platform';
 import type { GatewaySettings } from '../../../../domain/forwarding';
 import type { GatewayParts } from '../../types';
 import { parseAddress } from '../parseAddress';
@@ -50,7 +50,7 @@
   }: EndpointParts,
 ): Promise<Result<Endpoints, ListenError>> => {
   const readiness = new Hono();
-  readiness.get(CALLS.ready, (call) =>
+  readiness.get(PATHS.ready, (call) =>
     call.text(isReady() ? 'ready' : 'not ready', isReady() ? READY_STATUS : NOT_READY_STATUS),
   );
   const metricsApp = new Hono();
@@ -61,11 +61,11 @@
   const stop = async (): Promise<void> => {
     await Promise.all(servers.map((server) => server.stop()));
   };
-  const listens = [
+  const listeners = [
     { app: readiness, address: settings.readinessAddress },
     { app: metricsApp, address: settings.metricsAddress },
   ];
-  for (const { address, app } of listens) {
+  for (const { address, app } of listeners) {
     const started = await startCallerServer(app, parseAddress(address));
     if (started.isErr()) {
       await stop();
--- a/src/programs/gateway/_lib/startSettingsWatch/index.ts
+++ b/src/programs/gateway/_lib/startSettingsWatch/index.ts
@@ -22,7 +22,7 @@
 }
 
 /** The file may change without a signal: it is read this often, which costs nothing. */
-const READ_MS = 5000;
+const READ_INTERVAL_MS = 5000;
 
 /** Follows the settings file; one that can't be used leaves the settings before in force. */
 export const startSettingsWatch = ({
@@ -36,7 +36,7 @@
   let lastProblem = '';
   let isStopped = false;
 
-  const takeSettings = (next: GatewaySettings): void => {
+  const acceptSettings = (next: GatewaySettings): void => {
     lastProblem = '';
     const text = JSON.stringify(next);
     if (text === inForce) return;
@@ -44,7 +44,7 @@
     log.info('settings in force', { file, needRestart: applySettings(next).join(' ') });
   };
 
-  const takeProblems = (problems: readonly string[]): void => {
+  const rejectSettings = (problems: readonly string[]): void => {
     const reason = problems.join('; ');
     // The same fault is told once, not at each look.
     if (reason !== lastProblem) log.error('settings refused', { file, reason });
@@ -53,19 +53,19 @@
 
   const readNow = async (): Promise<void> => {
     const read = await readGatewaySettings(file);
-    if (!isStopped) read.match(takeSettings, takeProblems);
+    if (!isStopped) read.match(acceptSettings, rejectSettings);
   };
 
   const stopLoop = startLoop({
     clock,
-    firstDelayMs: READ_MS,
+    firstDelayMs: READ_INTERVAL_MS,
     runStep: async () => {
       await readNow();
-      return READ_MS;
+      return READ_INTERVAL_MS;
     },
     handleFailure: (reason) => {
-      takeProblems([reason]);
-      return READ_MS;
+      rejectSettings([reason]);
+      return READ_INTERVAL_MS;
     },
   });
   return {
--- a/src/programs/gateway/_lib/wireCrashes/index.ts
+++ b/src/programs/gateway/_lib/wireCrashes/index.ts
@@ -22,7 +22,7 @@
   readonly randomness: Randomness;
   readonly store: StoreClient;
   readonly tables: RouteTableHolder;
-  readonly tellOutcome: Gossip['sendOutcome'];
+  readonly publishOutcome: Gossip['sendOutcome'];
 }
 
 /** The parts that know of requests which end their servers. */
@@ -41,14 +41,14 @@
   randomness,
   store,
   tables,
-  tellOutcome,
+  publishOutcome,
 }: CrashPartsDependencies): CrashParts => {
   let writeQuarantine: QuarantineRows['startWrite'] = () => undefined;
   const crashes = createCrashHistory({
     clock,
     log,
     hasAnsweredSince: directory.hasAnsweredSince,
-    tellOutcome,
+    tellOutcome: publishOutcome,
     handleQuarantine: (fingerprint) => writeQuarantine(fingerprint),
   });
   const quarantineRows = createQuarantineRows({
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -59,7 +59,7 @@
     self: settings,
     listPeers: () => listMembers(),
     calls,
-    tellLimit: (limit) => sendLimit(limit),
+    publishLimit: (limit) => sendLimit(limit),
     clock,
     log,
     randomness,
@@ -83,8 +83,8 @@
       startIdentityWatch();
     },
   });
-  const identities = createIdentityWatch({ client, clock, directory, log, tables });
-  startIdentityWatch = identities.start;
+  const identityWatch = createIdentityWatch({ client, clock, directory, log, tables });
+  startIdentityWatch = identityWatch.start;
   let sendVerdict: Gossip['sendVerdict'] = () => undefined;
   const { judge: rolloutJudge, rollouts } = wireRollouts({
     settings,
@@ -95,7 +95,7 @@
     randomness,
     sendReport: calls.reportTrial,
     store,
-    tellVerdict: (verdict) => sendVerdict(verdict),
+    publishVerdict: (verdict) => sendVerdict(verdict),
   });
   const { crashes, crashProbe, quarantineRows } = wireCrashes({
     client,
@@ -105,21 +105,21 @@
     randomness,
     store,
     tables,
-    tellOutcome: (outcome) => sendOutcome(outcome),
+    publishOutcome: (outcome) => sendOutcome(outcome),
   });
   // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
-  const shared = computeStalenessLimits(settings.bounds);
-  let handleAdvance = (): void => undefined;
+  const stalenessLimits = computeStalenessLimits(settings.bounds);
+  let handleUpdate = (): void => undefined;
   const pair = createFollowerPair({
     store,
     clock,
     randomness,
     log,
     shortWaitMs: computeLongPollMs(settings.bounds),
-    freshMs: shared?.freshMs ?? Infinity,
-    staleMs: shared?.staleMs ?? Infinity,
+    freshMs: stalenessLimits?.freshMs ?? Infinity,
+    staleMs: stalenessLimits?.staleMs ?? Infinity,
     burstPauseMs: computeBatchDelayMs(settings.bounds),
-    handleUpdate: () => handleAdvance(),
+    handleUpdate: () => handleUpdate(),
     primary: {
       table: TABLES.operator,
       handleRows: (rows) => {
@@ -155,7 +155,7 @@
     handleSuspicion: ({ server }) => directory.recordSuspicion(server, 'told'),
     handleInferred: (server) => {
       directory.applyInferred(server);
-      identities.start();
+      identityWatch.start();
     },
   });
   sendSuspicion = gossip.sendSuspicion;
@@ -166,7 +166,7 @@
   listMembers = gossip.listMembers;
   const sharing = createZoneReplication({
     self,
-    sharing: shared,
+    sharing: stalenessLimits,
     pair,
     followers,
     listMembers: gossip.listMembers,
@@ -175,7 +175,7 @@
     randomness,
     log,
   });
-  handleAdvance = sharing.handleUpdate;
+  handleUpdate = sharing.handleUpdate;
   const { bounds } = settings;
   const { lender, retries } = wireRetries({ bounds, calls, clock, gossip, log });
   const places = createPromptPlaces({
@@ -225,7 +225,7 @@
       rolloutJudge.stop();
       sharing.stop();
       gossip.stop();
-      identities.stop();
+      identityWatch.stop();
       calls.close();
       await Promise.all([client.stop(), store.stop()]);
     },
--- a/src/programs/gateway/_lib/wireLimits/index.ts
+++ b/src/programs/gateway/_lib/wireLimits/index.ts
@@ -16,7 +16,7 @@
   readonly self: OwnerCandidate;
   readonly listPeers: () => readonly LimitPeer[];
   readonly calls: Pick<GatewayClient, 'acquirePermit' | 'releasePermit'>;
-  readonly tellLimit: (limit: SharedLimit) => void;
+  readonly publishLimit: (limit: SharedLimit) => void;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly randomness: Randomness;
@@ -37,9 +37,9 @@
   log,
   randomness,
   self,
-  tellLimit,
+  publishLimit,
 }: LimitPartsDependencies): LimitParts => {
-  const limits = createServerLimits({ clock, log, tellLimit });
+  const limits = createServerLimits({ clock, log, tellLimit: publishLimit });
   const owner = createLimitOwner({ clock, limits, randomness });
   const permits = createPermits({
     self,
--- a/src/programs/gateway/_lib/wireRollouts/index.ts
+++ b/src/programs/gateway/_lib/wireRollouts/index.ts
@@ -25,7 +25,7 @@
   readonly randomness: Randomness;
   readonly sendReport: (address: string, report: TrialReport) => Promise<RolloutVerdict | null>;
   readonly store: StoreClient;
-  readonly tellVerdict: (verdict: RolloutVerdict) => void;
+  readonly publishVerdict: (verdict: RolloutVerdict) => void;
 }
 
 /** The parts that move services to new versions. */
@@ -44,7 +44,7 @@
   sendReport,
   settings,
   store,
-  tellVerdict,
+  publishVerdict,
 }: RolloutPartsDependencies): RolloutParts => {
   const { bounds, vm: self } = settings;
   let watch: RolloutJudge['watch'] = () => undefined;
@@ -57,7 +57,7 @@
     clock,
     log,
     randomness,
-    tellVerdict,
+    tellVerdict: publishVerdict,
     handleChange: (service) => watch(service),
     handleEvidence: (service) => recordEvidence(service),
   });
--- a/src/programs/gateway/startGateway/index.ts
+++ b/src/programs/gateway/startGateway/index.ts
@@ -8,7 +8,7 @@
 import { decodeRequestHead } from '../../../../platform';
 import type { GatewaySettings } from '../../../domain/forwarding';
 import { parseAddress } from '../_lib/parseAddress';
-import { recordReady } from '../_lib/recordReady';
+import { logReady } from '../_lib/logReady';
 import { startEndpoints } from '../_lib/startEndpoints';
 import { wireGateway } from '../_lib/wireGateway';
 import type { GatewayOverrides } from '../types';
@@ -26,7 +26,7 @@
 }
 
 /** Keys that are taken over while the gateway runs. */
-const CHANGEABLE_KEYS: ReadonlySet<string> = new Set<keyof GatewaySettings>(['seedAddresses']);
+const RELOADABLE_KEYS: ReadonlySet<string> = new Set<keyof GatewaySettings>(['seedAddresses']);
 
 const listChangedKeys = (before: GatewaySettings, after: GatewaySettings): string[] =>
   (Object.keys(after) as (keyof GatewaySettings)[]).filter(
@@ -37,7 +37,7 @@
  * After SIGTERM the platform still sends new connections until it has asked twice whether this VM
  * is ready, once a second: until then it goes on to take requests.
  */
-const TAKEN_OUT_MS = 2500;
+const READINESS_PROPAGATION_MS = 2500;
 
 /** Left of the time before SIGKILL for the process to end by itself. */
 const EXIT_MARGIN_MS = 400;
@@ -46,7 +46,7 @@
  * Streams that begin later than this after SIGTERM are refused: most take six seconds, and would be
  * cut off by the end of the process.
  */
-const TAKE_STREAMS_MS = 1500;
+const ACCEPT_STREAMS_MS = 1500;
 
 /**
  * Left of the time before SIGKILL when every new request is refused: calls that are on their way
@@ -54,7 +54,7 @@
  */
 const REFUSE_ALL_MARGIN_MS = 2500;
 
-const DRAIN_STEP_MS = 50;
+const DRAIN_POLL_MS = 50;
 
 /**
  * Starts a gateway: listens, and follows configuration and servers.
@@ -106,7 +106,7 @@
   parts.sharing.start();
   parts.gossip.start();
   if (!settings.isFirstStart) parts.quarantineRows.startRead();
-  const stopRecording = recordReady({ ...parts, isReady });
+  const stopReadyLog = logReady({ ...parts, isReady });
   log.info('gateway started', { vm: settings.vm, zone: settings.availabilityZone });
 
   return ok({
@@ -116,27 +116,29 @@
     drain: async () => {
       if (isDraining) return;
       isDraining = true;
-      stopRecording();
+      stopReadyLog();
       const startedAtMs = clock.readMonotonicMs();
-      const readAgeMs = (): number => clock.readMonotonicMs() - startedAtMs;
+      const readElapsedMs = (): number => clock.readMonotonicMs() - startedAtMs;
       log.info('gateway draining', { running: forwarder.countRunning() });
       while (
-        readAgeMs() < TAKEN_OUT_MS ||
-        (forwarder.countRunning() > 0 && readAgeMs() < settings.bounds.shutdownMs - EXIT_MARGIN_MS)
+        readElapsedMs() < READINESS_PROPAGATION_MS ||
+        (forwarder.countRunning() > 0 &&
+          readElapsedMs() < settings.bounds.shutdownMs - EXIT_MARGIN_MS)
       ) {
-        await waitDelay(clock, DRAIN_STEP_MS);
-        if (readAgeMs() >= TAKE_STREAMS_MS) forwarder.refuseStreams();
-        if (readAgeMs() >= settings.bounds.shutdownMs - REFUSE_ALL_MARGIN_MS) forwarder.refuseAll();
-        if (readAgeMs() >= TAKEN_OUT_MS) server.closeIdleConnections();
+        await waitDelay(clock, DRAIN_POLL_MS);
+        if (readElapsedMs() >= ACCEPT_STREAMS_MS) forwarder.refuseStreams();
+        if (readElapsedMs() >= settings.bounds.shutdownMs - REFUSE_ALL_MARGIN_MS)
+          forwarder.refuseAll();
+        if (readElapsedMs() >= READINESS_PROPAGATION_MS) server.closeIdleConnections();
       }
       log.info('gateway drained', { running: forwarder.countRunning() });
     },
     applySettings: (next) => {
       parts.gossip.applySeeds(next.seedAddresses);
-      return listChangedKeys(settings, next).filter((key) => !CHANGEABLE_KEYS.has(key));
+      return listChangedKeys(settings, next).filter((key) => !RELOADABLE_KEYS.has(key));
     },
     stop: async () => {
-      stopRecording();
+      stopReadyLog();
       followers.configuration.stop();
       followers.servers.stop();
       await Promise.all([server.stop(), endpoints.value.stop()]);
--- a/src/programs/jackdaw/buildOverview/index.ts
+++ b/src/programs/jackdaw/buildOverview/index.ts
@@ -1,6 +1,6 @@
 import { listMissingModels } from '../../../domain/order';
 import type { LoadedModel } from '../../../domain/types';
-import type { AskedVm, ProcessStatus } from '../readStatuses';
+import type { VmStatusResult, ProcessStatus } from '../readStatuses';
 
 /** A VM as the overview shows it. */
 export interface OverviewVm {
@@ -56,8 +56,8 @@
 type ServerStatus = ProcessStatus['backendServers'][number];
 
 /** A VM counts as heard if it was heard within this time. */
-const HEARD_LIMIT_MS = 5_000;
-const HEALTH_ORDER: readonly string[] = ['dead', 'suspected', 'leaving', 'serving'];
+const MAX_HEARD_AGE_MS = 5_000;
+const HEALTH_FROM_WORST: readonly string[] = ['dead', 'suspected', 'leaving', 'serving'];
 
 const readState = (status: ProcessStatus): string => {
   if (status.draining) return 'draining';
@@ -66,11 +66,11 @@
 
 function isHeardIn(status: ProcessStatus, vm: string): boolean {
   const view = status.vms.find((other) => other.vm === vm);
-  return view !== undefined && view.heardAgeMs !== null && view.heardAgeMs < HEARD_LIMIT_MS;
+  return view !== undefined && view.heardAgeMs !== null && view.heardAgeMs < MAX_HEARD_AGE_MS;
 }
 
-function buildVm(asked: AskedVm, statuses: readonly ProcessStatus[]): OverviewVm {
-  const { vm, peerAddress, status } = asked;
+function buildVm(result: VmStatusResult, statuses: readonly ProcessStatus[]): OverviewVm {
+  const { vm, peerAddress, status } = result;
   return {
     vm,
     peerAddress,
@@ -90,11 +90,12 @@
     status.backendServers.filter((server) => server.name === name),
   );
   const byHealth = [...views].sort(
-    (left, right) => HEALTH_ORDER.indexOf(left.health) - HEALTH_ORDER.indexOf(right.health),
+    (left, right) =>
+      HEALTH_FROM_WORST.indexOf(left.health) - HEALTH_FROM_WORST.indexOf(right.health),
   );
   const report = views.reduce<ServerStatus['report']>((held, view) => held ?? view.report, null);
   const actual = report?.models ?? [];
-  const isSame =
+  const matchesTarget =
     desired !== null &&
     listMissingModels(desired, actual).length === 0 &&
     listMissingModels(actual, desired).length === 0;
@@ -107,7 +108,7 @@
     slots: report?.slots ?? 0,
     desired: desired ?? [],
     actual,
-    asDesired: desired === null || isSame,
+    asDesired: desired === null || matchesTarget,
   };
 }
 
@@ -117,10 +118,10 @@
  * Places, services and targets are those of the VM with the highest version.
  */
 export function buildOverview(
-  asked: readonly AskedVm[],
+  results: readonly VmStatusResult[],
   leases: readonly OverviewLease[],
 ): Overview {
-  const statuses = asked.flatMap(({ status }) => (status === null ? [] : [status]));
+  const statuses = results.flatMap(({ status }) => (status === null ? [] : [status]));
   const [newest] = [...statuses].sort(
     (left, right) => (right.configuration?.version ?? 0) - (left.configuration?.version ?? 0),
   );
@@ -132,7 +133,7 @@
     version: newest?.configuration?.version ?? 0,
     places: newest?.places ?? [],
     services: newest?.services ?? [],
-    vms: asked.map((vm) => buildVm(vm, statuses)),
+    vms: results.map((vm) => buildVm(vm, statuses)),
     backendServers: (newest?.backendServers ?? []).map(({ name }) =>
       buildServer(name, statuses, targets.get(name) ?? null),
     ),
--- a/src/programs/jackdaw/commands/ExplainCommand.ts
+++ b/src/programs/jackdaw/commands/ExplainCommand.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import type { TargetVm } from '../../../application/configuration';
 import { explainLog } from '../explainLog';
-import { renderStory } from '../renderStory';
+import { renderTimeline } from '../renderTimeline';
 import { ExitCode, type OperatorPlatform } from '../types';
 import { PlatformCommand } from './PlatformCommand';
 
@@ -30,7 +30,10 @@
   return [
     `  ${kind} ${service}: ${chosen} (${reason}; configuration ${configurationVersion})`,
     `    candidates: ${candidates.length === 0 ? 'none' : candidates.join(', ')}`,
-    ...filtered.map(({ backendServer, reason: why }) => `    not ${backendServer}: ${why}`),
+    ...filtered.map(
+      ({ backendServer, reason: exclusionReason }) =>
+        `    not ${backendServer}: ${exclusionReason}`,
+    ),
   ];
 }
 
@@ -68,14 +71,14 @@
   override async execute(): Promise<ExitCode> {
     const files = [...this.logs, ...this.moreLogs];
     if (files.length === 0) return super.execute();
-    const story = await explainLog(this.request, files);
-    if (story.isErr()) {
-      this.writeNote(story.error);
+    const timeline = await explainLog(this.request, files);
+    if (timeline.isErr()) {
+      this.writeNote(timeline.error);
       return ExitCode.Refused;
     }
-    if (this.json) story.value.forEach((line) => this.writeJson(line));
-    else renderStory(story.value).forEach((line) => this.writeLine(line));
-    if (story.value.length > 0) return ExitCode.Ok;
+    if (this.json) timeline.value.forEach((line) => this.writeJson(line));
+    else renderTimeline(timeline.value).forEach((line) => this.writeLine(line));
+    if (timeline.value.length > 0) return ExitCode.Ok;
     this.writeNote(`no log line tells of ${this.request}`);
     return ExitCode.NotFound;
   }
--- a/src/programs/jackdaw/commands/JackdawCommand.ts
+++ b/src/programs/jackdaw/commands/JackdawCommand.ts
@@ -24,11 +24,11 @@
   }
 
   /** Reads a whole number of at least `least` from an option; null, with a note, if it is none. */
-  protected parseWholeNumber(option: string, text: string, least: number): number | null {
-    if (/^\d{1,15}$/.test(text) && Number(text) >= least) {
+  protected parseWholeNumber(option: string, text: string, minimum: number): number | null {
+    if (/^\d{1,15}$/.test(text) && Number(text) >= minimum) {
       return Number(text);
     }
-    this.writeNote(`${option} must be a whole number of at least ${least}`);
+    this.writeNote(`${option} must be a whole number of at least ${minimum}`);
     return null;
   }
 
--- a/src/programs/jackdaw/commands/RollbackCommand.ts
+++ b/src/programs/jackdaw/commands/RollbackCommand.ts
@@ -44,14 +44,14 @@
       return ExitCode.NotFound;
     }
     const { configuration } = old.value;
-    const faults = checkConfiguration(configuration);
-    if (faults.length > 0) {
-      faults.forEach(({ path, reason }) => this.writeNote(`${path.join('.')}: ${reason}`));
+    const problems = checkConfiguration(configuration);
+    if (problems.length > 0) {
+      problems.forEach(({ path, reason }) => this.writeNote(`${path.join('.')}: ${reason}`));
       return ExitCode.Refused;
     }
     const changes = compareConfigurations(newest.value.configuration, configuration);
     renderChanges(changes).forEach((line) => this.writeNote(line));
-    if (!(await this.isReadEnough(platform))) {
+    if (!(await this.hasEnoughTableReaders(platform))) {
       return ExitCode.Unreachable;
     }
     const applied = await applyConfiguration(platform, {
--- a/src/programs/jackdaw/commands/StatusCommand.ts
+++ b/src/programs/jackdaw/commands/StatusCommand.ts
@@ -40,19 +40,19 @@
   json = Option.Boolean('--json', false, { description: 'Print one JSON object.' });
 
   protected override async executeOn(platform: OperatorPlatform): Promise<ExitCode> {
-    const asked = await readStatuses(platform.calls, await platform.listEntryVms());
-    asked
+    const results = await readStatuses(platform.calls, await platform.listEntryVms());
+    results
       .filter(({ status }) => status === null)
       .forEach(({ vm, reason }) => this.writeNote(`${vm} did not answer: ${reason}`));
-    const places = asked.flatMap(({ status }) => status?.places ?? []);
+    const places = results.flatMap(({ status }) => status?.places ?? []);
     const regions = [...new Set(places.map(({ region }) => region))];
     const leases = await Promise.all(regions.map((region) => readLease(platform, region)));
-    const overview = buildOverview(asked, leases.flat());
+    const overview = buildOverview(results, leases.flat());
     if (this.json) {
       this.writeJson(overview);
     } else {
       renderStatus(overview).forEach((line) => this.writeLine(line));
     }
-    return asked.some(({ status }) => status !== null) ? ExitCode.Ok : ExitCode.Unreachable;
+    return results.some(({ status }) => status !== null) ? ExitCode.Ok : ExitCode.Unreachable;
   }
 }
--- a/src/programs/jackdaw/commands/WritingCommand.ts
+++ b/src/programs/jackdaw/commands/WritingCommand.ts
@@ -14,7 +14,7 @@
   const inForce = vmsTotal - lagging.length;
   const named = lagging
     .slice(0, MAX_NAMED_VMS)
-    .map((held) => `${held.vm} (${held.version === null ? 'no answer' : `at ${held.version}`})`);
+    .map((vm) => `${vm.vm} (${vm.version === null ? 'no answer' : `at ${vm.version}`})`);
   const more = lagging.length - named.length;
   const names = [...named, ...(more > 0 ? [`${more} more`] : [])].join(', ');
   const seconds = (elapsedMs / MS_PER_S).toFixed(1);
@@ -51,7 +51,7 @@
   }
 
   /** Tells whether enough VMs would learn of a change; writes a note if not. */
-  protected async isReadEnough(platform: OperatorPlatform): Promise<boolean> {
+  protected async hasEnoughTableReaders(platform: OperatorPlatform): Promise<boolean> {
     const checked = this.force ? null : checkTableReaders(await countTableReaders(platform));
     if (checked?.isErr() !== true) {
       return true;
--- a/src/programs/jackdaw/explainLog/index.ts
+++ b/src/programs/jackdaw/explainLog/index.ts
@@ -6,7 +6,7 @@
 import { parseLogLine, type LogLine } from './_lib/parseLogLine';
 
 /** A line about a request, and what its VM believed at that moment. */
-export interface StoryLine {
+export interface TimelineEntry {
   readonly line: LogLine;
   readonly beliefs: readonly Belief[];
 }
@@ -16,14 +16,15 @@
   file: string,
   requestId: string,
 ): Promise<Result<readonly LogLine[], string>> => {
-  const kept: LogLine[] = [];
+  const lines: LogLine[] = [];
   try {
     for await (const text of createInterface({ input: createReadStream(file) })) {
       const line = parseLogLine(text, basename(file));
-      const isKept = line && (line.fields.requestId === requestId || findSubject(line) !== null);
-      if (line && isKept) kept.push(line);
+      const isRelevant =
+        line && (line.fields.requestId === requestId || findSubject(line) !== null);
+      if (line && isRelevant) lines.push(line);
     }
-    return ok(kept);
+    return ok(lines);
   } catch (error) {
     return err(`${file}: ${error instanceof Error ? error.message : 'cannot be read'}`);
   }
@@ -39,7 +40,7 @@
 export const explainLog = async (
   requestId: string,
   files: readonly string[],
-): Promise<Result<readonly StoryLine[], string>> => {
+): Promise<Result<readonly TimelineEntry[], string>> => {
   const lines: LogLine[] = [];
   for (const file of files) {
     const read = await readLines(file, requestId);
@@ -47,18 +48,18 @@
     lines.push(...read.value);
   }
   const sorted = lines
-    .map((line, order) => ({ line, order }))
-    .sort((left, right) => left.line.timeMs - right.line.timeMs || left.order - right.order);
+    .map((line, index) => ({ line, index }))
+    .sort((left, right) => left.line.timeMs - right.line.timeMs || left.index - right.index);
   const beliefsByVm = new Map<string, Map<string, LogLine>>();
-  const story: StoryLine[] = [];
+  const timeline: TimelineEntry[] = [];
   sorted.forEach(({ line }) => {
     const beliefs = beliefsByVm.get(line.vm) ?? new Map<string, LogLine>();
     beliefsByVm.set(line.vm, beliefs);
     const subject = findSubject(line);
     if (line.fields.requestId === requestId) {
-      story.push({ line, beliefs: findBeliefs(line, beliefs) });
+      timeline.push({ line, beliefs: findBeliefs(line, beliefs) });
     }
     if (subject !== null) beliefs.set(subject, line);
   });
-  return ok(story);
+  return ok(timeline);
 };
--- a/src/programs/jackdaw/readOperatorSettings/index.ts
+++ b/src/programs/jackdaw/readOperatorSettings/index.ts
@@ -3,7 +3,7 @@
 import { OperatorSettingsSchema, type OperatorSettings } from '../types';
 
 /** Variable that gives each key of the settings. */
-const VARIABLES: Readonly<Record<string, string>> = {
+const VARIABLE_BY_KEY: Readonly<Record<string, string>> = {
   'table.endpoint': 'JACKDAW_TABLE_ENDPOINT',
   'table.name': 'JACKDAW_TABLE_NAME',
   'table.region': 'JACKDAW_REGION',
@@ -40,7 +40,7 @@
     : err(
         parsed.error.issues.map(({ path, message }) => {
           const key = path.map(String).join('.');
-          const variable = VARIABLES[key] ?? key;
+          const variable = VARIABLE_BY_KEY[key] ?? key;
           return {
             kind: ProblemKind.Invalid,
             file: 'environment (no --settings FILE, no JACKDAW_SETTINGS)',
--- a/src/programs/jackdaw/renderStatus/index.ts
+++ b/src/programs/jackdaw/renderStatus/index.ts
@@ -1,7 +1,7 @@
 import type { LoadedModel } from '../../../domain/types';
 import type { Overview, OverviewServer } from '../buildOverview';
 
-const GAP = '  ';
+const COLUMN_GAP = '  ';
 
 function renderTable(rows: readonly (readonly string[])[]): readonly string[] {
   const widths = (rows[0] ?? []).map((_cell, column) =>
@@ -10,7 +10,7 @@
   return rows.map((row) =>
     row
       .map((cell, column) => cell.padEnd(widths[column] ?? 0))
-      .join(GAP)
+      .join(COLUMN_GAP)
       .trimEnd(),
   );
 }
@@ -36,7 +36,7 @@
 /** Renders the overview as lines for a terminal. */
 export function renderStatus(overview: Overview): readonly string[] {
   const { deployment, version, places, services, vms, backendServers, leases } = overview;
-  const asDesired = backendServers.filter((server) => server.asDesired).length;
+  const matchingCount = backendServers.filter((server) => server.asDesired).length;
   return [
     `${deployment}: version ${version}`,
     '',
@@ -59,7 +59,7 @@
       ]),
     ]),
     '',
-    `${asDesired} of ${backendServers.length} backend servers as desired`,
+    `${matchingCount} of ${backendServers.length} backend servers as desired`,
     ...renderTable([
       ['backend server', 'zone', 'health', 'load', 'models (actual -> desired)'],
       ...backendServers.map(renderServer),
--- a/src/programs/keeper/startKeeper/index.ts
+++ b/src/programs/keeper/startKeeper/index.ts
@@ -14,7 +14,7 @@
 import type { KeeperOverrides, KeeperProcess, KeeperSettings, KeeperStartError } from '../types';
 
 /** Without a good read of the table for this long, the keeper says that it is not ready. */
-const READY_LIMIT_MS = 15_000;
+const MAX_TABLE_READ_AGE_MS = 15_000;
 
 /** The keeper takes the configuration from the table alone: without the table it can't order. */
 const NO_PEERS = { readConfiguration: async () => ok(null) };
@@ -59,7 +59,7 @@
   });
   const isReady = (): boolean => {
     const readAtMs = configuration.readTableReadAtMs();
-    const isFresh = readAtMs !== null && clock.readMonotonicMs() - readAtMs < READY_LIMIT_MS;
+    const isFresh = readAtMs !== null && clock.readMonotonicMs() - readAtMs < MAX_TABLE_READ_AGE_MS;
     return isFresh && configuration.readCurrent() !== null;
   };
   return { log, dispatcher, configuration, lease, engines, keeper, metrics, isHolder, isReady };
