--- a/src/programs/jackdaw/buildOverview/index.ts
+++ b/src/programs/jackdaw/buildOverview/index.ts
@@ -10,7 +10,7 @@
   readonly state: string;
   readonly version: number;
   readonly running: number;
-  /** VMs that hear it, of those that answered. */
+  /** Number of VMs, among those that answered, that hear this VM. */
   readonly heardBy: number;
 }
 
@@ -18,26 +18,26 @@
 export interface OverviewServer {
   readonly name: string;
   readonly availabilityZone: string;
-  /** The worst health that any VM sees. */
+  /** The worst health that any VM reports. */
   readonly health: string;
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
   readonly desired: readonly LoadedModel[];
   readonly actual: readonly LoadedModel[];
-  /** False: it holds something else than the configuration's target, or says nothing. */
+  /** False if the loaded models differ from the configuration's target, or are unknown. */
   readonly asDesired: boolean;
 }
 
 /** Holder of a region's lease on engine orders. */
 export interface OverviewLease {
   readonly region: string;
-  /** Empty: nobody holds it. */
+  /** VM of the holder, empty if nobody holds the lease. */
   readonly vm: string;
   readonly fencingToken: number;
 }
 
-/** What `jackdaw status` shows. */
+/** Overview of a deployment, as `jackdaw status` shows it. */
 export interface Overview {
   readonly deployment: string;
   /** The highest version in force at any VM. */
@@ -55,7 +55,7 @@
 
 type ServerStatus = ProcessStatus['backendServers'][number];
 
-/** A VM counts as heard if it was heard within this time. */
+/** A VM counts as heard if its last message is younger than this. */
 const MAX_HEARD_AGE_MS = 5_000;
 const HEALTH_FROM_WORST: readonly string[] = ['dead', 'suspected', 'leaving', 'serving'];
 
@@ -113,9 +113,9 @@
 }
 
 /**
- * Builds the overview of a deployment from what its VMs said.
+ * Builds the overview of a deployment from the statuses of its VMs.
  *
- * Places, services and targets are those of the VM with the highest version.
+ * Places, services and targets are taken from the VM with the highest version.
  */
 export function buildOverview(
   results: readonly VmStatusResult[],
--- a/src/programs/jackdaw/commands/ApplyCommand.ts
+++ b/src/programs/jackdaw/commands/ApplyCommand.ts
@@ -14,10 +14,10 @@
     description: 'Put a configuration folder into force.',
     details: `
       Checks the folder, then writes it as the next version. \`--expect-version\` names the version
-      that the folder was edited from, as \`jackdaw diff\` shows it; it is needed as soon as there
-      is one, so that nobody undoes a change that he has not seen. If another operator was first,
-      nothing is written and his changes are shown.
-      Exit code 0: applied; 1: refused by the check; 3: another version is in force; 4: the table
+      that the folder was edited from, as \`jackdaw diff\` shows it. It is required once a version
+      exists, so that no operator undoes a change without having seen it. If another operator
+      applied first, nothing is written and the other changes are shown.
+      Exit code 0: applied; 1: invalid configuration; 3: another version is in force; 4: the table
       does not answer; 5: applied, but VMs lag at the end of --wait.
     `,
     examples: [
@@ -63,18 +63,18 @@
   ): Promise<ExitCode> {
     const changes = compareConfigurations(newest?.configuration ?? null, configuration);
     if (newest !== null && changes.length === 0) {
-      this.writeNote(`version ${newest.version} already is this configuration`);
+      this.writeNote(`version ${newest.version} already has this configuration`);
       return this.finish(platform, newest);
     }
     if (newest !== null && expected === null) {
       renderChanges(changes).forEach((line) => this.writeNote(line));
       this.writeNote(
         `version ${newest.version} is in force (by ${newest.appliedBy}); nothing was written. ` +
-          `If the changes above are meant, apply with --expect-version ${newest.version}`,
+          `If the changes above are intended, apply with --expect-version ${newest.version}`,
       );
       return ExitCode.Conflict;
     }
-    // Before the first version there is no old configuration to go on with.
+    // Without an earlier version, no VM can keep an old configuration.
     if (newest !== null && !(await this.hasEnoughTableReaders(platform))) {
       return ExitCode.Unreachable;
     }
--- a/src/programs/jackdaw/commands/CheckCommand.ts
+++ b/src/programs/jackdaw/commands/CheckCommand.ts
@@ -12,7 +12,7 @@
   );
 }
 
-/** `jackdaw check`: checks a configuration folder without touching the platform. */
+/** `jackdaw check`: checks a configuration folder without calling the platform. */
 export class CheckCommand extends JackdawCommand {
   static override paths = [['check']];
 
@@ -20,7 +20,7 @@
     description: 'Check a configuration folder.',
     details: `
       Reads all .toml files of the folder, merged in the order of their names, and checks them.
-      Every problem is shown as \`file:line: key: reason\`. Nothing is sent anywhere.
+      Every problem is shown as \`file:line: key: reason\`. The platform is not called.
       Exit code 0: no problem; 1: at least one.
     `,
     examples: [
--- a/src/programs/jackdaw/commands/DemoCommand.ts
+++ b/src/programs/jackdaw/commands/DemoCommand.ts
@@ -3,8 +3,8 @@
 import { JackdawCommand } from './JackdawCommand';
 
 /**
- * The demo's bundle, built beside this one. It holds the stand-ins, which the product must not
- * import; the name is not a literal in the import, so that the bundler leaves it alone.
+ * Bundle of the demo, built beside this one. It contains the stand-ins, which the product must not
+ * import. The import uses a constant in place of a literal, so that the bundler does not inline it.
  */
 const DEMO_MODULE = './jackdaw-demo.js';
 
@@ -12,17 +12,17 @@
   runDemoCommand(write: (text: string) => void): Promise<number>;
 }
 
-/** `jackdaw demo`: a whole system in one process, an engine killed in mid-generation. */
+/** `jackdaw demo`: runs a whole system in one process and kills an engine during a generation. */
 export class DemoCommand extends JackdawCommand {
   static override paths = [['demo']];
 
   static override usage = Command.Usage({
-    description: 'Show a generation that survives its engine.',
+    description: 'Show a generation that survives the crash of its engine.',
     details: `
       Starts entries, engines and a platform in this process on loopback, applies the sample
-      configuration, sends the sample dossier and kills the engine in mid-generation. The last line
-      is worked out from what the caller received.
-      Exit code 0: nothing was missing, repeated or mixed; 1: something was, or it could not run.
+      configuration, sends the sample dossier and kills the engine during the generation. The last
+      line is computed from the events that the caller received.
+      Exit code 0: nothing was missing, repeated or mixed; 1: something was, or the demo failed.
     `,
     examples: [['Run it', 'jackdaw demo']],
   });
--- a/src/programs/jackdaw/commands/DrainCommand.ts
+++ b/src/programs/jackdaw/commands/DrainCommand.ts
@@ -15,17 +15,17 @@
   return parsed.success ? parsed.data.running : null;
 }
 
-/** `jackdaw drain`: ends one VM without cutting its work. */
+/** `jackdaw drain`: shuts one entry down without aborting its work. */
 export class DrainCommand extends PlatformCommand {
   static override paths = [['drain']];
 
   static override usage = Command.Usage({
     description: 'Shut one entry down gracefully.',
     details: `
-      The entry takes no new work, ends what runs, hands over by cursor what is still running at
-      the bound of the configuration, and exits. VM is its name or peer address.
-      Exit code 0: begun, or with --wait ended; 4: it did not answer; 5: it still ran at the end of
-      --wait; 6: no such VM.
+      The entry accepts no new work, lets running work end, hands over by cursor what is still
+      running at the configured drain timeout, and exits. VM is its name or peer address.
+      Exit code 0: drain started, or ended with --wait; 4: the entry did not answer; 5: it was still
+      running at the end of --wait; 6: no such VM.
     `,
     examples: [
       ['Drain a VM', 'jackdaw drain entry-2 --settings jackdaw.toml'],
@@ -37,7 +37,7 @@
 
   wait = Option.Boolean('--wait', false, { description: 'Wait until the process has ended.' });
 
-  waitSeconds = Option.String('--wait-seconds', '120', { description: 'Bound on the wait.' });
+  waitSeconds = Option.String('--wait-seconds', '120', { description: 'Timeout of --wait.' });
 
   json = Option.Boolean('--json', false, { description: 'Print one JSON object.' });
 
@@ -73,7 +73,7 @@
     const endMs = clock.readMonotonicMs() + timeoutMs;
     while (clock.readMonotonicMs() < endMs) {
       const read = await calls.readStatus(target.peerAddress);
-      // A busy VM may be late; only one that refuses connections has ended.
+      // A busy VM may answer late; only a VM that refuses connections has ended.
       if (read.isErr() && read.error.kind === 'unreachable') {
         this.endProgress();
         return true;
--- a/src/programs/jackdaw/commands/ExplainCommand.ts
+++ b/src/programs/jackdaw/commands/ExplainCommand.ts
@@ -20,7 +20,7 @@
 
 interface Explanation {
   readonly vm: string;
-  /** Null: the VM did not answer. */
+  /** Null if the VM did not answer. */
   readonly decisions: readonly Decision[] | null;
 }
 
@@ -44,10 +44,11 @@
   static override usage = Command.Usage({
     description: 'Show each decision about a request.',
     details: `
-      REQUEST is the value of the answer's Jackdaw-Request-Id. Entries keep their newest decisions
-      in memory; older ones are in their logs: with --log the story is told from log files, those of
-      all VMs together, with what each VM believed at that moment and for how long.
-      Exit code 0: decisions shown; 4: no VM answered; 6: no VM, or no log, holds a decision about it; 1: a log cannot be read.
+      REQUEST is the value of the response header Jackdaw-Request-Id. Entries keep their newest
+      decisions in memory; older ones are in their logs. With --log, the timeline of the request is
+      built from the log files of all VMs, with the state that each VM assumed and for how long.
+      Exit code 0: decisions shown; 1: a log cannot be read; 4: no VM answered; 6: no VM, or no log,
+      has a decision about the request.
     `,
     examples: [
       ['Ask all entries', 'jackdaw explain req_5f0c --settings jackdaw.toml'],
@@ -58,12 +59,12 @@
 
   request = Option.String({ required: true });
 
-  vm = Option.String('--vm', '', { description: 'Name or peer address of the one entry to ask.' });
+  vm = Option.String('--vm', '', { description: 'Name or peer address of the only entry to ask.' });
 
-  json = Option.Boolean('--json', false, { description: 'Print one JSON object a decision.' });
+  json = Option.Boolean('--json', false, { description: 'Print one JSON object per decision.' });
 
   logs = Option.Array('--log', [], {
-    description: 'Log file of one VM or more; may be given again.',
+    description: 'Log file of one or more VMs; can be repeated.',
   });
 
   moreLogs = Option.Rest({ name: 'FILE' });
@@ -79,7 +80,7 @@
     if (this.json) timeline.value.forEach((line) => this.writeJson(line));
     else renderTimeline(timeline.value).forEach((line) => this.writeLine(line));
     if (timeline.value.length > 0) return ExitCode.Ok;
-    this.writeNote(`no log line tells of ${this.request}`);
+    this.writeNote(`no log line about ${this.request}`);
     return ExitCode.NotFound;
   }
 
@@ -94,7 +95,7 @@
       return ExitCode.Unreachable;
     }
     if (explanations.some(({ decisions }) => (decisions ?? []).length > 0)) return ExitCode.Ok;
-    this.writeNote(`no VM holds a decision about ${this.request}`);
+    this.writeNote(`no VM has a decision about ${this.request}`);
     return ExitCode.NotFound;
   }
 
--- a/src/programs/jackdaw/commands/HistoryCommand.ts
+++ b/src/programs/jackdaw/commands/HistoryCommand.ts
@@ -16,16 +16,16 @@
 
   static override usage = Command.Usage({
     description: 'List the accepted versions, newest first.',
-    details: 'Shows version, time of the apply, operator, apply id and comment.',
+    details: 'Shows version, time, operator, apply id and comment.',
     examples: [
       ['The newest versions', 'jackdaw history --settings jackdaw.toml'],
       ['The newest 100 for a script', 'jackdaw history --limit 100 --json'],
     ],
   });
 
-  limit = Option.String('--limit', '20', { description: 'Versions to list.' });
+  limit = Option.String('--limit', '20', { description: 'Maximum number of versions to list.' });
 
-  json = Option.Boolean('--json', false, { description: 'Print one JSON object a line.' });
+  json = Option.Boolean('--json', false, { description: 'Print one JSON object per line.' });
 
   protected override async executeOn({ table }: OperatorPlatform): Promise<ExitCode> {
     const limit = this.parseWholeNumber('--limit', this.limit, 1);
--- a/src/programs/jackdaw/commands/JackdawCommand.ts
+++ b/src/programs/jackdaw/commands/JackdawCommand.ts
@@ -1,19 +1,19 @@
 import { Command } from 'clipanion';
 import type { OperatorContext } from '../types';
 
-/** Clears the line and goes to its start, so that a progress line replaces the one before. */
+/** Moves to the start of the line and clears it, so that a progress line replaces the last. */
 const CLEAR_LINE = '\r\u001b[K';
 
-/** Base of all commands of `jackdaw`. */
+/** Base class of all commands of `jackdaw`. */
 export abstract class JackdawCommand extends Command<OperatorContext> {
   private progress = '';
 
-  /** Writes a line for the reader of the result. */
+  /** Writes a line of the result to standard output. */
   protected writeLine(line: string): void {
     this.context.stdout.write(`${line}\n`);
   }
 
-  /** Writes a line about what went wrong or goes on. */
+  /** Writes a message about errors or progress to standard error. */
   protected writeNote(line: string): void {
     this.context.stderr.write(`${line}\n`);
   }
@@ -23,7 +23,7 @@
     this.writeLine(JSON.stringify(value));
   }
 
-  /** Reads a whole number of at least `least` from an option; null, with a note, if it is none. */
+  /** Parses a whole number of at least `minimum`; null, with a message, if it is invalid. */
   protected parseWholeNumber(option: string, text: string, minimum: number): number | null {
     if (/^\d{1,15}$/.test(text) && Number(text) >= minimum) {
       return Number(text);
@@ -32,7 +32,7 @@
     return null;
   }
 
-  /** Shows progress: in place on a terminal, else one line for each change. */
+  /** Writes progress: in place on a terminal, otherwise one line per change. */
   protected writeProgress(line: string): void {
     if (line === this.progress) {
       return;
@@ -41,7 +41,7 @@
     this.context.stderr.write(this.isTerminal() ? `${CLEAR_LINE}${line}` : `${line}\n`);
   }
 
-  /** Ends the progress line, so that what follows starts on its own. */
+  /** Ends the progress line, so that further output starts on a new line. */
   protected endProgress(): void {
     if (this.progress !== '' && this.isTerminal()) {
       this.context.stderr.write('\n');
--- a/src/programs/jackdaw/commands/PlatformCommand.ts
+++ b/src/programs/jackdaw/commands/PlatformCommand.ts
@@ -5,7 +5,7 @@
 import { ExitCode, type OperatorPlatform } from '../types';
 import { JackdawCommand } from './JackdawCommand';
 
-/** Base of the commands that talk to the platform or to processes. */
+/** Base class of the commands that call the platform or the processes. */
 export abstract class PlatformCommand extends JackdawCommand {
   settings = Option.String('--settings', '', {
     description: 'TOML file with the connection settings (default: $JACKDAW_SETTINGS).',
@@ -23,16 +23,16 @@
     }
   }
 
-  /** Runs the command; the platform is closed after it. */
+  /** Runs the command; the caller closes the platform afterwards. */
   protected abstract executeOn(platform: OperatorPlatform): Promise<ExitCode>;
 
-  /** Shows problems of settings or of a configuration folder. */
+  /** Writes the problems of the settings or of a configuration folder. */
   protected writeProblems(problems: readonly ConfigurationProblem[]): ExitCode {
     problems.forEach((problem) => this.writeNote(formatProblem(problem)));
     return ExitCode.Refused;
   }
 
-  /** Shows a failed read or write of the configuration. */
+  /** Writes the error of a failed read or write of the configuration. */
   protected writeError(error: ApplyError): ExitCode {
     const { lines, exitCode } = renderError(error);
     lines.forEach((line) => this.writeNote(line));
--- a/src/programs/jackdaw/commands/RollbackCommand.ts
+++ b/src/programs/jackdaw/commands/RollbackCommand.ts
@@ -9,15 +9,15 @@
 import { ExitCode, type OperatorPlatform } from '../types';
 import { WritingCommand } from './WritingCommand';
 
-/** `jackdaw rollback`: writes an old version's content as a new version. */
+/** `jackdaw rollback`: writes the content of an old version as a new version. */
 export class RollbackCommand extends WritingCommand {
   static override paths = [['rollback']];
 
   static override usage = Command.Usage({
     description: 'Put the content of an old version into force, as a new version.',
     details: `
-      Versions never go down: the old content gets the next version. What this undoes is shown. If
-      another operator applies at the same moment, nothing is written (exit code 3).
+      Versions never decrease: the old content is written as the next version. The changes are
+      shown. If another operator applies at the same time, nothing is written (exit code 3).
       Exit code 6: there is no such version.
     `,
     examples: [['Go back to version 6', 'jackdaw rollback 6 --comment "7 broke reviews" --wait']],
--- a/src/programs/jackdaw/commands/StatusCommand.ts
+++ b/src/programs/jackdaw/commands/StatusCommand.ts
@@ -20,15 +20,15 @@
   );
 }
 
-/** `jackdaw status`: shows what runs where. */
+/** `jackdaw status`: shows the state of VMs, backend servers and leases. */
 export class StatusCommand extends PlatformCommand {
   static override paths = [['status']];
 
   static override usage = Command.Usage({
-    description: 'Show places, services, VMs, backend servers and who orders the engines.',
+    description: 'Show places, services, VMs, backend servers and the holder of each lease.',
     details: `
-      Asks every entry VM of the platform's list and of the settings. A backend server that is not
-      as desired shows what it holds and what it should hold.
+      Asks every entry VM of the platform's list and of the settings. A backend server whose models
+      differ from the configuration is shown with its actual and its desired models.
       Exit code 0: at least one VM answered; 4: none did.
     `,
     examples: [
--- a/src/programs/jackdaw/commands/WritingCommand.ts
+++ b/src/programs/jackdaw/commands/WritingCommand.ts
@@ -7,7 +7,7 @@
 import { PlatformCommand } from './PlatformCommand';
 
 const MS_PER_S = 1_000;
-/** Lagging VMs named on the progress line; the rest is counted. */
+/** Maximum lagging VMs named on the progress line; the others are counted. */
 const MAX_NAMED_VMS = 5;
 
 function renderProgress({ version, vmsTotal, lagging, elapsedMs }: VersionProgress): string {
@@ -26,7 +26,7 @@
   }`;
 }
 
-/** Base of the commands that write a version. */
+/** Base class of the commands that write a version. */
 export abstract class WritingCommand extends PlatformCommand {
   comment = Option.String('--comment', '', { description: 'Kept in the history.' });
 
@@ -35,7 +35,7 @@
   });
 
   waitSeconds = Option.String('--wait-seconds', '30', {
-    description: 'Bound on the wait; exit code 5 if VMs lag by then.',
+    description: 'Timeout of --wait; exit code 5 if VMs still lag.',
   });
 
   force = Option.Boolean('--force', false, {
@@ -44,13 +44,13 @@
 
   json = Option.Boolean('--json', false, { description: 'Print one JSON object.' });
 
-  /** Gives the bound on the wait in milliseconds; null, with a note, if the option is bad. */
+  /** Reads the timeout of `--wait` in milliseconds; null, with a message, if it is invalid. */
   protected readWaitMs(): number | null {
     const seconds = this.parseWholeNumber('--wait-seconds', this.waitSeconds, 1);
     return seconds === null ? null : seconds * MS_PER_S;
   }
 
-  /** Tells whether enough VMs would learn of a change; writes a note if not. */
+  /** Checks whether enough VMs read the table to learn of a change; writes a message if not. */
   protected async hasEnoughTableReaders(platform: OperatorPlatform): Promise<boolean> {
     const checked = this.force ? null : checkTableReaders(await countTableReaders(platform));
     if (checked?.isErr() !== true) {
@@ -59,13 +59,13 @@
     const { vmsListed, vmsReading } = checked.error;
     this.writeNote(
       `only ${vmsReading} of ${vmsListed} entry VMs answer and read the table; the others may ` +
-        'take it to be down and go on with the old configuration. Nothing was written. ' +
+        'assume that it is down and keep the old configuration. Nothing was written. ' +
         'Apply with --force if you know that they serve nobody',
     );
     return false;
   }
 
-  /** Reports the accepted version and, if asked for, waits until it is in force. */
+  /** Reports the accepted version and, with `--wait`, waits until it is in force. */
   protected async finish(platform: OperatorPlatform, row: ConfigurationRow): Promise<ExitCode> {
     if (!this.json) {
       this.writeLine(`applied version ${row.version} (apply id ${row.applyId})`);
--- a/src/programs/jackdaw/commands/index.ts
+++ b/src/programs/jackdaw/commands/index.ts
@@ -8,7 +8,7 @@
 import { RollbackCommand } from './RollbackCommand';
 import { StatusCommand } from './StatusCommand';
 
-/** Every command of `jackdaw`, in the order in which `--help` lists them. */
+/** All commands of `jackdaw`, in the order of `--help`. */
 export const COMMANDS = [
   CheckCommand,
   DiffCommand,
--- a/src/programs/jackdaw/countTableReaders/index.ts
+++ b/src/programs/jackdaw/countTableReaders/index.ts
@@ -2,7 +2,7 @@
 import { readEntryStatus } from '../readEntryStatus';
 import type { OperatorPlatform } from '../types';
 
-/** Counts the entry VMs that are listed, and those of them that read the table lately. */
+/** Counts the listed entry VMs, and those of them that read the table recently. */
 export async function countTableReaders(platform: OperatorPlatform): Promise<TableReaders> {
   const vms = await platform.listEntryVms();
   const statuses = await Promise.all(
--- a/src/programs/jackdaw/explainLog/_lib/findBeliefs/index.ts
+++ b/src/programs/jackdaw/explainLog/_lib/findBeliefs/index.ts
@@ -1,20 +1,20 @@
 import type { LogLine } from '../parseLogLine';
 
-/** What a VM believed when it decided something. */
+/** State that a VM assumed of a subject at the time of a log line. */
 export interface Belief {
-  /** What it is about. */
+  /** A server id, `configuration`, `this VM` or `store` with a table name. */
   readonly subject: string;
   readonly belief: string;
-  /** How long the VM had believed it, in milliseconds. */
+  /** How long the VM had assumed this state, in milliseconds. */
   readonly ageMs: number;
 }
 
-/** The latest line on a VM that changes a belief about one subject. */
+/** The latest line of a VM that changed a belief, by subject. */
 export type Beliefs = ReadonlyMap<string, LogLine>;
 
 const readText = (value: unknown): string => (typeof value === 'string' ? value : '');
 
-/** How lines that change a belief name its subject. */
+/** Subject of each log event that changes a belief. */
 const SUBJECTS: Readonly<Record<string, (fields: LogLine['fields']) => string>> = {
   'server known': ({ server }) => readText(server),
   'server leaving': ({ server }) => readText(server),
@@ -34,13 +34,13 @@
   return [message, ...details].join(' ');
 };
 
-/** Tells what a line is about if it changes a belief of its VM; null if not. */
+/** Finds the subject of a line that changes a belief of its VM; null for other lines. */
 export const findSubject = ({ fields, message }: LogLine): string | null =>
   SUBJECTS[message]?.(fields) ?? null;
 
 const SHARED_SUBJECTS: ReadonlySet<string> = new Set(['configuration', 'this VM']);
 
-/** Finds what a VM believed of all that a line of it names. */
+/** Finds the beliefs of a VM about the subjects that affect one of its lines. */
 export const findBeliefs = (line: LogLine, beliefs: Beliefs): readonly Belief[] =>
   [...beliefs]
     .filter(
--- a/src/programs/jackdaw/explainLog/_lib/parseLogLine/index.ts
+++ b/src/programs/jackdaw/explainLog/_lib/parseLogLine/index.ts
@@ -3,7 +3,7 @@
 
 /** One line of a VM's log. */
 export interface LogLine {
-  /** Wall time at the VM, in milliseconds since the epoch. */
+  /** Wall-clock time of the VM, in Unix milliseconds. */
   readonly timeMs: number;
   readonly vm: string;
   readonly message: string;
@@ -16,14 +16,14 @@
   time: z.number(),
 });
 
-/** Fields of the process that wrote a line: the same in each. */
+/** Fields that describe the process and are the same in all of its lines. */
 const PROCESS_FIELDS: ReadonlySet<string> = new Set(['logLevel', 'program', 'vm']);
 
 /**
- * Parses one line of a log; collectors may put their own words before it.
+ * Parses one line of a log, to which a log collector may have added a prefix.
  *
- * @param source - name of the file, for lines that name no VM
- * @returns null for a line that is none of ours
+ * @param source - name of the file, which stands for the VM in lines that name none
+ * @returns null for a line that is not an event of this system
  */
 export const parseLogLine = (text: string, source: string): LogLine | null => {
   const start = text.indexOf('{"context"');
--- a/src/programs/jackdaw/explainLog/index.ts
+++ b/src/programs/jackdaw/explainLog/index.ts
@@ -5,13 +5,13 @@
 import { findBeliefs, findSubject, type Belief } from './_lib/findBeliefs';
 import { parseLogLine, type LogLine } from './_lib/parseLogLine';
 
-/** A line about a request, and what its VM believed at that moment. */
+/** A log line about a request, with the beliefs of its VM at that time. */
 export interface TimelineEntry {
   readonly line: LogLine;
   readonly beliefs: readonly Belief[];
 }
 
-/** Reads the lines that tell of the request, or change a belief. */
+/** Reads the lines about the request and those that change a belief. */
 const readLines = async (
   file: string,
   requestId: string,
@@ -31,11 +31,11 @@
 };
 
 /**
- * Explains a request from the logs of all VMs: its lines in the order of their times, each with
- * what its VM believed then of the servers, the configuration and the store.
+ * Builds the timeline of a request from the logs of all VMs: its lines sorted by time, each with
+ * the beliefs of its VM about the servers, the configuration and the store at that time.
  *
- * @param files - logs; one file may hold the lines of several VMs
- * @returns empty if no line tells of the request; an error names a file that cannot be read
+ * @param files - log files, each with the lines of one or more VMs
+ * @returns the timeline, empty if no line is about the request, or the file that cannot be read
  */
 export const explainLog = async (
   requestId: string,
--- a/src/programs/jackdaw/explainLog/test.ts
+++ b/src/programs/jackdaw/explainLog/test.ts
@@ -19,7 +19,7 @@
   return files.map(({ file }) => file);
 };
 
-test('a story is in the order of time over all VMs, and holds what each VM believed', async (t) => {
+test('a timeline is sorted by time over all VMs and shows the beliefs of each VM', async (t) => {
   const files = await writeLogs(t, {
     'vm-2.log': [buildLine('vm-2', 5000, 'request refused', { requestId: 'r-1', kind: 'not-run' })],
     'vm-1.log': [
@@ -47,11 +47,11 @@
   ]);
 });
 
-test('a request that no line tells of has no story', async (t) => {
+test('the timeline of a request without log lines is empty', async (t) => {
   const files = await writeLogs(t, { 'vm-1.log': [buildLine('vm-1', 1, 'gateway started')] });
   t.deepEqual((await explainLog('r-1', files))._unsafeUnwrap(), []);
 });
 
-test('a file that cannot be read is named', async (t) => {
+test('the error names the file that cannot be read', async (t) => {
   t.regex((await explainLog('r-1', ['nowhere.log']))._unsafeUnwrapErr(), /^nowhere\.log: /);
 });
--- a/src/programs/jackdaw/openPlatform/index.ts
+++ b/src/programs/jackdaw/openPlatform/index.ts
@@ -11,7 +11,7 @@
 import { readOperatorSettings } from '../readOperatorSettings';
 import type { OperatorPlatform, OperatorSettings } from '../types';
 
-/** An operator can wait longer for the table than a request on the data path. */
+/** Deadline of a table operation, longer than that of a request on the data path. */
 const TABLE_DEADLINE_MS = 3_000;
 
 async function listEntryVms(
--- a/src/programs/jackdaw/readEntryStatus/index.ts
+++ b/src/programs/jackdaw/readEntryStatus/index.ts
@@ -6,11 +6,11 @@
   tableReadAgeMs: z.number().nullable().default(null),
 });
 
-/** What a command needs of an entry's status. */
+/** The part of an entry's status that commands use. */
 export interface EntryStatus {
-  /** Version in force there, 0 if none. */
+  /** Version in force at the entry, 0 if none. */
   readonly version: number;
-  /** Age of its own newest read of the table, or null if it has read none. */
+  /** Age of the entry's latest read of the table, or null if it has read none. */
   readonly tableReadAgeMs: number | null;
 }
 
--- a/src/programs/jackdaw/readOperatorSettings/index.ts
+++ b/src/programs/jackdaw/readOperatorSettings/index.ts
@@ -2,7 +2,7 @@
 import { ProblemKind, readSettingsFile, type ConfigurationProblem } from '../../../adapters/toml';
 import { OperatorSettingsSchema, type OperatorSettings } from '../types';
 
-/** Variable that gives each key of the settings. */
+/** Environment variable of each settings key. */
 const VARIABLE_BY_KEY: Readonly<Record<string, string>> = {
   'table.endpoint': 'JACKDAW_TABLE_ENDPOINT',
   'table.name': 'JACKDAW_TABLE_NAME',
@@ -14,7 +14,7 @@
 
 type Environment = Readonly<Record<string, string | undefined>>;
 
-/** Builds what a settings file would hold from the environment's variables. */
+/** Builds the content of a settings file from environment variables. */
 function buildDocument(environment: Environment): unknown {
   const vmListEndpoint = environment.JACKDAW_VM_LIST_ENDPOINT;
   const peers = environment.JACKDAW_PEERS;
@@ -55,9 +55,10 @@
 /**
  * Reads the operator's settings.
  *
- * @param file - settings file; empty: the one that `JACKDAW_SETTINGS` names, or else the variables
- *   `JACKDAW_TABLE_ENDPOINT`, `JACKDAW_TABLE_NAME`, `JACKDAW_REGION`, `JACKDAW_ACCESS_KEY_ID`,
- *   `JACKDAW_SECRET_ACCESS_KEY`, `JACKDAW_VM_LIST_ENDPOINT`, `JACKDAW_PEERS`
+ * @param file - settings file; if empty, the file that `JACKDAW_SETTINGS` names, or else the
+ *   environment variables `JACKDAW_TABLE_ENDPOINT`, `JACKDAW_TABLE_NAME`, `JACKDAW_REGION`,
+ *   `JACKDAW_ACCESS_KEY_ID`, `JACKDAW_SECRET_ACCESS_KEY`, `JACKDAW_VM_LIST_ENDPOINT` and
+ *   `JACKDAW_PEERS`
  */
 export async function readOperatorSettings(
   file: string,
--- a/src/programs/jackdaw/readStatuses/index.ts
+++ b/src/programs/jackdaw/readStatuses/index.ts
@@ -13,7 +13,7 @@
   fencingToken: z.number(),
 });
 
-/** Status of one process, as docs/operators/status.md describes it; unknown fields are left out. */
+/** Status of one process, documented in docs/operators/status.md; unknown fields are dropped. */
 const statusSchema = z.object({
   vm: z.string(),
   draining: z.boolean(),
@@ -49,17 +49,17 @@
 /** Status of one process. */
 export type ProcessStatus = z.output<typeof statusSchema>;
 
-/** A VM that was asked, with its answer. */
+/** A VM, with its status or the reason why there is none. */
 export interface VmStatusResult {
   readonly vm: string;
   readonly peerAddress: string;
-  /** Null: it did not answer, or not as this version of `jackdaw` expects. */
+  /** Null if the VM did not answer, or not in the format that this version of `jackdaw` expects. */
   readonly status: ProcessStatus | null;
-  /** Why there is no status; else empty. */
+  /** Why there is no status; empty if there is one. */
   readonly reason: string;
 }
 
-/** Asks all VMs for their status at once. */
+/** Reads the statuses of all VMs concurrently. */
 export function readStatuses(
   calls: OperatorCalls,
   vms: readonly { readonly vm: string; readonly peerAddress: string }[],
--- a/src/programs/jackdaw/renderChanges/index.ts
+++ b/src/programs/jackdaw/renderChanges/index.ts
@@ -7,7 +7,7 @@
   return after === '' ? `- ${key} = ${before}` : `~ ${key}: ${before} -> ${after}`;
 }
 
-/** Renders differences one a line: `+` added, `-` removed, `~` changed. */
+/** Renders one line per difference: `+` added, `-` removed, `~` changed. */
 export function renderChanges(changes: readonly ConfigurationChange[]): readonly string[] {
   return changes.map(renderChange);
 }
--- a/src/programs/jackdaw/renderError/index.ts
+++ b/src/programs/jackdaw/renderError/index.ts
@@ -2,7 +2,7 @@
 import { ExitCode } from '../types';
 import { renderChanges } from '../renderChanges';
 
-/** What a failed command tells the operator. */
+/** Error message of a failed command and its exit code. */
 export interface RenderedError {
   readonly lines: readonly string[];
   readonly exitCode: ExitCode;
@@ -24,13 +24,15 @@
     exitCode: ExitCode.Unreachable,
   }),
   'too-large': ({ bytes, limitBytes }) => ({
-    lines: [`the configuration takes ${bytes} bytes of the table's ${limitBytes}; nothing written`],
+    lines: [
+      `the configuration has ${bytes} bytes, the table's limit is ${limitBytes}; nothing was written`,
+    ],
     exitCode: ExitCode.Refused,
   }),
   unknown: ({ version, applyId, reason }) => ({
     lines: [
       `the answer was lost (${reason}): version ${version} may have been applied`,
-      `once the table answers, see whether "jackdaw history" shows apply id ${applyId}`,
+      `once the table answers, check whether "jackdaw history" shows apply id ${applyId}`,
     ],
     exitCode: ExitCode.Unreachable,
   }),
@@ -38,9 +40,9 @@
     lines: [
       `version ${newest?.version ?? 0} is in force (by ${newest?.appliedBy ?? 'nobody'}), ` +
         `not the expected ${expectedVersion}; nothing was written`,
-      ...(changes.length === 0 ? [] : ['what others changed since:']),
+      ...(changes.length === 0 ? [] : ['changes by others since then:']),
       ...renderChanges(changes),
-      `take this into the folder, look at "jackdaw diff", then apply with ` +
+      `merge these changes into the folder, check "jackdaw diff", then apply with ` +
         `--expect-version ${newest?.version ?? 0}`,
     ],
     exitCode: ExitCode.Conflict,
--- a/src/programs/jackdaw/renderTimeline/index.ts
+++ b/src/programs/jackdaw/renderTimeline/index.ts
@@ -1,13 +1,13 @@
 import type { TimelineEntry } from '../explainLog';
 
-/** Fields that are the same in each line of a story. */
+/** Fields that are the same in all lines of a timeline. */
 const COMMON_FIELDS: ReadonlySet<string> = new Set(['requestId']);
 
 const formatTime = (timeMs: number): string => new Date(timeMs).toISOString().slice(11, 23);
 
 const formatAge = (ageMs: number): string => `${(ageMs / 1000).toFixed(1)} s`;
 
-/** Renders the story of a request: each line, and below it what its VM believed. */
+/** Renders the timeline of a request: each line, followed by the beliefs of its VM. */
 export const renderTimeline = (timeline: readonly TimelineEntry[]): readonly string[] =>
   timeline.flatMap(({ beliefs, line }) => {
     const fields = Object.entries(line.fields)
--- a/src/programs/jackdaw/runOperatorCli/index.ts
+++ b/src/programs/jackdaw/runOperatorCli/index.ts
@@ -28,7 +28,7 @@
     const command = cli.process([...args], context);
     return await cli.run(command, context);
   } catch (error) {
-    // Only a wrong command line is thrown here: failures of commands are exit codes.
+    // Only an invalid command line throws; failures of commands are exit codes.
     context.stderr.write(cli.error(error, { colored: false }));
     return ExitCode.Usage;
   }
--- a/src/programs/jackdaw/runOperatorCli/test.ts
+++ b/src/programs/jackdaw/runOperatorCli/test.ts
@@ -14,7 +14,7 @@
 import { readConfigurationFolder } from '../../../adapters/toml';
 import { ExitCode, type OperatorPlatform } from '../types';
 
-/** An operator's terminal on a table in memory, with two VMs of which one lags. */
+/** Sets up the CLI with an in-memory table and two VMs whose versions the test controls. */
 async function setUp(t: ExecutionContext) {
   const folder = await mkdtemp(join(tmpdir(), 'jackdaw-test-'));
   t.teardown(() => rm(folder, { recursive: true }));
@@ -51,7 +51,7 @@
     const ended = runOperatorCli(args, tools, { stdout, stderr }).finally(() => {
       isRunning = false;
     });
-    // Files are read in real time: the clock moves on until the command ends, however long it takes.
+    // Files are read in real time, so the fake clock advances until the command has ended.
     while (isRunning) await clock.advanceAsync(250);
     const exitCode = await ended;
     const text = `${stdout.read() ?? ''}${stderr.read() ?? ''}`;
@@ -66,7 +66,7 @@
   return { folder, platform, versions, readAgeMs, run, writeWeight };
 }
 
-test('a wrong command line ends with 2, --help and --version with 0', async (t) => {
+test('an invalid command line exits with 2, --help and --version with 0', async (t) => {
   const { run } = await setUp(t);
   t.is((await run('aply')).exitCode, ExitCode.Usage);
   t.is((await run('apply')).exitCode, ExitCode.Usage);
@@ -96,11 +96,10 @@
   t.regex(refused.text, /90-change.toml:3: workspaces.antigua.weight: /);
 });
 
-// Symptom: an operator's change is undone by another who never saw it.
-// Sequence: both edit version 1; the first applies version 2; the second applies his folder later,
-//   without naming a version, or naming the one that he started from.
-// Cause: apply took the newest version as the one that the folder was edited from.
-test('a folder edited from an older version is refused and the difference shown', async (t) => {
+// Failure: an operator undoes another's change without having seen it. Both edit version 1; the
+// first applies version 2, then the second applies his folder with no expected version, or with 1,
+// and `apply` assumes that the folder was edited from the newest version.
+test('a folder edited from an older version is refused, and the difference is shown', async (t) => {
   const { folder, run, writeWeight } = await setUp(t);
   await run('apply', folder);
   await writeWeight(5);
@@ -114,7 +113,7 @@
   t.is((await run('history')).text.split('\n').length, 3);
 });
 
-test('--wait names the VMs that lag and ends with 5, or with 0 once all follow', async (t) => {
+test('--wait names the lagging VMs and exits with 5, or with 0 once all have the version', async (t) => {
   const { folder, run, versions } = await setUp(t);
   versions.set('b', 0);
   const lagging = await run('apply', folder, '--wait', '--wait-seconds', '1');
@@ -126,7 +125,7 @@
   t.regex(waited.text, /"version":1,.*"lagging":\[\]/);
 });
 
-test('an outage ends with 4 and says that nothing was written', async (t) => {
+test('apply during an outage exits with 4 and says that nothing was written', async (t) => {
   const { folder, platform, run } = await setUp(t);
   (platform.table as MemoryTableStore).setOutage('unavailable');
   const { exitCode, text } = await run('apply', folder);
@@ -134,10 +133,10 @@
   t.regex(text, /nothing was written/);
 });
 
-// Symptom: a change is accepted, and most VMs go on with the old configuration for the whole split.
-// Sequence: the VMs lose the table and hear each other; the operator still reaches it and applies.
-// Cause: nothing asked how many VMs could learn of the change.
-test('a change that most VMs could not learn of is refused, unless forced', async (t) => {
+// Failure: a change is accepted while most VMs keep the old configuration for the whole partition.
+// The VMs lose the table but hear each other; the operator still reaches the table and applies
+// without a check of how many VMs can read the change.
+test('a change that most VMs cannot read is refused, unless forced', async (t) => {
   const { folder, readAgeMs, run, writeWeight } = await setUp(t);
   await run('apply', folder);
   await writeWeight(5);
@@ -149,7 +148,7 @@
   t.is((await run('apply', folder, '--expect-version', '1', '--force')).exitCode, ExitCode.Ok);
 });
 
-test('explain --log tells the story from log files without the platform', async (t) => {
+test('explain --log builds the timeline from log files without the platform', async (t) => {
   const { folder, run } = await setUp(t);
   const file = join(folder, 'vm-1.log');
   await writeFile(
--- a/src/programs/jackdaw/types/OperatorSettings.ts
+++ b/src/programs/jackdaw/types/OperatorSettings.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import { TableSchema, VmListSchema } from '../../../adapters/settings';
 
-/** Settings file of `jackdaw`; documented in docs/cli.md. */
+/** Schema of the settings file of `jackdaw`, documented in docs/cli.md. */
 export const OperatorSettingsSchema = z
   .strictObject({
     operator: z.strictObject({ name: z.string().min(1) }).optional(),
@@ -16,5 +16,5 @@
     peerAddresses: settings.peers.addresses,
   }));
 
-/** Checked settings of the operator's tool. */
+/** Validated settings of the operator's tool. */
 export type OperatorSettings = Readonly<z.output<typeof OperatorSettingsSchema>>;
--- a/src/programs/jackdaw/types/OperatorTools.ts
+++ b/src/programs/jackdaw/types/OperatorTools.ts
@@ -3,15 +3,16 @@
 import type { Configuration } from '../../../domain/types';
 import type { OperatorPlatform } from './OperatorPlatform';
 
-/** What the commands need of the outside. New commands add their parts here. */
+/** External dependencies of the commands. New commands add theirs here. */
 export interface OperatorTools {
   readConfigurationFolder(
     folder: string,
   ): Promise<Result<Configuration, readonly ConfigurationProblem[]>>;
   /**
-   * Reads the settings and connects to what they name.
+   * Reads the settings and connects to the platform that they name.
    *
-   * @param settingsFile - empty: the file that JACKDAW_SETTINGS names, or else the environment
+   * @param settingsFile - settings file; if empty, the file that JACKDAW_SETTINGS names, or else
+   *   the environment variables
    */
   openPlatform(
     settingsFile: string,
--- a/src/programs/jackdaw/wireOperatorTools/index.ts
+++ b/src/programs/jackdaw/wireOperatorTools/index.ts
@@ -2,7 +2,7 @@
 import { openPlatform } from '../openPlatform';
 import type { OperatorTools } from '../types';
 
-/** Wires the parts that the commands use. Opens no connection by itself. */
+/** Wires the external dependencies of the commands without opening a connection. */
 export function wireOperatorTools(): OperatorTools {
   return { readConfigurationFolder, openPlatform };
 }
