--- a/src/programs/_lib/runServiceCli/index.ts
+++ b/src/programs/_lib/runServiceCli/index.ts
@@ -1,10 +1,10 @@
 import { Builtins, Cli, type BaseContext, type CommandClass } from 'clipanion';
 import packageFile from '../../../../package.json';
 
-/** Exit codes of the long-running binaries, as their pages in docs/operators list them. */
+/** Exit codes of the long-running binaries, documented in docs/operators. */
 export const SERVICE_EXIT_CODES = { done: 0, failed: 1, usage: 2 } as const;
 
-/** A binary with one command. */
+/** A long-running binary, which has a single command. */
 export interface ServiceCli {
   readonly label: string;
   readonly name: string;
@@ -16,7 +16,7 @@
  *
  * @param service - the binary
  * @param args - arguments after the binary's name
- * @param streams - for tests
+ * @param streams - replacements of the standard streams, for tests
  * @returns the exit code
  */
 export const runServiceCli = async (
@@ -35,7 +35,7 @@
   try {
     return await cli.run(cli.process([...args], context), context);
   } catch (error) {
-    // Only a wrong command line is thrown here.
+    // Only an invalid command line is thrown here.
     context.stderr.write(cli.error(error, { colored: false }));
     return SERVICE_EXIT_CODES.usage;
   }
--- a/src/programs/entry/_lib/buildStatus/index.ts
+++ b/src/programs/entry/_lib/buildStatus/index.ts
@@ -1,7 +1,7 @@
 import type { PeerExchange } from '../../../../application/peers';
 import type { ConfigurationView, HealthRegistry, LoadView } from '../../../../application/ports';
 
-/** Where the status is read from. */
+/** Sources of the status. */
 export interface StatusSources {
   readonly vm: string;
   readonly configuration: ConfigurationView;
@@ -11,14 +11,14 @@
   readonly readState: () => {
     readonly draining: boolean;
     readonly cutOff: boolean;
-    /** Age of this VM's own newest read of the table, or null if it has read none. */
+    /** Age of this VM's latest read of the table, or null if it has read none. */
     readonly tableReadAgeMs: number | null;
     readonly running: number;
     readonly generations: number;
   };
 }
 
-/** Builds what `jackdaw status` shows of this process, as docs/operators/status.md describes. */
+/** Builds the status of this process for `jackdaw status`; see docs/operators/status.md. */
 export const buildStatus = (sources: StatusSources) => {
   const current = sources.configuration.readCurrent();
   const reports = new Map(sources.load.listReports().map((item) => [item.backendServer, item]));
--- a/src/programs/entry/_lib/createDeferredPeerServices/index.ts
+++ b/src/programs/entry/_lib/createDeferredPeerServices/index.ts
@@ -1,16 +1,16 @@
 import type { PeerServices } from '../../../../application/peers';
 
-/** Services whose target is set later. */
+/** Peer services that delegate to a target which is set later. */
 export interface DeferredPeerServices {
   readonly services: PeerServices;
   setTarget(target: PeerServices): void;
 }
 
 /**
- * Creates services to listen with before the parts behind them exist.
+ * Creates peer services that a server can listen with before their target exists.
  *
- * A VM that takes a free port knows its peer address only once it listens, and its parts need that
- * address. Calls that arrive before the target is set fail, as if this VM had not started yet.
+ * A VM that binds a free port knows its peer address only once it listens, and its parts need that
+ * address. Calls that arrive before the target is set fail.
  */
 export const createDeferredPeerServices = (): DeferredPeerServices => {
   let target: PeerServices | null = null;
--- a/src/programs/entry/_lib/wireBase/index.ts
+++ b/src/programs/entry/_lib/wireBase/index.ts
@@ -7,7 +7,7 @@
 import type { EntryOverrides, EntrySettings } from '../../types';
 import { wireStores } from '../wireStores';
 
-/** Wires the parts of an entry that need no address of their own. */
+/** Wires the parts of an entry that do not depend on its peer address. */
 export const wireBase = async (settings: EntrySettings, overrides: EntryOverrides) => {
   const clock = overrides.clock ?? createSystemClock();
   const randomness = overrides.randomness ?? createSystemRandomness();
@@ -27,5 +27,5 @@
   };
 };
 
-/** The parts of an entry that need no address of their own. */
+/** Parts of an entry that do not depend on its peer address. */
 export type EntryBase = Awaited<ReturnType<typeof wireBase>>;
--- a/src/programs/entry/_lib/wireParts/index.ts
+++ b/src/programs/entry/_lib/wireParts/index.ts
@@ -15,16 +15,16 @@
 import type { EntrySettings } from '../../types';
 import type { EntryBase } from '../wireBase';
 
-/** How long answers are kept before a configuration says. */
+/** Retention of answers until a configuration is in force. */
 const DEFAULT_ANSWER_TTL_MS = 3_600_000;
 
 const MS_PER_S = 1000;
 
-/** Wires the parts of an entry that peers reach at an address. */
+/** Wires the parts of an entry that depend on its peer address. */
 export const wireParts = (base: EntryBase, settings: EntrySettings, peerAddress: string) => {
   const { clock, decisions, health, load, log, randomness, stores } = base;
   const { availabilityZone, name: vm, region } = settings.vm;
-  // The client asks the exchange for addresses, and the exchange sends through the client.
+  // The client looks addresses up in the exchange, and the exchange calls peers with the client.
   let exchange: PeerExchange | null = null;
   const peers = createPeerClient({
     clock,
@@ -116,5 +116,5 @@
   };
 };
 
-/** The parts of an entry that peers reach at an address. */
+/** Parts of an entry that depend on its peer address. */
 export type EntryParts = ReturnType<typeof wireParts>;
--- a/src/programs/entry/_lib/wireStores/index.ts
+++ b/src/programs/entry/_lib/wireStores/index.ts
@@ -11,7 +11,7 @@
 import type { OperationRunnerDependencies } from '../../../../application/store';
 import type { EntrySettings } from '../../types';
 
-/** Wires the clients of the platform: each fails soon, so that no request waits for a dead store. */
+/** Wires the clients of the platform. They fail fast, so that no request waits for a dead store. */
 export const wireStores = (settings: EntrySettings, guard: OperationRunnerDependencies) => {
   const dispatcher = createPlatformDispatcher();
   const dependencies = { clock: guard.clock, dispatcher };
--- a/src/programs/entry/main.ts
+++ b/src/programs/entry/main.ts
@@ -1,5 +1,5 @@
 import { runEntryCli } from './runEntryCli';
 
 const exitCode = await runEntryCli(process.argv.slice(2));
-// An exit at once would drop log lines that still wait for a slow reader of standard output.
+// An immediate exit would drop log lines that are still buffered for a slow reader.
 process.stdout.write('', () => process.exit(exitCode));
--- a/src/programs/entry/runEntryCli/index.ts
+++ b/src/programs/entry/runEntryCli/index.ts
@@ -5,7 +5,7 @@
 import { startEntry } from '../startEntry';
 import { EntrySettingsSchema, type Entry } from '../types';
 
-/** Serves until a signal or an operator begins a shutdown, then until all work has ended. */
+/** Serves until a signal or an operator starts a drain, and stops when the drain has ended. */
 const runEntry = async (entry: Entry): Promise<void> => {
   const drained = entry.waitForDrain();
   waitForSignal().then(() => entry.drain());
@@ -15,7 +15,7 @@
 
 class EntryCommand extends Command {
   static override usage = Command.Usage({
-    description: 'Serves callers at one VM until SIGTERM, then lets running work end.',
+    description: 'Serves callers on one VM until SIGTERM, then lets running work end.',
     examples: [['Start with a settings file', '$0 --settings entry.toml']],
   });
 
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -12,10 +12,10 @@
 import { wireParts, type EntryParts } from '../_lib/wireParts';
 import type { Entry, EntryOverrides, EntrySettings, StartError } from '../types';
 
-/** Bound of a drain before a configuration names one. */
+/** Timeout of a drain until a configuration is in force. */
 const DEFAULT_DRAIN_TIMEOUT_MS = 30_000;
 
-/** Longest wait of a drain for the answers of ended generations to be stored. */
+/** Timeout of a drain's wait until the answers of ended generations are stored. */
 const ANSWER_WRITE_TIMEOUT_MS = 5000;
 
 const createCursorCodec = (keys: EntrySettings['cursorKeys']): CursorCodec => ({
@@ -23,7 +23,7 @@
   verify: (text) => verifyCursor(text, keys),
 });
 
-/** Starts what an entry does by itself; the returned function stops it. */
+/** Starts the background loops of an entry; the returned function stops them. */
 const startBackgroundLoops = (
   base: EntryBase,
   parts: EntryParts,
@@ -80,9 +80,10 @@
 /**
  * Starts an entry: wires its parts and listens.
  *
- * @param settings - as read from the settings file; port 0 takes a free one
- * @param overrides - for tests, the demo and benches, which run several in one process
- * @returns the entry, listening; it takes new work once it has read a configuration
+ * @param settings - settings from the settings file; port 0 binds a free port
+ * @param overrides - replacements of parts, for tests, the demo and benchmarks, which run several
+ *   entries in one process
+ * @returns the listening entry, which accepts work once it has read a configuration
  */
 export const startEntry = async (
   settings: EntrySettings,
@@ -171,7 +172,7 @@
       new Promise((resolve) => {
         const resolveWithDrain = (): void => resolve(drain());
         shutdown.addListener(resolveWithDrain);
-        // The platform's list may have begun the drain before anybody waited for it.
+        // The platform's VM list may have started a drain before this call.
         if (shutdown.isDraining()) resolveWithDrain();
       }),
     stop: async () => {
--- a/src/programs/entry/types/Entry.ts
+++ b/src/programs/entry/types/Entry.ts
@@ -5,17 +5,17 @@
 export interface Entry {
   /** Base URL for callers. */
   readonly callerUrl: string;
-  /** `ip:port` for peers and operators. */
+  /** `ip:port` at which peers and operators reach this entry. */
   readonly peerAddress: string;
-  /** Resolves when a configuration is in force here. */
+  /** Resolves when a configuration is in force on this VM. */
   waitForConfiguration(): Promise<void>;
-  /** Takes no new work and resolves when all running work has ended or was handed over. */
+  /** Stops accepting work; resolves when all running work has ended or was handed over. */
   drain(): Promise<DrainOutcome>;
-  /** Resolves when a drain, whoever asked for it, is over. */
+  /** Resolves when a drain has ended, whoever requested it. */
   waitForDrain(): Promise<DrainOutcome>;
-  /** Stops at once and removes the VM's registration; what still runs breaks off. */
+  /** Stops at once and removes the VM's registration; running work is aborted. */
   stop(): Promise<void>;
-  /** Decisions of one request that are still held, oldest first. */
+  /** Lists the decisions about a request that are still in memory, oldest first. */
   listDecisions(requestId: string): readonly RoutingDecision[];
   readConfigurationVersion(): number;
 }
--- a/src/programs/entry/types/EntrySettings.ts
+++ b/src/programs/entry/types/EntrySettings.ts
@@ -8,14 +8,14 @@
   VmSchema,
 } from '../../../adapters/settings';
 
-/** Shortest cursor key: with fewer characters a forger could try them all. */
+/** Minimum length of a cursor key, against brute-force forgery of cursors. */
 const MIN_CURSOR_KEY_CHARACTERS = 32;
 
 const CursorKeySchema = SecretSchema.pipe(
   z.string().min(MIN_CURSOR_KEY_CHARACTERS, `shorter than ${MIN_CURSOR_KEY_CHARACTERS} characters`),
 );
 
-/** Settings file of `jackdaw-entry`; documented in examples/entry.toml. */
+/** Schema of the settings file of `jackdaw-entry`, documented in examples/entry.toml. */
 export const EntrySettingsSchema = z
   .strictObject({
     vm: VmSchema,
@@ -36,5 +36,5 @@
     cursorKeys: settings.cursors.keys,
   }));
 
-/** Checked settings of an entry. */
+/** Validated settings of an entry. */
 export type EntrySettings = Readonly<z.output<typeof EntrySettingsSchema>>;
--- a/src/programs/gateway/_lib/createGatewayLog/index.ts
+++ b/src/programs/gateway/_lib/createGatewayLog/index.ts
@@ -7,18 +7,18 @@
 } from '../../../../adapters/log';
 import type { EventLog } from '../../../../application/ports';
 
-/** Log lines that may wait for standard output, in characters: about 5000 lines. */
+/** Maximum characters of log lines queued for standard output: about 5000 lines. */
 const MAX_QUEUED_CHARACTERS = 1_500_000;
 
 const STANDARD_OUTPUT = 1;
 
-/** Pause before a full pipe is written to again. */
+/** Delay before another write to a full pipe. */
 const FULL_PIPE_RETRY_MS = 5;
 
 /**
- * Writes to standard output without ever blocking the loop.
+ * Writes to standard output without blocking the event loop.
  *
- * `process.stdout` would: its writes to a pipe wait while nobody reads.
+ * `process.stdout` blocks on a pipe that is full because its reader is slow.
  */
 const writeOutput = (text: string, done: () => void): void => {
   const bytes = Buffer.from(text);
@@ -31,13 +31,13 @@
   writeFrom(0);
 };
 
-/** The log of a gateway, and the queue of its lines. */
+/** Event log of a gateway and the queue of its lines. */
 export interface GatewayLog {
   readonly log: EventLog;
   readonly lines: LineQueue;
 }
 
-/** Creates the log of a gateway: one JSON line a message, on standard output. */
+/** Creates the log of a gateway, which writes one line of JSON per event to standard output. */
 export const createGatewayLog = async (vm: string): Promise<GatewayLog> => {
   const lines = createLineQueue({
     maxCharacters: MAX_QUEUED_CHARACTERS,
@@ -45,7 +45,7 @@
     write: writeOutput,
   });
   const logger = await createRoarrLogger('jackdaw-gateway');
-  // roarr writes to wherever its global says.
+  // roarr writes with the function in its global object.
   Object.assign((globalThis as { ROARR?: object }).ROARR ?? {}, { write: lines.push });
   return { log: createEventLog(logger.child({ vm })), lines };
 };
--- a/src/programs/gateway/_lib/logReady/index.ts
+++ b/src/programs/gateway/_lib/logReady/index.ts
@@ -4,7 +4,7 @@
 
 const BYTES_PER_MB = 1024 * 1024;
 
-/** What is looked at. */
+/** Dependencies of `logReady`. */
 export interface LogReadyDependencies extends Pick<
   GatewayParts,
   'clock' | 'directory' | 'log' | 'tables'
@@ -13,9 +13,9 @@
 }
 
 /**
- * Writes one line when the first requests can be taken: how long it took, and what of the process.
+ * Logs when the gateway first becomes ready: the time since its start, CPU time and memory.
  *
- * @returns ends the watch
+ * @returns a function that stops the checks
  */
 export const logReady = ({
   clock,
--- a/src/programs/gateway/_lib/readGatewaySettings/index.ts
+++ b/src/programs/gateway/_lib/readGatewaySettings/index.ts
@@ -3,7 +3,7 @@
 import { decodeSettings } from '../../../../../platform';
 import type { GatewaySettings } from '../../../../domain/forwarding';
 
-/** Reads the settings file; an error has a line for each problem: file, key and reason. */
+/** Reads the settings file. The error has one line per problem, with file, key and reason. */
 export const readGatewaySettings = async (
   file: string,
 ): Promise<Result<GatewaySettings, readonly string[]>> => {
--- a/src/programs/gateway/_lib/startEndpoints/index.ts
+++ b/src/programs/gateway/_lib/startEndpoints/index.ts
@@ -7,7 +7,7 @@
 import type { GatewayParts } from '../../types';
 import { parseAddress } from '../parseAddress';
 
-/** What the endpoints tell of. */
+/** Parts that the endpoints serve. */
 export interface EndpointParts extends Pick<
   GatewayParts,
   | 'directory'
@@ -23,7 +23,7 @@
   readonly isReady: () => boolean;
 }
 
-/** Endpoints that listen. */
+/** Listening endpoints. */
 export interface Endpoints {
   readonly readinessUrl: string;
   readonly metricsUrl: string;
@@ -33,7 +33,7 @@
 const READY_STATUS = 200;
 const NOT_READY_STATUS = 503;
 
-/** Starts the readiness and metrics addresses, and the one for other gateways. */
+/** Starts the servers for readiness checks, for metrics and for calls of other gateways. */
 export const startEndpoints = async (
   settings: GatewaySettings,
   {
--- a/src/programs/gateway/_lib/startSettingsWatch/index.ts
+++ b/src/programs/gateway/_lib/startSettingsWatch/index.ts
@@ -3,28 +3,28 @@
 import type { GatewaySettings } from '../../../../domain/forwarding';
 import { readGatewaySettings } from '../readGatewaySettings';
 
-/** What a watch needs. */
+/** Dependencies of a settings watch. */
 export interface SettingsWatchDependencies {
   readonly file: string;
-  /** Settings in force. */
+  /** Settings in force at the start. */
   readonly settings: GatewaySettings;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Takes settings that changed, and says which of their keys need a restart. */
+  /** Applies changed settings and returns the keys that take effect only after a restart. */
   readonly applySettings: (settings: GatewaySettings) => readonly string[];
 }
 
-/** Follows a settings file. */
+/** Watches a settings file. */
 export interface SettingsWatch {
-  /** Reads the file now; resolves when what it says is in force, or refused. */
+  /** Reads the file; resolves when its settings are applied or rejected. */
   readNow(): Promise<void>;
   stop(): void;
 }
 
-/** The file may change without a signal: it is read this often, which costs nothing. */
+/** Interval between reads of the file, which may also change without a signal. */
 const READ_INTERVAL_MS = 5000;
 
-/** Follows the settings file; one that can't be used leaves the settings before in force. */
+/** Watches the settings file. Invalid settings are rejected, and the earlier ones stay in force. */
 export const startSettingsWatch = ({
   applySettings,
   clock,
@@ -46,7 +46,7 @@
 
   const rejectSettings = (problems: readonly string[]): void => {
     const reason = problems.join('; ');
-    // The same fault is told once, not at each look.
+    // The same problem is logged once, not at every read.
     if (reason !== lastProblem) log.error('settings refused', { file, reason });
     lastProblem = reason;
   };
--- a/src/programs/gateway/_lib/startSettingsWatch/test.ts
+++ b/src/programs/gateway/_lib/startSettingsWatch/test.ts
@@ -48,7 +48,7 @@
   return { applied, file, lines, stop, watch };
 };
 
-test('settings that changed are taken over once, and what needs a restart is named', async (t) => {
+test('changed settings are applied once, and the keys that need a restart are logged', async (t) => {
   const { applied, file, lines, stop, watch } = await setUp();
   await watch.readNow();
   t.is(applied.length, 0);
@@ -63,10 +63,9 @@
   await stop();
 });
 
-// Symptom: a VM loses its settings while its file is being written.
-// Sequence: the file is read when only half of it is there.
-// Cause: what can't be used replaces what was in force.
-test('a file that is half written is refused, told once, and taken over once it is whole', async (t) => {
+// Failure: a VM loses its settings while the file is being written. The file is read when it is
+// incomplete, and its invalid content replaces the settings in force.
+test('an incomplete file is rejected and logged once, and applied once it is complete', async (t) => {
   const { applied, file, lines, stop, watch } = await setUp();
   await writeFile(file, buildText('10.1.0.2:1').slice(0, 40));
   await watch.readNow();
--- a/src/programs/gateway/_lib/wireCrashes/index.ts
+++ b/src/programs/gateway/_lib/wireCrashes/index.ts
@@ -13,7 +13,7 @@
 import type { Clock, EventLog, ForwardClient, Randomness } from '../../../../application/ports';
 import { TABLES, type StoreClient } from '../../../../../platform';
 
-/** What the parts work with. */
+/** Dependencies of the crash parts. */
 export interface CrashPartsDependencies {
   readonly client: ForwardClient;
   readonly clock: Clock;
@@ -25,14 +25,14 @@
   readonly publishOutcome: Gossip['sendOutcome'];
 }
 
-/** The parts that know of requests which end their servers. */
+/** Parts that track requests which crash their servers. */
 export interface CrashParts {
   readonly crashes: CrashHistory;
   readonly crashProbe: CrashProbe;
   readonly quarantineRows: QuarantineRows;
 }
 
-/** Wires what knows of requests that end their servers. */
+/** Wires the parts that track requests which crash their servers. */
 export const wireCrashes = ({
   client,
   clock,
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -31,7 +31,7 @@
   type GatewaySettings,
 } from '../../../../domain/forwarding';
 
-/** Wires the parts of a gateway; nothing runs yet. */
+/** Wires the parts of a gateway without starting them. */
 export const wireGateway = (
   settings: GatewaySettings,
   overrides: GatewayOverrides,
@@ -43,7 +43,7 @@
   const store = overrides.store ?? createStoreClient(settings.storeUrl, { clock });
   const client = createServerClient({ clock });
   const tables = createRouteTableHolder({ key: CONFIGURATION_KEY, decode: decodeRouteTable, log });
-  // The gossip tells of the followers' rows, which the directory takes: it is wired last.
+  // Gossip depends on the followers and these on the directory, so gossip is wired last.
   let sendSuspicion: Gossip['sendSuspicion'] = () => undefined;
   let sendInferred: Gossip['sendInferred'] = () => undefined;
   let sendOutcome: Gossip['sendOutcome'] = () => undefined;
@@ -107,7 +107,7 @@
     tables,
     publishOutcome: (outcome) => sendOutcome(outcome),
   });
-  // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
+  // The configuration is the primary table: it changes less often, and it always exists.
   const stalenessLimits = computeStalenessLimits(settings.bounds);
   let handleUpdate = (): void => undefined;
   const pair = createFollowerPair({
--- a/src/programs/gateway/_lib/wireLimits/index.ts
+++ b/src/programs/gateway/_lib/wireLimits/index.ts
@@ -11,7 +11,7 @@
 import type { Clock, EventLog, Randomness } from '../../../../application/ports';
 import type { OwnerCandidate, SharedLimit } from '../../../../domain/limits';
 
-/** What the parts work with. */
+/** Dependencies of the rate limit parts. */
 export interface LimitPartsDependencies {
   readonly self: OwnerCandidate;
   readonly listPeers: () => readonly LimitPeer[];
@@ -22,14 +22,14 @@
   readonly randomness: Randomness;
 }
 
-/** The parts that keep servers' rate limits. */
+/** Parts that enforce the rate limits of servers. */
 export interface LimitParts {
   readonly limits: ServerLimits;
   readonly owner: LimitOwner;
   readonly permits: Permits;
 }
 
-/** Wires what keeps servers' rate limits. */
+/** Wires the parts that enforce the rate limits of servers. */
 export const wireLimits = ({
   calls,
   clock,
--- a/src/programs/gateway/_lib/wireRetries/index.ts
+++ b/src/programs/gateway/_lib/wireRetries/index.ts
@@ -9,7 +9,7 @@
 import type { Clock, EventLog } from '../../../../application/ports';
 import type { GatewayBounds } from '../../../../domain/forwarding';
 
-/** What the parts work with. */
+/** Dependencies of the retry parts. */
 export interface RetryPartsDependencies {
   readonly bounds: GatewayBounds;
   readonly calls: Pick<GatewayClient, 'askRetry'>;
@@ -18,13 +18,13 @@
   readonly log: EventLog;
 }
 
-/** The parts that keep the bound on repeats. */
+/** Parts that enforce the retry budget. */
 export interface RetryParts {
   readonly retries: RetryAllowance;
   readonly lender: RetryLender;
 }
 
-/** Wires what keeps the bound on repeats. */
+/** Wires the parts that enforce the retry budget. */
 export const wireRetries = ({
   bounds,
   calls,
--- a/src/programs/gateway/_lib/wireRollouts/index.ts
+++ b/src/programs/gateway/_lib/wireRollouts/index.ts
@@ -15,7 +15,7 @@
 import type { GatewaySettings } from '../../../../domain/forwarding';
 import type { RolloutVerdict } from '../../../../domain/rollouts';
 
-/** What the parts work with. */
+/** Dependencies of the rollout parts. */
 export interface RolloutPartsDependencies {
   readonly settings: Pick<GatewaySettings, 'bounds' | 'vm'>;
   readonly clock: Clock;
@@ -28,13 +28,13 @@
   readonly publishVerdict: (verdict: RolloutVerdict) => void;
 }
 
-/** The parts that move services to new versions. */
+/** Parts that roll out new versions of services. */
 export interface RolloutParts {
   readonly rollouts: Rollouts;
   readonly judge: RolloutJudge;
 }
 
-/** Wires what moves services to new versions. */
+/** Wires the parts that roll out new versions of services. */
 export const wireRollouts = ({
   clock,
   directory,
--- a/src/programs/gateway/runGatewayCli/index.ts
+++ b/src/programs/gateway/runGatewayCli/index.ts
@@ -9,7 +9,8 @@
 
 class GatewayCommand extends Command {
   static override usage = Command.Usage({
-    description: "Forwards callers' requests at one VM until SIGTERM, then lets them end.",
+    description:
+      "Forwards callers' requests on one VM until SIGTERM, then lets running requests end.",
     examples: [['Start with the settings file of the platform', '$0 --settings boot.toml']],
   });
 
--- a/src/programs/gateway/startGateway/index.ts
+++ b/src/programs/gateway/startGateway/index.ts
@@ -18,14 +18,14 @@
   readonly callerUrl: string;
   readonly readinessUrl: string;
   readonly metricsUrl: string;
-  /** Reports itself as not ready, lets running requests end, and resolves when it may exit. */
+  /** Reports not ready, lets running requests end, and resolves when the process may exit. */
   drain(): Promise<void>;
-  /** Takes over what can change while it runs; returns the keys that need a restart. */
+  /** Applies the reloadable keys and returns the changed keys that need a restart. */
   applySettings(settings: GatewaySettings): readonly string[];
   stop(): Promise<void>;
 }
 
-/** Keys that are taken over while the gateway runs. */
+/** Keys that can change while the gateway runs. */
 const RELOADABLE_KEYS: ReadonlySet<string> = new Set<keyof GatewaySettings>(['seedAddresses']);
 
 const listChangedKeys = (before: GatewaySettings, after: GatewaySettings): string[] =>
@@ -34,33 +34,33 @@
   );
 
 /**
- * After SIGTERM the platform still sends new connections until it has asked twice whether this VM
- * is ready, once a second: until then it goes on to take requests.
+ * Time after SIGTERM in which new requests are still accepted. The platform checks readiness once a
+ * second, and opens connections to this VM until two checks have failed.
  */
 const READINESS_PROPAGATION_MS = 2500;
 
-/** Left of the time before SIGKILL for the process to end by itself. */
+/** Time before SIGKILL that is left for the process to exit by itself. */
 const EXIT_MARGIN_MS = 400;
 
 /**
- * Streams that begin later than this after SIGTERM are refused: most take six seconds, and would be
- * cut off by the end of the process.
+ * Time after SIGTERM in which new streams are still accepted. Most take six seconds, so that later
+ * ones would be cut off when the process exits.
  */
 const ACCEPT_STREAMS_MS = 1500;
 
 /**
- * Left of the time before SIGKILL when every new request is refused: calls that are on their way
- * end well within it, and the last one must not be cut off by the end of the process.
+ * Time before SIGKILL in which all new requests are refused, so that none is cut off when the
+ * process exits. Running calls end well within this time.
  */
 const REFUSE_ALL_MARGIN_MS = 2500;
 
 const DRAIN_POLL_MS = 50;
 
 /**
- * Starts a gateway: listens, and follows configuration and servers.
+ * Starts a gateway, which listens for requests and follows the configuration and the servers.
  *
- * @param settings - as read from the settings file
- * @param overrides - for tests and the demo
+ * @param settings - settings from the settings file
+ * @param overrides - replacements of parts, for tests and the demo
  */
 export const startGateway = async (
   settings: GatewaySettings,
--- a/src/programs/gateway/types/GatewayOverrides.ts
+++ b/src/programs/gateway/types/GatewayOverrides.ts
@@ -1,13 +1,13 @@
 import type { Clock, EventLog, Randomness } from '../../../application/ports';
 import type { StoreClient } from '../../../../platform';
 
-/** What tests pass in. */
+/** Replacements of a gateway's parts, for tests. */
 export interface GatewayOverrides {
   readonly clock?: Clock;
   readonly randomness?: Randomness;
   readonly log?: EventLog;
-  /** In place of the platform's store. */
+  /** Replaces the client of the platform's store. */
   readonly store?: StoreClient;
-  /** Log lines that were dropped, for the metrics. */
+  /** Counts dropped log lines, for the metrics. */
   readonly countDroppedLines?: () => number;
 }
--- a/src/programs/gateway/types/GatewayParts.ts
+++ b/src/programs/gateway/types/GatewayParts.ts
@@ -13,7 +13,7 @@
 import type { RolloutJudge } from '../../../application/rollouts';
 import type { RowFollower, ZoneReplication } from '../../../application/rows';
 
-/** The parts of a gateway. */
+/** Wired parts of a gateway. */
 export interface GatewayParts {
   readonly clock: Clock;
   readonly log: EventLog;
--- a/src/programs/keeper/runKeeperCli/index.ts
+++ b/src/programs/keeper/runKeeperCli/index.ts
@@ -9,9 +9,9 @@
   static override usage = Command.Usage({
     description: 'Brings the engines of its region to the configured state, under a lease.',
     details: `
-      One keeper a region holds the lease; the others wait. SIGTERM gives the lease up.
-      Exit code 0: stopped by a signal; 1: wrong settings, or the address can't be had; 2: wrong
-      command line.
+      One keeper per region holds the lease; the others wait. SIGTERM releases the lease.
+      Exit code 0: stopped by a signal; 1: invalid settings, or cannot listen on the address;
+      2: invalid command line.
     `,
     examples: [['Start with a settings file', '$0 --settings keeper.toml']],
   });
--- a/src/programs/keeper/startKeeper/index.ts
+++ b/src/programs/keeper/startKeeper/index.ts
@@ -13,10 +13,10 @@
 import { createMonitorApp } from '../_lib/createMonitorApp';
 import type { KeeperOverrides, KeeperProcess, KeeperSettings, KeeperStartError } from '../types';
 
-/** Without a good read of the table for this long, the keeper says that it is not ready. */
+/** Maximum age of the latest successful read of the table at which the keeper is ready. */
 const MAX_TABLE_READ_AGE_MS = 15_000;
 
-/** The keeper takes the configuration from the table alone: without the table it can't order. */
+/** The keeper reads the configuration from the table only: it cannot send orders without it. */
 const NO_PEERS = { readConfiguration: async () => ok(null) };
 
 async function wireKeeper(settings: KeeperSettings, overrides: KeeperOverrides) {
@@ -68,8 +68,8 @@
 /**
  * Starts a keeper: wires its parts and serves health, readiness and metrics.
  *
- * @param settings - as read from the settings file; port 0 takes a free one
- * @param overrides - for tests and the demo
+ * @param settings - settings from the settings file; port 0 binds a free port
+ * @param overrides - replacements of parts, for tests and the demo
  */
 export async function startKeeper(
   settings: KeeperSettings,
@@ -90,7 +90,7 @@
     monitorUrl: monitor.value.url,
     isHolder: parts.isHolder,
     stop: async () => {
-      // The lease goes last: an order under way must be answered while it is still held.
+      // Released after the keeper stops: a running order must end while the lease is still held.
       await keeper.stop();
       await lease.stop();
       configuration.stop();
--- a/src/programs/keeper/types/KeeperOverrides.ts
+++ b/src/programs/keeper/types/KeeperOverrides.ts
@@ -1,10 +1,10 @@
 import type { LineLogger } from '../../../adapters/log';
 import type { Clock, Randomness } from '../../../application/ports';
 
-/** What a test, the demo or a bench may put in place of the process's own. */
+/** Replacements of a keeper's parts, for tests, the demo and benchmarks. */
 export interface KeeperOverrides {
   readonly clock?: Clock;
   readonly randomness?: Randomness;
-  /** Where log lines go; by default standard output. */
+  /** Destination of log lines; standard output by default. */
   readonly logger?: LineLogger;
 }
--- a/src/programs/keeper/types/KeeperProcess.ts
+++ b/src/programs/keeper/types/KeeperProcess.ts
@@ -2,9 +2,9 @@
 export interface KeeperProcess {
   /** Base URL of `/healthz`, `/readyz` and `/metrics`. */
   readonly monitorUrl: string;
-  /** True: this keeper may order the engines of its region. */
+  /** Whether this keeper holds the lease, and so may send orders to the engines of its region. */
   isHolder(): boolean;
-  /** Lets the order under way be answered, gives the lease up, and closes everything. */
+  /** Waits for the response to a running order, releases the lease and closes all connections. */
   stop(): Promise<void>;
 }
 
--- a/src/programs/keeper/types/KeeperSettings.ts
+++ b/src/programs/keeper/types/KeeperSettings.ts
@@ -1,10 +1,10 @@
 import { z } from 'zod';
 import { ListenSchema, TableSchema, VmSchema } from '../../../adapters/settings';
 
-/** Loads at once when the settings name no limit: small enough for a weight store of a few a second. */
+/** Default limit of concurrent loads, for a weight store that serves a few loads per second. */
 const DEFAULT_MAX_CONCURRENT_LOADS = 4;
 
-/** Settings file of `jackdaw-keeper`; documented in examples/keeper.toml. */
+/** Schema of the settings file of `jackdaw-keeper`, documented in examples/keeper.toml. */
 export const KeeperSettingsSchema = z
   .strictObject({
     vm: VmSchema,
@@ -21,5 +21,5 @@
     maxConcurrentLoads: settings.loads.max_concurrent,
   }));
 
-/** Checked settings of a keeper. */
+/** Validated settings of a keeper. */
 export type KeeperSettings = Readonly<z.output<typeof KeeperSettingsSchema>>;
