--- a/src/programs/entry/_lib/createDeferredPeerServices/index.ts
+++ b/src/programs/entry/_lib/createDeferredPeerServices/index.ts
@@ -22,9 +22,9 @@
     services: {
       handleNews: (news) => readTarget().handleNews(news),
       generations: {
-        findGeneration: (...source) => readTarget().generations?.findGeneration(...source) ?? null,
-        cancelGeneration: async (...source) =>
-          (await readTarget().generations?.cancelGeneration(...source)) ?? false,
+        findGeneration: (...args) => readTarget().generations?.findGeneration(...args) ?? null,
+        cancelGeneration: async (...args) =>
+          (await readTarget().generations?.cancelGeneration(...args)) ?? false,
       },
       decisions: { listDecisions: (requestId) => readTarget().decisions.listDecisions(requestId) },
       readEncoded: (newerThan) => readTarget().readEncoded(newerThan),
--- a/src/programs/entry/_lib/wireParts/index.ts
+++ b/src/programs/entry/_lib/wireEntry/index.ts
@@ -13,7 +13,7 @@
 import { createPlainServices } from '../../../../application/services';
 import { checkFreshness } from '../../../../domain/configuration';
 import type { EntrySettings } from '../../types';
-import type { EntryBase } from '../wireBase';
+import type { EntryInfrastructure } from '../wireInfrastructure';
 
 /** Retention of answers until a configuration is in force. */
 const DEFAULT_ANSWER_TTL_MS = 3_600_000;
@@ -21,8 +21,12 @@
 const MS_PER_S = 1000;
 
 /** Wires the parts of an entry that depend on its peer address. */
-export const wireParts = (base: EntryBase, settings: EntrySettings, peerAddress: string) => {
-  const { clock, decisions, health, load, log, randomness, stores } = base;
+export const wireEntry = (
+  infrastructure: EntryInfrastructure,
+  settings: EntrySettings,
+  peerAddress: string,
+) => {
+  const { clock, decisions, health, load, log, randomness, stores } = infrastructure;
   const { availabilityZone, name: vm, region } = settings.vm;
   // The client looks addresses up in the exchange, and the exchange calls peers with the client.
   let exchange: PeerExchange | null = null;
@@ -117,4 +121,4 @@
 };
 
 /** Parts of an entry that depend on its peer address. */
-export type EntryParts = ReturnType<typeof wireParts>;
+export type EntryParts = ReturnType<typeof wireEntry>;
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -8,9 +8,9 @@
 import { signCursor, verifyCursor } from '../../../domain/cursor';
 import { buildStatus } from '../_lib/buildStatus';
 import { createDeferredPeerServices } from '../_lib/createDeferredPeerServices';
-import { wireBase, type EntryBase } from '../_lib/wireBase';
-import { wireParts, type EntryParts } from '../_lib/wireParts';
-import type { Entry, EntryOverrides, EntrySettings, StartError } from '../types';
+import { wireInfrastructure, type EntryInfrastructure } from '../_lib/wireInfrastructure';
+import { wireEntry, type EntryParts } from '../_lib/wireEntry';
+import type { Entry, EntryOverrides, EntrySettings, EntryStartError } from '../types';
 
 /** Timeout of a drain until a configuration is in force. */
 const DEFAULT_DRAIN_TIMEOUT_MS = 30_000;
@@ -25,12 +25,12 @@
 
 /** Starts the background loops of an entry; the returned function stops them. */
 const startBackgroundLoops = (
-  base: EntryBase,
+  infrastructure: EntryInfrastructure,
   parts: EntryParts,
   settings: EntrySettings,
   handleOwnLeaving: () => void,
 ): (() => Promise<void>) => {
-  const { clock, health, load, log, randomness, shutdown, stores } = base;
+  const { clock, health, load, log, randomness, shutdown, stores } = infrastructure;
   const { configuration, engineClient, exchange, self } = parts;
   const membership = createMembershipFollower({
     readSelf: () => ({ ...self, leaving: shutdown.isDraining() }),
@@ -67,7 +67,7 @@
   };
 };
 
-const addGauges = ({ metrics, shutdown }: EntryBase, parts: EntryParts): void =>
+const addGauges = ({ metrics, shutdown }: EntryInfrastructure, parts: EntryParts): void =>
   metrics.addGauges({
     countRunningGenerations: parts.generations.countRunning,
     countRunningWork: shutdown.countRunning,
@@ -88,9 +88,9 @@
 export const startEntry = async (
   settings: EntrySettings,
   overrides: EntryOverrides = {},
-): Promise<Result<Entry, StartError>> => {
-  const base = await wireBase(settings, overrides);
-  const { decisions, health, load, log, shutdown, stores } = base;
+): Promise<Result<Entry, EntryStartError>> => {
+  const infrastructure = await wireInfrastructure(settings, overrides);
+  const { decisions, health, load, log, shutdown, stores } = infrastructure;
   const deferred = createDeferredPeerServices();
   const peerServer = await startPeerServer({ ...settings.peers, services: deferred.services });
   if (peerServer.isErr()) {
@@ -98,7 +98,7 @@
     return err({ kind: 'cannot-listen', reason: peerServer.error.reason });
   }
   const { address: peerAddress } = peerServer.value;
-  const parts = wireParts(base, settings, peerAddress);
+  const parts = wireEntry(infrastructure, settings, peerAddress);
   const { configuration, exchange, generations, isCutOff } = parts;
 
   const drain = async (): Promise<DrainOutcome> => {
@@ -133,9 +133,9 @@
       return shutdown.countRunning();
     },
   });
-  addGauges(base, parts);
+  addGauges(infrastructure, parts);
   const app = createCallerApp({
-    ...base,
+    ...infrastructure,
     ...parts,
     cursors: createCursorCodec(settings.cursorKeys),
   });
@@ -154,7 +154,7 @@
     await stopConnections();
     return err({ kind: 'cannot-listen', reason: callers.error.reason });
   }
-  const stopBackgroundLoops = startBackgroundLoops(base, parts, settings, () => {
+  const stopBackgroundLoops = startBackgroundLoops(infrastructure, parts, settings, () => {
     drain();
   });
   log.info('entry started', { vm: settings.vm.name, callers: callers.value.url, peerAddress });
--- a/src/programs/gateway/_lib/startSettingsWatch/test.ts
+++ b/src/programs/gateway/_lib/startSettingsWatch/test.ts
@@ -28,14 +28,14 @@
   const settings = (await readGatewaySettings(file))._unsafeUnwrap();
   const lines: (EventFields & { readonly message: string })[] = [];
   const applied: GatewaySettings[] = [];
-  const take = (message: string, fields: EventFields): void => {
+  const recordLine = (message: string, fields: EventFields): void => {
     lines.push({ ...fields, message });
   };
   const watch = startSettingsWatch({
     file,
     settings,
     clock: createFakeClock(),
-    log: { info: take, warn: take, error: take },
+    log: { info: recordLine, warn: recordLine, error: recordLine },
     applySettings: (next) => {
       applied.push(next);
       return ['listen'];
--- a/src/programs/gateway/startGateway/index.ts
+++ b/src/programs/gateway/startGateway/index.ts
@@ -97,7 +97,7 @@
     countDroppedLines: overrides.countDroppedLines ?? (() => 0),
     readConfigurationVersion: () => tables.readCurrent()?.version ?? 0,
     readTableAges: () =>
-      new Map(Object.entries(followers).map(([table, one]) => [table, one.readAgeMs()])),
+      new Map(Object.entries(followers).map(([table, follower]) => [table, follower.readAgeMs()])),
     isReader: parts.sharing.isReader,
     isReady,
   });
--- a/src/programs/jackdaw/buildOverview/index.ts
+++ b/src/programs/jackdaw/buildOverview/index.ts
@@ -93,7 +93,7 @@
     (left, right) =>
       HEALTH_FROM_WORST.indexOf(left.health) - HEALTH_FROM_WORST.indexOf(right.health),
   );
-  const report = views.reduce<ServerStatus['report']>((held, view) => held ?? view.report, null);
+  const report = views.reduce<ServerStatus['report']>((found, view) => found ?? view.report, null);
   const actual = report?.models ?? [];
   const matchesTarget =
     desired !== null &&
--- a/src/programs/jackdaw/commands/WritingCommand.ts
+++ b/src/programs/jackdaw/commands/WritingCommand.ts
@@ -52,11 +52,11 @@
 
   /** Checks whether enough VMs read the table to learn of a change; writes a message if not. */
   protected async hasEnoughTableReaders(platform: OperatorPlatform): Promise<boolean> {
-    const checked = this.force ? null : checkTableReaders(await countTableReaders(platform));
-    if (checked?.isErr() !== true) {
+    const result = this.force ? null : checkTableReaders(await countTableReaders(platform));
+    if (result?.isErr() !== true) {
       return true;
     }
-    const { vmsListed, vmsReading } = checked.error;
+    const { vmsListed, vmsReading } = result.error;
     this.writeNote(
       `only ${vmsReading} of ${vmsListed} entry VMs answer and read the table; the others may ` +
         'assume that it is down and keep the old configuration. Nothing was written. ' +
@@ -83,7 +83,7 @@
     version: number,
   ): Promise<readonly string[]> {
     const { clock, calls, listEntryVms } = platform;
-    const waited = await waitForVersion(
+    const result = await waitForVersion(
       {
         clock,
         listVms: listEntryVms,
@@ -96,7 +96,7 @@
       },
     );
     this.endProgress();
-    return waited.match(
+    return result.match(
       () => [],
       ({ lagging, vmsTotal }) => (vmsTotal === 0 ? ['(no VM known)'] : lagging.map(({ vm }) => vm)),
     );
