--- a/src/adapters/connect/createGatewayClient/index.ts
+++ b/src/adapters/connect/createGatewayClient/index.ts
@@ -1,5 +1,5 @@
 import { setTimeout as wait } from 'node:timers/promises';
-import type { PlacedPrompt } from '../../../application/forwarding';
+import type { SentPrompt } from '../../../application/forwarding';
 import type { GossipCalls } from '../../../application/gossip';
 import type { PermitRequest } from '../../../application/limits';
 import type { TrialReport } from '../../../application/rollouts';
@@ -17,9 +17,9 @@
   /** Asks a gateway for one of its repeats; false also if it does not answer in time. */
   askRetry(address: string, service: string): Promise<boolean>;
   /** Tells a gateway of a prompt that was sent to a server; nothing depends on its arrival. */
-  tellPrompt(address: string, prompt: PlacedPrompt): void;
+  tellPrompt(address: string, prompt: SentPrompt): void;
   /** Takes a place for a prompt; null if the gateway does not answer in time. */
-  reservePrompt(address: string, prompt: PlacedPrompt): Promise<number | null>;
+  reservePrompt(address: string, prompt: SentPrompt): Promise<number | null>;
   /** Asks a gateway for a permit; null if it does not answer in time. */
   acquirePermit(address: string, request: PermitRequest): Promise<PermitDecision | null>;
   /** Gives a permit back; nothing depends on its arrival. */
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -105,7 +105,7 @@
     exchange.recordOwnLeaving(true);
     const limits = configuration.readCurrent()?.configuration.limits;
     const outcome = await shutdown.drain(limits?.drainMs ?? DEFAULT_DRAIN_TIMEOUT_MS);
-    await generations.waitForEnds(ANSWER_WRITE_TIMEOUT_MS);
+    await generations.waitForPendingWrites(ANSWER_WRITE_TIMEOUT_MS);
     return outcome;
   };
   deferred.setTarget({
--- a/src/programs/gateway/_lib/startEndpoints/index.ts
+++ b/src/programs/gateway/_lib/startEndpoints/index.ts
@@ -79,9 +79,9 @@
       handlers: createGatewayHandlers({
         handleKnowledge: gossip.handleKnowledge,
         lendRetry: lender.lendRetry,
-        recordToldPrompt: directory.recordToldPrompt,
+        recordToldPrompt: directory.recordPeerPrompt,
         handleReservation: places.handleReservation,
-        handlePermit: limitOwner.handlePermit,
+        handlePermit: limitOwner.handlePermitRequest,
         releasePermit: limitOwner.releasePermit,
         handleReport: rolloutJudge.handleReport,
         handleRequest: sharing.handleRequest,
--- a/src/programs/gateway/_lib/wireCrashes/index.ts
+++ b/src/programs/gateway/_lib/wireCrashes/index.ts
@@ -2,7 +2,7 @@
   createCrashHistory,
   createCrashProbe,
   createQuarantineRows,
-  CRASHES_KEPT_MS,
+  CRASH_RETENTION_MS,
   type CrashHistory,
   type CrashProbe,
   type QuarantineRows,
@@ -48,7 +48,7 @@
     clock,
     log,
     hasAnsweredSince: directory.hasAnsweredSince,
-    tellOutcome: publishOutcome,
+    publishOutcome: publishOutcome,
     handleQuarantine: (fingerprint) => writeQuarantine(fingerprint),
   });
   const quarantineRows = createQuarantineRows({
@@ -57,7 +57,7 @@
     crashes,
     clock,
     log,
-    keptMs: CRASHES_KEPT_MS,
+    retentionMs: CRASH_RETENTION_MS,
   });
   writeQuarantine = quarantineRows.startWrite;
   const crashProbe = createCrashProbe({
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -5,7 +5,7 @@
 import {
   createForwarder,
   createIdentityWatch,
-  createPromptPlaces,
+  createPromptReservations,
   createRouteTableHolder,
   createServerDirectory,
 } from '../../../../application/forwarding';
@@ -70,8 +70,8 @@
     log,
     handleGone: (id) => {
       client.removeServer(id);
-      limits.drop(id);
-      permits.drop(id);
+      limits.forgetServer(id);
+      permits.forgetServer(id);
     },
     reuseAfterMs: settings.bounds.reuseAfterMs,
     handleSuspected: (id, cause) => {
@@ -154,7 +154,7 @@
     log,
     handleSuspicion: ({ server }) => directory.recordSuspicion(server, 'told'),
     handleInferred: (server) => {
-      directory.applyInferred(server);
+      directory.addInferred(server);
       identityWatch.start();
     },
   });
@@ -178,13 +178,13 @@
   handleUpdate = sharing.handleUpdate;
   const { bounds } = settings;
   const { lender, retries } = wireRetries({ bounds, calls, clock, gossip, log });
-  const places = createPromptPlaces({
+  const places = createPromptReservations({
     self: settings.vm,
     listPeers: gossip.listMembers,
     tellPeer: calls.tellPrompt,
     askPeer: calls.reservePrompt,
-    countUnreadTokens: directory.countUnreadTokens,
-    recordToldPrompt: directory.recordToldPrompt,
+    countPendingPrefillTokens: directory.countPendingPrefillTokens,
+    recordPeerPrompt: directory.recordPeerPrompt,
   });
   const forwarder = createForwarder({
     lender,
--- a/src/programs/gateway/_lib/wireLimits/index.ts
+++ b/src/programs/gateway/_lib/wireLimits/index.ts
@@ -1,11 +1,11 @@
 import type { GatewayClient } from '../../../../adapters/connect';
 import {
   createLimitOwner,
-  createPermits,
+  createPermitClient,
   createServerLimits,
   type LimitOwner,
   type LimitPeer,
-  type Permits,
+  type PermitClient,
   type ServerLimits,
 } from '../../../../application/limits';
 import type { Clock, EventLog, Randomness } from '../../../../application/ports';
@@ -26,7 +26,7 @@
 export interface LimitParts {
   readonly limits: ServerLimits;
   readonly owner: LimitOwner;
-  readonly permits: Permits;
+  readonly permits: PermitClient;
 }
 
 /** Wires the parts that enforce the rate limits of servers. */
@@ -39,13 +39,13 @@
   self,
   publishLimit,
 }: LimitPartsDependencies): LimitParts => {
-  const limits = createServerLimits({ clock, log, tellLimit: publishLimit });
+  const limits = createServerLimits({ clock, log, publishLimit: publishLimit });
   const owner = createLimitOwner({ clock, limits, randomness });
-  const permits = createPermits({
+  const permits = createPermitClient({
     self,
     listPeers,
     askPeer: calls.acquirePermit,
-    tellReleased: calls.releasePermit,
+    notifyReleased: calls.releasePermit,
     owner,
     limits,
     clock,
