--- a/src/programs/entry/_lib/wireInfrastructure/index.ts
+++ b/src/programs/entry/_lib/wireInfrastructure/index.ts
@@ -7,7 +7,7 @@
 import type { EntryOverrides, EntrySettings } from '../../types';
 import { wireStores } from '../wireStores';
 
-/** Wires the parts of an entry that need no address of their own. */
+/** Wires the parts of an entry that do not depend on its peer address. */
 export const wireInfrastructure = async (settings: EntrySettings, overrides: EntryOverrides) => {
   const clock = overrides.clock ?? createSystemClock();
   const randomness = overrides.randomness ?? createSystemRandomness();
@@ -27,5 +27,5 @@
   };
 };
 
-/** The parts of an entry that need no address of their own. */
+/** Parts of an entry that do not depend on its peer address. */
 export type EntryInfrastructure = Awaited<ReturnType<typeof wireInfrastructure>>;
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -31,7 +31,7 @@
   type GatewaySettings,
 } from '../../../../domain/forwarding';
 
-/** Wires the parts of a gateway; nothing runs yet. */
+/** Wires the parts of a gateway without starting them. */
 export const wireGateway = (
   settings: GatewaySettings,
   overrides: GatewayOverrides,
@@ -43,7 +43,7 @@
   const store = overrides.store ?? createStoreClient(settings.storeUrl, { clock });
   const client = createServerClient({ clock });
   const tables = createRouteTableHolder({ key: CONFIGURATION_KEY, decode: decodeRouteTable, log });
-  // The gossip tells of the followers' rows, which the directory takes: it is wired last.
+  // Gossip depends on the followers and these on the directory, so gossip is wired last.
   let sendSuspicion: Gossip['sendSuspicion'] = () => undefined;
   let sendInferred: Gossip['sendInferred'] = () => undefined;
   let sendOutcome: Gossip['sendOutcome'] = () => undefined;
@@ -83,8 +83,8 @@
       startIdentityWatch();
     },
   });
-  const identities = createIdentityWatch({ client, clock, directory, log, tables });
-  startIdentityWatch = identities.start;
+  const identityWatch = createIdentityWatch({ client, clock, directory, log, tables });
+  startIdentityWatch = identityWatch.start;
   let sendVerdict: Gossip['sendVerdict'] = () => undefined;
   const { judge: rolloutJudge, rollouts } = wireRollouts({
     settings,
@@ -107,19 +107,19 @@
     tables,
     publishOutcome: (outcome) => sendOutcome(outcome),
   });
-  // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
-  const shared = computeStalenessLimits(settings.bounds);
-  let handleAdvance = (): void => undefined;
+  // The configuration is the primary table: it changes less often, and it always exists.
+  const stalenessLimits = computeStalenessLimits(settings.bounds);
+  let handleUpdate = (): void => undefined;
   const pair = createFollowerPair({
     store,
     clock,
     randomness,
     log,
     shortWaitMs: computeLongPollMs(settings.bounds),
-    freshMs: shared?.freshMs ?? Infinity,
-    staleMs: shared?.staleMs ?? Infinity,
+    freshMs: stalenessLimits?.freshMs ?? Infinity,
+    staleMs: stalenessLimits?.staleMs ?? Infinity,
     burstPauseMs: computeBatchDelayMs(settings.bounds),
-    handleUpdate: () => handleAdvance(),
+    handleUpdate: () => handleUpdate(),
     primary: {
       table: TABLES.operator,
       handleRows: (rows) => {
@@ -155,7 +155,7 @@
     handleSuspicion: ({ server }) => directory.recordSuspicion(server, 'told'),
     handleInferred: (server) => {
       directory.addInferred(server);
-      identities.start();
+      identityWatch.start();
     },
   });
   sendSuspicion = gossip.sendSuspicion;
@@ -166,7 +166,7 @@
   listMembers = gossip.listMembers;
   const sharing = createZoneReplication({
     self,
-    sharing: shared,
+    sharing: stalenessLimits,
     pair,
     followers,
     listMembers: gossip.listMembers,
@@ -175,7 +175,7 @@
     randomness,
     log,
   });
-  handleAdvance = sharing.handleUpdate;
+  handleUpdate = sharing.handleUpdate;
   const { bounds } = settings;
   const { lender, retries } = wireRetries({ bounds, calls, clock, gossip, log });
   const places = createPromptReservations({
@@ -225,7 +225,7 @@
       rolloutJudge.stop();
       sharing.stop();
       gossip.stop();
-      identities.stop();
+      identityWatch.stop();
       calls.close();
       await Promise.all([client.stop(), store.stop()]);
     },
--- a/src/programs/jackdaw/explainLog/index.ts
+++ b/src/programs/jackdaw/explainLog/index.ts
@@ -5,36 +5,37 @@
 import { findBeliefs, findSubject, type Belief } from './_lib/findBeliefs';
 import { parseLogLine, type LogLine } from './_lib/parseLogLine';
 
-/** A line about a request, and what its VM believed at that moment. */
+/** A log line about a request, with the beliefs of its VM at that time. */
 export interface TimelineEntry {
   readonly line: LogLine;
   readonly beliefs: readonly Belief[];
 }
 
-/** Reads the lines that tell of the request, or change a belief. */
+/** Reads the lines about the request and those that change a belief. */
 const readLines = async (
   file: string,
   requestId: string,
 ): Promise<Result<readonly LogLine[], string>> => {
-  const kept: LogLine[] = [];
+  const lines: LogLine[] = [];
   try {
     for await (const text of createInterface({ input: createReadStream(file) })) {
       const line = parseLogLine(text, basename(file));
-      const isKept = line && (line.fields.requestId === requestId || findSubject(line) !== null);
-      if (line && isKept) kept.push(line);
+      const isRelevant =
+        line && (line.fields.requestId === requestId || findSubject(line) !== null);
+      if (line && isRelevant) lines.push(line);
     }
-    return ok(kept);
+    return ok(lines);
   } catch (error) {
     return err(`${file}: ${error instanceof Error ? error.message : 'cannot be read'}`);
   }
 };
 
 /**
- * Explains a request from the logs of all VMs: its lines in the order of their times, each with
- * what its VM believed then of the servers, the configuration and the store.
+ * Builds the timeline of a request from the logs of all VMs: its lines sorted by time, each with
+ * the beliefs of its VM about the servers, the configuration and the store at that time.
  *
- * @param files - logs; one file may hold the lines of several VMs
- * @returns empty if no line tells of the request; an error names a file that cannot be read
+ * @param files - log files, each with the lines of one or more VMs
+ * @returns the timeline, empty if no line is about the request, or the file that cannot be read
  */
 export const explainLog = async (
   requestId: string,
@@ -47,18 +48,18 @@
     lines.push(...read.value);
   }
   const sorted = lines
-    .map((line, order) => ({ line, order }))
-    .sort((left, right) => left.line.timeMs - right.line.timeMs || left.order - right.order);
+    .map((line, index) => ({ line, index }))
+    .sort((left, right) => left.line.timeMs - right.line.timeMs || left.index - right.index);
   const beliefsByVm = new Map<string, Map<string, LogLine>>();
-  const story: TimelineEntry[] = [];
+  const timeline: TimelineEntry[] = [];
   sorted.forEach(({ line }) => {
     const beliefs = beliefsByVm.get(line.vm) ?? new Map<string, LogLine>();
     beliefsByVm.set(line.vm, beliefs);
     const subject = findSubject(line);
     if (line.fields.requestId === requestId) {
-      story.push({ line, beliefs: findBeliefs(line, beliefs) });
+      timeline.push({ line, beliefs: findBeliefs(line, beliefs) });
     }
     if (subject !== null) beliefs.set(subject, line);
   });
-  return ok(story);
+  return ok(timeline);
 };
