--- a/src/adapters/connect/_lib/convertRollouts/index.ts
+++ b/src/adapters/connect/_lib/convertRollouts/index.ts
@@ -9,7 +9,7 @@
   type VersionTally as VersionTallyMessage,
 } from '../../gen/gateway_pb';
 
-const STATES: ReadonlyMap<string, RolloutState> = new Map(
+const STATES_BY_NAME: ReadonlyMap<string, RolloutState> = new Map(
   Object.values(RolloutState).map((state) => [state, state]),
 );
 
@@ -25,8 +25,10 @@
   state,
   to,
 }: RolloutVerdictMessage): RolloutVerdict | null => {
-  const known = STATES.get(state);
-  return known ? { service, to, sequence: Number(sequence), state: known, isStored } : null;
+  const knownState = STATES_BY_NAME.get(state);
+  return knownState
+    ? { service, to, sequence: Number(sequence), state: knownState, isStored }
+    : null;
 };
 
 /** Converts a report to its message. */
--- a/src/adapters/connect/_lib/convertStatements/index.ts
+++ b/src/adapters/connect/_lib/convertStatements/index.ts
@@ -11,7 +11,10 @@
 import { buildTableChanges, readTableChanges } from '../convertTableChanges';
 
 /** Converts a request to its message. */
-export const buildRequestMessage = ({ held, waitMs }: StatementsRequest): FollowTablesRequest =>
+export const buildStatementsRequestMessage = ({
+  held,
+  waitMs,
+}: StatementsRequest): FollowTablesRequest =>
   create(FollowTablesRequestSchema, {
     held: held.map(({ ageMs, table, version }) =>
       create(HeldTableSchema, { table, version: BigInt(version), ageMs }),
@@ -20,7 +23,10 @@
   });
 
 /** Converts a message to a request. */
-export const readRequestMessage = ({ held, waitMs }: FollowTablesRequest): StatementsRequest => ({
+export const readStatementsRequestMessage = ({
+  held,
+  waitMs,
+}: FollowTablesRequest): StatementsRequest => ({
   held: held.map(({ ageMs, table, version }) => ({ table, version: Number(version), ageMs })),
   waitMs,
 });
--- a/src/adapters/connect/_lib/convertTableChanges/index.ts
+++ b/src/adapters/connect/_lib/convertTableChanges/index.ts
@@ -7,19 +7,19 @@
   type Row,
   type TableChanges as TableChangesMessage,
 } from '../../gen/gateway_pb';
-import { packValue, unpackValue } from '../packValue';
+import { encodeRowValue, decodeRowValue } from '../encodeRowValue';
 
 const buildRow = ({ key, value, version }: SharedRow): Row =>
   create(RowSchema, {
     key,
-    ...(value ? packValue(value) : {}),
+    ...(value ? encodeRowValue(value) : {}),
     removed: value === null,
     version: BigInt(version),
   });
 
 const readRow = ({ isDeflated, key, removed, value, version }: Row): SharedRow => ({
   key,
-  value: removed ? null : unpackValue({ value, isDeflated }),
+  value: removed ? null : decodeRowValue({ value, isDeflated }),
   version: Number(version),
 });
 
--- a/src/adapters/connect/_lib/createSessionManager/index.ts
+++ b/src/adapters/connect/_lib/createSessionManager/index.ts
@@ -30,14 +30,14 @@
  */
 export const createSessionManager = (baseUrl: string, options: Options): SessionManager => {
   const manager = new Http2SessionManager(baseUrl, options);
-  const guarded = new WeakSet<ClientHttp2Session>();
+  const sessionsWithListener = new WeakSet<ClientHttp2Session>();
   return {
     authority: manager.authority,
     request: async (method, path, headers, requestOptions) => {
       const stream = await manager.request(method, path, headers, requestOptions);
       const session = stream.session as ClientHttp2Session | undefined;
-      if (session !== undefined && !guarded.has(session)) {
-        guarded.add(session);
+      if (session !== undefined && !sessionsWithListener.has(session)) {
+        sessionsWithListener.add(session);
         session.on('error', ignoreError);
       }
       return stream;
--- a/src/adapters/connect/_lib/createUnaryCaller/index.ts
+++ b/src/adapters/connect/_lib/createUnaryCaller/index.ts
@@ -26,7 +26,7 @@
 const OK_STATUS = 200;
 
 /** Processes are asked by the second; a connection that is idle for longer is closed. */
-const IDLE_CONNECTION_MS = 30_000;
+const IDLE_CONNECTION_TIMEOUT_MS = 30_000;
 
 const CONNECT_TIMEOUT_MS = 1000;
 
@@ -38,15 +38,15 @@
 export const createUnaryCaller = (): UnaryCaller => {
   const pools = new Map<string, Pool>();
 
-  const findPool = (address: string): Pool => {
-    const known = pools.get(address);
-    if (known) return known;
+  const getPool = (address: string): Pool => {
+    const existingPool = pools.get(address);
+    if (existingPool) return existingPool;
     const pool = new Pool(`http://${address}`, {
       headersTimeout: 0,
       bodyTimeout: 0,
       connectTimeout: CONNECT_TIMEOUT_MS,
-      keepAliveTimeout: IDLE_CONNECTION_MS,
-      keepAliveMaxTimeout: IDLE_CONNECTION_MS,
+      keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
+      keepAliveMaxTimeout: IDLE_CONNECTION_TIMEOUT_MS,
     });
     pools.set(address, pool);
     return pool;
@@ -65,7 +65,7 @@
       let pool: Pool | null = null;
       try {
         // An address that another process told may be none.
-        pool = findPool(address);
+        pool = getPool(address);
         const answer = await pool.request({
           path: buildMethodPath(method),
           method: 'POST',
--- a/src/adapters/connect/_lib/openTransport/index.ts
+++ b/src/adapters/connect/_lib/openTransport/index.ts
@@ -8,13 +8,13 @@
 const IDLE_CONNECTION_TIMEOUT_MS = 30_000;
 
 /** A connection to another process, opened on the first call. */
-export interface OpenedTransport {
+export interface OpenTransport {
   readonly transport: Transport;
   readonly manager: SessionManager;
 }
 
 /** Opens the one HTTP/2 connection to an address, which is closed when idle. */
-export const openTransport = (peerAddress: string): OpenedTransport => {
+export const openTransport = (peerAddress: string): OpenTransport => {
   const baseUrl = `http://${peerAddress}`;
   const manager = createSessionManager(baseUrl, {
     pingIntervalMs: PING_INTERVAL_MS,
--- a/src/adapters/connect/convertNewsToMessage/index.ts
+++ b/src/adapters/connect/convertNewsToMessage/index.ts
@@ -10,7 +10,7 @@
   News as NewsMessage,
 } from '../gen/peer_pb';
 
-const INCARNATION_TAGS = 256;
+const INCARNATION_TAG_COUNT = 256;
 
 const convertRecord = (record: PeerRecord) => ({
   ...record,
@@ -47,7 +47,7 @@
   recoveredServers: [],
 });
 
-type Handlers = {
+type AddFactByKind = {
   readonly [Kind in Fact['kind']]: (
     columns: Columns,
     fact: Extract<Fact, { kind: Kind }>,
@@ -55,11 +55,11 @@
 };
 
 /** How each kind of fact is added to its columns. */
-const handlers: Handlers = {
+const addFactByKind: AddFactByKind = {
   peer: (columns, fact) => columns.peers.push(convertRecord(fact.record)),
   pulse: (columns, fact) => {
     columns.pulseIds.push(fact.id);
-    columns.pulseValues.push(fact.beats * INCARNATION_TAGS + fact.incarnationTag);
+    columns.pulseValues.push(fact.beats * INCARNATION_TAG_COUNT + fact.incarnationTag);
   },
   region: (columns, fact) =>
     columns.regions.push({ region: fact.region, heard: fact.heard, ageMs: fact.ageMs }),
@@ -98,7 +98,7 @@
   fact: Extract<Fact, { kind: Kind }>,
 ): void => {
   const { kind } = fact;
-  handlers[kind](columns, fact);
+  addFactByKind[kind](columns, fact);
 };
 
 /** Converts news to its protobuf message: what is frequent goes in packed columns. */
--- a/src/adapters/connect/createGatewayClient/index.ts
+++ b/src/adapters/connect/createGatewayClient/index.ts
@@ -8,14 +8,14 @@
 import type { RolloutVerdict } from '../../../domain/rollouts';
 import { buildKnowledgeMessage, readKnowledgeMessage } from '../_lib/convertKnowledge';
 import { buildReportMessage, readVerdictMessage } from '../_lib/convertRollouts';
-import { buildRequestMessage, readStatementsMessage } from '../_lib/convertStatements';
+import { buildStatementsRequestMessage, readStatementsMessage } from '../_lib/convertStatements';
 import { createUnaryCaller } from '../_lib/createUnaryCaller';
 import { GatewayService } from '../gen/gateway_pb';
 
 /** Calls to other gateways. */
 export interface GatewayClient extends GossipCalls {
   /** Asks a gateway for one of its repeats; false also if it does not answer in time. */
-  askRetry(address: string, service: string): Promise<boolean>;
+  borrowRetry(address: string, service: string): Promise<boolean>;
   /** Tells a gateway of a prompt that was sent to a server; nothing depends on its arrival. */
   tellPrompt(address: string, prompt: SentPrompt): void;
   /** Takes a place for a prompt; null if the gateway does not answer in time. */
@@ -49,18 +49,18 @@
 const REPORT_TIMEOUT_MS = 300;
 
 /** A prompt waits for this answer; sound gateways take some milliseconds. */
-const RESERVE_WAIT_MS = 30;
+const RESERVE_TIMEOUT_MS = 30;
 
 /** A lookup waits for this answer, and may ask seven more. */
-const PERMIT_WAIT_MS = 40;
+const PERMIT_TIMEOUT_MS = 40;
 
 const METHODS = GatewayService.method;
 
 /** Waits for an answer so long; null if it is late, which is no failure: the connection is kept. */
-const waitAtMost = <Answer>(
-  asked: Promise<Answer | null>,
+const waitWithTimeout = <Answer>(
+  response: Promise<Answer | null>,
   waitMs: number,
-): Promise<Answer | null> => Promise.race([asked, wait(waitMs, null, { ref: false })]);
+): Promise<Answer | null> => Promise.race([response, wait(waitMs, null, { ref: false })]);
 
 /** Creates the client of other gateways. */
 export const createGatewayClient = (): GatewayClient => {
@@ -71,19 +71,19 @@
       const answer = await call(address, METHODS.exchange, request, CALL_TIMEOUT_MS);
       return answer && readKnowledgeMessage(answer.knowledge);
     },
-    askRetry: async (address, service) => {
+    borrowRetry: async (address, service) => {
       const answer = await call(address, METHODS.lendRetry, { service }, RETRY_TIMEOUT_MS);
       return answer?.isLent ?? false;
     },
     reservePrompt: async (address, prompt) => {
       const asked = call(address, METHODS.reservePrompt, prompt, CALL_TIMEOUT_MS);
-      const answer = await waitAtMost(asked, RESERVE_WAIT_MS);
+      const answer = await waitWithTimeout(asked, RESERVE_TIMEOUT_MS);
       return answer?.othersTokens ?? null;
     },
     acquirePermit: async (address, request) => {
       const message = { ...request, sentAgesMs: [...request.sentAgesMs] };
       const asked = call(address, METHODS.acquirePermit, message, CALL_TIMEOUT_MS);
-      const answer = await waitAtMost(asked, PERMIT_WAIT_MS);
+      const answer = await waitWithTimeout(asked, PERMIT_TIMEOUT_MS);
       return answer && { isGranted: answer.isGranted, waitMs: answer.waitMs };
     },
     releasePermit: (address, server) => {
@@ -93,7 +93,7 @@
       call(address, METHODS.tellPrompt, prompt, CALL_TIMEOUT_MS);
     },
     followTables: async (address, request, timeoutMs) => {
-      const message = buildRequestMessage(request);
+      const message = buildStatementsRequestMessage(request);
       const answer = await call(address, METHODS.followTables, message, Math.ceil(timeoutMs));
       return answer && readStatementsMessage(answer);
     },
--- a/src/adapters/connect/createGatewayClient/test.ts
+++ b/src/adapters/connect/createGatewayClient/test.ts
@@ -23,7 +23,7 @@
   return { address, server, sockets, stop };
 };
 
-const takeTurn = (): Promise<void> =>
+const waitForNextTurn = (): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, 0);
   });
@@ -31,21 +31,21 @@
 test('calls to a gateway that leaves fail, and the next ones open a connection of their own', async (t) => {
   const { address, server, sockets, stop } = await startSilentGateway();
   const client = createGatewayClient();
-  const hasArrived = once(server, 'request');
+  const firstRequest = once(server, 'request');
   client.tellPrompt(address, PROMPT);
   client.tellPrompt(address, PROMPT);
-  await hasArrived;
+  await firstRequest;
   const before = sockets.length;
   sockets.forEach((socket) => socket.resetAndDestroy());
-  const isNew = once(server, 'connection');
+  const newConnection = once(server, 'connection');
   for (let turn = 0; turn < 10; turn += 1) {
     client.tellPrompt(address, PROMPT);
     client.tellPrompt(address, PROMPT);
-    await takeTurn();
+    await waitForNextTurn();
   }
-  await isNew;
+  await newConnection;
   t.true(sockets.length > before);
-  t.false(await client.askRetry(address, 's'));
+  t.false(await client.borrowRetry(address, 's'));
   client.close();
   stop();
 });
--- a/src/adapters/connect/createGatewayHandlers/index.ts
+++ b/src/adapters/connect/createGatewayHandlers/index.ts
@@ -7,7 +7,7 @@
 import type { RolloutVerdict } from '../../../domain/rollouts';
 import { buildKnowledgeMessage, readKnowledgeMessage } from '../_lib/convertKnowledge';
 import { buildVerdictMessage, readReportMessage } from '../_lib/convertRollouts';
-import { buildStatementsMessage, readRequestMessage } from '../_lib/convertStatements';
+import { buildStatementsMessage, readStatementsRequestMessage } from '../_lib/convertStatements';
 import { GatewayService } from '../gen/gateway_pb';
 
 /** What a gateway does when others call it. */
@@ -61,7 +61,7 @@
     return verdict ? { verdict: buildVerdictMessage(verdict) } : {};
   },
   followTables: async (request) =>
-    buildStatementsMessage(await handleRequest(readRequestMessage(request))),
+    buildStatementsMessage(await handleRequest(readStatementsRequestMessage(request))),
   exchange: async (request) => {
     const knowledge = readKnowledgeMessage(request.knowledge);
     if (knowledge === null) throw new Error('knowledge without a sender');
--- a/src/adapters/connect/createPeerClient/_lib/openGeneration/index.ts
+++ b/src/adapters/connect/createPeerClient/_lib/openGeneration/index.ts
@@ -18,7 +18,7 @@
 
 const RETRY_AFTER_MS = 1_000;
 /** A broken relay: the caller may come back at once, with its cursor. */
-const LOST_PEER: GenerationEvent = {
+const PEER_LOST_EVENT: GenerationEvent = {
   kind: 'failed',
   error: {
     code: 'peer_lost',
@@ -38,8 +38,11 @@
 ): GenerationEvent | null => {
   if (event.case === 'end') {
     const { code, message, status, runState, retryAfterMs } = event.value;
-    const known = isRunState(runState) ? runState : RunState.Unknown;
-    return { kind: 'failed', error: { code, message, status, runState: known, retryAfterMs } };
+    const knownRunState = isRunState(runState) ? runState : RunState.Unknown;
+    return {
+      kind: 'failed',
+      error: { code, message, status, runState: knownRunState, retryAfterMs },
+    };
   }
   if (event.case !== 'tokens') return null;
   const { offset, tokenIds, text, finishReason, cursorOffset, ...rest } = event.value;
@@ -63,13 +66,13 @@
 const relayEvents = async function* relayEvents(
   generation: Generation,
   responses: AsyncIterator<AttachGenerationResponse>,
-  isDetached: () => boolean,
+  isAborted: () => boolean,
 ): AsyncGenerator<GenerationEvent> {
   for (;;) {
     const next = await ResultAsync.fromPromise(responses.next(), convertConnectError);
-    if (isDetached()) return;
+    if (isAborted()) return;
     if (next.isErr()) {
-      yield LOST_PEER;
+      yield PEER_LOST_EVENT;
       return;
     }
     if (next.value.done === true) return;
--- a/src/adapters/connect/createPeerClient/index.ts
+++ b/src/adapters/connect/createPeerClient/index.ts
@@ -57,15 +57,15 @@
  */
 export const createPeerClient = (deps: PeerClientDependencies): PeerClient => {
   const connections = new Map<string, Connection>();
-  const findConnection = (peerAddress: string): Connection => {
-    const known = connections.get(peerAddress);
-    if (known !== undefined) return known;
+  const getConnection = (peerAddress: string): Connection => {
+    const existingConnection = connections.get(peerAddress);
+    if (existingConnection !== undefined) return existingConnection;
     const opened = openConnection(peerAddress);
     connections.set(peerAddress, opened);
     return opened;
   };
   const send = <T>(peerAddress: string, call: (calls: Client<typeof PeerService>) => Promise<T>) =>
-    ResultAsync.fromPromise(call(findConnection(peerAddress).calls), convertConnectError);
+    ResultAsync.fromPromise(call(getConnection(peerAddress).calls), convertConnectError);
   const operatorOptions = { timeoutMs: OPERATOR_TIMEOUT_MS };
 
   return {
@@ -104,7 +104,7 @@
         .mapErr(({ reason }) => ({ kind: 'unreachable', reason }));
     },
     attachGeneration: (target, generation) =>
-      openGeneration(findConnection(target.peerAddress).calls, generation, {
+      openGeneration(getConnection(target.peerAddress).calls, generation, {
         clock: deps.clock,
         timeoutMs: ATTACH_TIMEOUT_MS,
       }),
--- a/src/adapters/connect/startConnectServer/index.ts
+++ b/src/adapters/connect/startConnectServer/index.ts
@@ -61,8 +61,8 @@
   const listening = new Promise<PeerServer>((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, host, () => {
-      const { address, port: bound } = server.address() as AddressInfo;
-      resolve({ address: `${address}:${bound}`, stop });
+      const { address, port: boundPort } = server.address() as AddressInfo;
+      resolve({ address: `${address}:${boundPort}`, stop });
     });
   });
   const started = ResultAsync.fromPromise(listening, (error): PeerServerError => ({
--- a/src/adapters/connect/startGatewayServer/index.ts
+++ b/src/adapters/connect/startGatewayServer/index.ts
@@ -3,7 +3,7 @@
 import { create, fromBinary, toBinary } from '@bufbuild/protobuf';
 import type { Result } from 'neverthrow';
 import type { EventLog } from '../../../application/ports';
-import { startListening, type CallerServer, type ListenError } from '../../http';
+import { startListening, type ListeningServer, type ListenError } from '../../http';
 import { buildMethodPath, MESSAGE_TYPE } from '../_lib/buildMethodPath';
 import type { GatewayHandlers } from '../createGatewayHandlers';
 import { GatewayService } from '../gen/gateway_pb';
@@ -18,7 +18,7 @@
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
 /** Longer than callers keep a connection: the end of one must not meet a call that is on its way. */
-const IDLE_CONNECTION_MS = 60_000;
+const IDLE_CONNECTION_TIMEOUT_MS = 60_000;
 
 const STATUS = { ok: 200, badRequest: 400, notFound: 404, tooLarge: 413 } as const;
 
@@ -39,8 +39,8 @@
 export const startGatewayServer = (
   { handlers, log }: GatewayServerDependencies,
   listen: { readonly host: string; readonly port: number },
-): Promise<Result<CallerServer, ListenError>> => {
-  const names = new Map(
+): Promise<Result<ListeningServer, ListenError>> => {
+  const methodsByPath = new Map(
     (Object.keys(GatewayService.method) as MethodName[]).map((name) => [
       buildMethodPath(GatewayService.method[name]),
       name,
@@ -63,7 +63,7 @@
 
   const handle = (incoming: IncomingMessage, response: ServerResponse): void => {
     response.sendDate = false;
-    const name = names.get(incoming.url ?? '');
+    const name = methodsByPath.get(incoming.url ?? '');
     if (!name) {
       sendFailure(response, STATUS.notFound, 'unknown method');
       return;
@@ -81,6 +81,9 @@
     });
   };
 
-  const server = createServer({ noDelay: true, keepAliveTimeout: IDLE_CONNECTION_MS }, handle);
+  const server = createServer(
+    { noDelay: true, keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS },
+    handle,
+  );
   return startListening(server, listen);
 };
--- a/src/adapters/engine/_lib/convertCallError/index.ts
+++ b/src/adapters/engine/_lib/convertCallError/index.ts
@@ -1,7 +1,7 @@
 import type { EngineError } from '../../../../application/ports';
 
 /** Codes of failures that happen before any byte of the request can have left. */
-const UNSENT_CODES: ReadonlySet<string> = new Set([
+const NOT_CONNECTED_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -26,6 +26,6 @@
  */
 export const convertCallError = (error: unknown): EngineError => {
   const code = readCode(error);
-  if (UNSENT_CODES.has(code)) return { kind: 'not-started', reason: code, retryAfterMs: 0 };
+  if (NOT_CONNECTED_CODES.has(code)) return { kind: 'not-started', reason: code, retryAfterMs: 0 };
   return { kind: 'broken', reason: code || 'call failed' };
 };
--- a/src/adapters/engine/_lib/openStream/index.ts
+++ b/src/adapters/engine/_lib/openStream/index.ts
@@ -6,7 +6,7 @@
 import { readBatches } from '../readBatches';
 
 /** How a stream is opened. */
-export interface StreamOpening {
+export interface StreamOptions {
   readonly purpose: 'start' | 'resume';
   readonly call: Omit<EngineCall, 'signal' | 'headersTimeoutMs'>;
   readonly firstOffset: number;
@@ -22,27 +22,27 @@
  * Opens a stream of an engine and reads it as batches.
  *
  * @param dispatcher - Connections to use.
- * @param opening - Call and offset to begin at.
+ * @param options - Call and offset to begin at.
  * @returns The stream, or why there is none.
  */
 export const openStream = async (
   dispatcher: Dispatcher,
-  opening: StreamOpening,
+  options: StreamOptions,
 ): Promise<Result<EngineStream, EngineError>> => {
   const abort = new AbortController();
   const response = await callEngine(dispatcher, {
-    ...opening.call,
+    ...options.call,
     headersTimeoutMs: HEADERS_TIMEOUT_MS,
     signal: abort.signal,
   });
   if (response.isErr()) return err(response.error);
   if (response.value.statusCode !== 200) {
-    return err(await convertStatus(opening.purpose, response.value));
+    return err(await convertStatus(options.purpose, response.value));
   }
   // Without a listener an abort between two reads would surface as an unhandled error event.
   response.value.body.on('error', () => undefined);
   return ok({
-    batches: readBatches(response.value.body, opening.firstOffset, abort.signal),
+    batches: readBatches(response.value.body, options.firstOffset, abort.signal),
     detach: () => abort.abort(),
   });
 };
--- a/src/adapters/engine/createHttpEngineClient/index.ts
+++ b/src/adapters/engine/createHttpEngineClient/index.ts
@@ -30,7 +30,7 @@
   [Endpoint.Completion]: '/v1/completions',
 } as const;
 
-const MALFORMED: EngineError = { kind: 'broken', reason: 'malformed answer' };
+const MALFORMED_RESPONSE: EngineError = { kind: 'broken', reason: 'malformed answer' };
 
 /**
  * Creates the client of the engine protocol over HTTP.
@@ -46,7 +46,7 @@
   // A request on a kept connection that the server closes at that moment fails without a sign
   // of whether it ran. Non-idempotent work cannot be sent again then, so it gets a connection of
   // its own, where a failure to connect surely means that nothing was sent.
-  const fresh = new Agent({ ...options, pipelining: 0 });
+  const unpooled = new Agent({ ...options, pipelining: 0 });
 
   const callShort = async (
     url: string,
@@ -70,13 +70,13 @@
     try {
       return ok(await response.value.body.json());
     } catch {
-      return err(MALFORMED);
+      return err(MALFORMED_RESPONSE);
     }
   };
 
   return {
     startAttempt: (server, start) =>
-      openStream(start.request.idempotent ? pooled : fresh, {
+      openStream(start.request.idempotent ? pooled : unpooled, {
         purpose: 'start',
         call: {
           url: `${server.url}${ENDPOINT_PATHS[start.request.endpoint]}`,
@@ -108,14 +108,14 @@
       const body = await readJson(`${server.url}/load`);
       return body.andThen((value) => {
         const report = parseLoadReport(value, server.name, clock.readMonotonicMs());
-        return report ? ok(report) : err(MALFORMED);
+        return report ? ok(report) : err(MALFORMED_RESPONSE);
       });
     },
     listCacheEvents: async (server, afterSequence) => {
       const body = await readJson(`${server.url}/cache-events?after=${afterSequence}`);
       return body.andThen((value) => {
         const events = parseCacheEvents(value);
-        return events ? ok(events) : err(MALFORMED);
+        return events ? ok(events) : err(MALFORMED_RESPONSE);
       });
     },
     sendOrder: async (server, order) => {
@@ -144,7 +144,7 @@
         : err({ kind: 'broken', reason: `status ${response.value.statusCode}` });
     },
     close: async () => {
-      await Promise.all([pooled.destroy(), fresh.destroy()]);
+      await Promise.all([pooled.destroy(), unpooled.destroy()]);
     },
   };
 };
--- a/src/adapters/http/_lib/createCallerReply/index.ts
+++ b/src/adapters/http/_lib/createCallerReply/index.ts
@@ -3,7 +3,7 @@
 import type { CallerReply, Refusal, RefusalKind } from '../../../../application/forwarding';
 
 /** Status of each of this process's own answers. */
-const STATUSES: Readonly<Record<RefusalKind, number>> = {
+const STATUS_BY_REFUSAL: Readonly<Record<RefusalKind, number>> = {
   'not-run': 503,
   'unknown-route': 404,
   'unknown-key': 401,
@@ -14,7 +14,7 @@
 const MS_PER_S = 1000;
 
 /** Answers that have no body, and so no length. */
-const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
+const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 304]);
 
 /** What a reply works with. */
 export interface CallerReplyOptions {
@@ -27,11 +27,11 @@
   response: ServerResponse,
   { isClosing }: CallerReplyOptions,
 ): CallerReply => {
-  const left = new AbortController();
+  const leaveController = new AbortController();
   response.once('close', () => {
-    if (!response.writableEnded) left.abort();
+    if (!response.writableEnded) leaveController.abort();
   });
-  const isOpen = (): boolean => !left.signal.aborted && !response.writableEnded;
+  const isOpen = (): boolean => !leaveController.signal.aborted && !response.writableEnded;
 
   const writeHead = (status: number, headers: readonly string[]): void => {
     if (isClosing()) response.shouldKeepAlive = false;
@@ -53,19 +53,19 @@
     const body = Buffer.from(JSON.stringify({ error: reason }));
     const headers = ['content-type', 'application/json', 'content-length', String(body.length)];
     if (retryAfterMs > 0) headers.push('retry-after', String(retryAfterMs / MS_PER_S));
-    writeHead(STATUSES[kind], headers);
+    writeHead(STATUS_BY_REFUSAL[kind], headers);
     response.end(body);
   };
 
   return {
-    callerLeft: left.signal,
+    callerLeft: leaveController.signal,
     isOpen,
     hasSentHead: () => response.headersSent,
     sendRefusal,
     sendResponse: (head, body) => {
       if (!isOpen()) return;
       const hasLength =
-        head.isFramed && !BODILESS_STATUSES.has(head.status) && response.req.method !== 'HEAD';
+        head.isFramed && !STATUSES_WITHOUT_BODY.has(head.status) && response.req.method !== 'HEAD';
       writeAnswerHead(head, hasLength ? ['content-length', String(body.length)] : []);
       response.end(body);
     },
--- a/src/adapters/http/_lib/handleResume/index.ts
+++ b/src/adapters/http/_lib/handleResume/index.ts
@@ -12,7 +12,7 @@
 import type { CallerContext, CallerDependencies, CallerError } from '../../types';
 import { checkCursor } from '../checkCursor';
 import { checkNewWork } from '../checkNewWork';
-import { buildShape, checkGenerationRequest } from '../handleGeneration';
+import { buildAnswerShape, checkGenerationRequest } from '../handleGeneration';
 import { parseJson } from '../parseJson';
 import { readBody } from '../readBody';
 import { runDelivery, type DeliverySource } from '../runDelivery';
@@ -94,7 +94,7 @@
   );
 
 const buildResumeShape = (content: ResumeContent, cursor: Cursor): DeliverySource['shape'] => {
-  if (content.request !== null) return buildShape(content.request);
+  if (content.request !== null) return buildAnswerShape(content.request);
   const { endpoint } = content;
   return { endpoint, model: cursor.service, includeUsage: false, promptCharacters: 0 };
 };
@@ -103,7 +103,7 @@
  * Refuses a caller that comes back. Its generation may have run, whatever this entry says of the
  * request: told `not-run`, the caller would begin it a second time.
  */
-const refuse = (context: CallerContext, error: CallerError): Response =>
+const sendRefusal = (context: CallerContext, error: CallerError): Response =>
   sendError(context, error, { runState: RunState.Unknown });
 
 /** Handles `GET` and `POST /v1/generations/{id}/events`: a caller that comes back. */
@@ -112,11 +112,11 @@
   dependencies: CallerDependencies,
 ): Promise<Response> => {
   const caller = checkNewWork(context, dependencies);
-  if (caller.isErr()) return refuse(context, caller.error);
+  if (caller.isErr()) return sendRefusal(context, caller.error);
   const cursor = checkResume(context, dependencies, caller.value);
-  if (cursor.isErr()) return refuse(context, cursor.error);
+  if (cursor.isErr()) return sendRefusal(context, cursor.error);
   const content = await readContent(context, caller.value);
-  if (content.isErr()) return refuse(context, content.error);
+  if (content.isErr()) return sendRefusal(context, content.error);
   const { prefixTokenIds, request } = content.value;
   const resume = {
     requestId: context.get('requestId'),
--- a/src/adapters/http/_lib/handleService/index.ts
+++ b/src/adapters/http/_lib/handleService/index.ts
@@ -10,10 +10,10 @@
 import { checkNewWork } from '../checkNewWork';
 import { readBody } from '../readBody';
 import { sendError } from '../sendError';
-import { endWorkWithAnswer, startResponseWatch, startStallLimit } from '../startResponseWatch';
+import { endWorkOnClose, watchResponse, startStallTimeout } from '../watchResponse';
 
 /** Headers of one connection, RFC 9110 7.6.1, and those that the entry sets or keeps to itself. */
-const DROPPED_HEADERS: readonly string[] = [
+const DROPPED_REQUEST_HEADERS: readonly string[] = [
   'authorization',
   'connection',
   'content-length',
@@ -45,10 +45,14 @@
 
 const convertHeaders = (headers: IncomingHttpHeaders): Record<string, string> => {
   // A header named in `Connection` is for this connection too.
-  const named = (headers.connection ?? '').split(',').map((name) => name.trim().toLowerCase());
+  const connectionHeaders = (headers.connection ?? '')
+    .split(',')
+    .map((name) => name.trim().toLowerCase());
   return Object.fromEntries(
     Object.entries(headers)
-      .filter(([name]) => !DROPPED_HEADERS.includes(name) && !named.includes(name))
+      .filter(
+        ([name]) => !DROPPED_REQUEST_HEADERS.includes(name) && !connectionHeaders.includes(name),
+      )
       .map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : (value ?? '')]),
   );
 };
@@ -73,7 +77,7 @@
     'Jackdaw-Request-Id': context.get('requestId'),
     'Jackdaw-Run-State': runState,
   });
-  startStallLimit(outgoing);
+  startStallTimeout(outgoing);
   // An answer that breaks off destroys the connection: a caller must not take it for a whole one.
   await pipeline(Readable.from(response.body, { objectMode: false }), outgoing).catch(
     () => undefined,
@@ -115,7 +119,7 @@
       idempotent: options.value.idempotent,
       timeoutMs: options.value.timeoutMs ?? service.value.timeoutMs,
     },
-    startResponseWatch(context.env.outgoing).signal,
+    watchResponse(context.env.outgoing).signal,
   );
   if (answer.isErr()) return sendError(context, { kind: 'failed', error: answer.error });
   await sendAnswer(context, answer.value);
@@ -132,6 +136,6 @@
   try {
     return await runCall(context, dependencies);
   } finally {
-    endWorkWithAnswer(context.env.outgoing, work);
+    endWorkOnClose(context.env.outgoing, work);
   }
 };
--- a/src/adapters/http/_lib/runDelivery/index.ts
+++ b/src/adapters/http/_lib/runDelivery/index.ts
@@ -4,8 +4,8 @@
 import type { AnswerShape, CallerContext, CallerDependencies, Delivery } from '../../types';
 import { sendError } from '../sendError';
 import { sendEventStream } from '../sendEventStream';
-import { sendWholeAnswer } from '../sendWholeAnswer';
-import { endWorkWithAnswer, startResponseWatch } from '../startResponseWatch';
+import { sendJsonAnswer } from '../sendJsonAnswer';
+import { endWorkOnClose, watchResponse } from '../watchResponse';
 
 /** What is to be delivered. */
 export interface DeliverySource {
@@ -46,7 +46,7 @@
 ): Promise<Response> => {
   const { clock, shutdown } = dependencies;
   const startedMs = clock.readMonotonicMs();
-  const watch = startResponseWatch(context.env.outgoing);
+  const watch = watchResponse(context.env.outgoing);
   const handOver = new AbortController();
   const work = shutdown.startWork(() => handOver.abort());
   if (work === null) {
@@ -74,12 +74,12 @@
           : { kind: 'caller-gone' },
     };
     try {
-      const send = source.stream ? sendEventStream : sendWholeAnswer;
+      const send = source.stream ? sendEventStream : sendJsonAnswer;
       return await send(context, dependencies, delivery);
     } finally {
       feed.detach();
     }
   } finally {
-    endWorkWithAnswer(context.env.outgoing, work);
+    endWorkOnClose(context.env.outgoing, work);
   }
 };
--- a/src/adapters/http/_lib/sendError/index.ts
+++ b/src/adapters/http/_lib/sendError/index.ts
@@ -6,7 +6,7 @@
 const MS_PER_S = 1000;
 
 /** How a generation that breaks off without a reason is reported: never as a finished answer. */
-export const INCOMPLETE: GenerationError = {
+export const STREAM_INCOMPLETE_ERROR: GenerationError = {
   code: 'stream_incomplete',
   message: 'The stream ended before the generation did.',
   status: 502,
@@ -15,13 +15,13 @@
 };
 
 /** OpenAI's `type` by the hundred of the status. */
-const TYPE_BY_HUNDRED: Readonly<Record<number, string>> = { 4: 'invalid_request_error' };
+const TYPE_BY_STATUS_CLASS: Readonly<Record<number, string>> = { 4: 'invalid_request_error' };
 
 /** Builds the OpenAI-shaped body of an error. */
 export const buildErrorBody = (error: GenerationError, requestId: string) => ({
   error: {
     message: error.message,
-    type: TYPE_BY_HUNDRED[Math.floor(error.status / 100)] ?? 'server_error',
+    type: TYPE_BY_STATUS_CLASS[Math.floor(error.status / 100)] ?? 'server_error',
     param: null,
     code: error.code,
     run_state: error.runState,
@@ -39,8 +39,8 @@
 }
 
 const buildRetryHeaders = (error: GenerationError): Record<string, string> => {
-  const isLoad = error.status === 429 || error.status === 503;
-  if (!isLoad && error.retryAfterMs === 0) return {};
+  const isOverload = error.status === 429 || error.status === 503;
+  if (!isOverload && error.retryAfterMs === 0) return {};
   const retryAfterMs = Math.max(error.retryAfterMs, 1);
   return {
     'Retry-After': String(Math.ceil(retryAfterMs / MS_PER_S)),
@@ -62,18 +62,18 @@
   source: CallerError,
   options: ErrorAnswerOptions = {},
 ): Response => {
-  const usual = convertErrorToAnswer(source);
-  const error = { ...usual, runState: options.runState ?? usual.runState };
+  const defaultError = convertErrorToAnswer(source);
+  const error = { ...defaultError, runState: options.runState ?? defaultError.runState };
   const requestId = context.get('requestId');
   context.set('errorCode', error.code);
-  const mayRepeat = error.retryAfterMs > 0;
+  const shouldRetry = error.retryAfterMs > 0;
   return new Response(JSON.stringify({ ...buildErrorBody(error, requestId), ...options.extra }), {
     status: error.status,
     headers: {
       'Content-Type': 'application/json',
       'Jackdaw-Request-Id': requestId,
       'Jackdaw-Run-State': error.runState,
-      'x-should-retry': String(mayRepeat),
+      'x-should-retry': String(shouldRetry),
       ...(error.status === 401 ? { 'WWW-Authenticate': 'Bearer' } : {}),
       ...(error.status === 413 ? { Connection: 'close' } : {}),
       ...buildRetryHeaders(error),
--- a/src/adapters/http/_lib/sendWholeAnswer/index.ts
+++ b/src/adapters/http/_lib/sendJsonAnswer/index.ts
@@ -2,7 +2,7 @@
 import type { GenerationError, GenerationEvent } from '../../../../application/ports';
 import type { AnswerShape, CallerContext, CallerDependencies, Delivery } from '../../types';
 import { computeUsage } from '../formatChunk';
-import { INCOMPLETE, sendError } from '../sendError';
+import { STREAM_INCOMPLETE_ERROR, sendError } from '../sendError';
 
 interface CollectedAnswer {
   readonly text: string;
@@ -44,7 +44,7 @@
     if (step.value.kind === 'failed') return step.value.error;
     collector.addEvent(step.value);
   }
-  return collector.readAnswer().finishReason === null ? INCOMPLETE : null;
+  return collector.readAnswer().finishReason === null ? STREAM_INCOMPLETE_ERROR : null;
 };
 
 const CHOICE_BY_ENDPOINT = {
@@ -93,7 +93,7 @@
 };
 
 /** Delivers a generation as one JSON answer, once it has ended. */
-export const sendWholeAnswer = async (
+export const sendJsonAnswer = async (
   context: CallerContext,
   dependencies: CallerDependencies,
   delivery: Delivery,
--- a/src/adapters/http/_lib/startListening/index.ts
+++ b/src/adapters/http/_lib/startListening/index.ts
@@ -3,7 +3,7 @@
 import { err, ok, type Result } from 'neverthrow';
 
 /** A listening server for callers. */
-export interface CallerServer {
+export interface ListeningServer {
   readonly url: string;
   /** Stops listening and closes what is still open. */
   stop(): Promise<void>;
@@ -30,7 +30,7 @@
 export const startListening = (
   server: Server,
   listen: { readonly host: string; readonly port: number },
-): Promise<Result<CallerServer, ListenError>> =>
+): Promise<Result<ListeningServer, ListenError>> =>
   new Promise((resolve) => {
     const address = `${listen.host}:${listen.port}`;
     const fail = (error: Error): void =>
--- a/src/adapters/http/createCallerApp/index.ts
+++ b/src/adapters/http/createCallerApp/index.ts
@@ -36,7 +36,7 @@
  * Counts each answer under its route's pattern once it has ended, however it ended, and logs those
  * that are errors: a refusal before routing has no decision that would explain it.
  */
-const recordAnswerOf = (context: CallerContext, dependencies: CallerDependencies): void => {
+const recordAnswerOnClose = (context: CallerContext, dependencies: CallerDependencies): void => {
   const { clock, log, metrics } = dependencies;
   const startedMs = clock.readMonotonicMs();
   const { outgoing } = context.env;
@@ -60,9 +60,12 @@
 export const createCallerApp = (dependencies: CallerDependencies): Hono<CallerEnvironment> => {
   const app = new Hono<CallerEnvironment>();
   app.use(async (context, next) => {
-    const given = parseRequestId(context.req.header('Jackdaw-Request-Id'));
-    context.set('requestId', given ?? `req_${dependencies.randomness.readHex(REQUEST_ID_BYTES)}`);
-    recordAnswerOf(context, dependencies);
+    const callerRequestId = parseRequestId(context.req.header('Jackdaw-Request-Id'));
+    context.set(
+      'requestId',
+      callerRequestId ?? `req_${dependencies.randomness.readHex(REQUEST_ID_BYTES)}`,
+    );
+    recordAnswerOnClose(context, dependencies);
     // Balancers and clients keep connections: without this they would come back to a leaving entry.
     if (dependencies.shutdown.isDraining()) context.env.outgoing.setHeader('Connection', 'close');
     await next();
--- a/src/adapters/http/createHttpPlainClient/index.ts
+++ b/src/adapters/http/createHttpPlainClient/index.ts
@@ -13,7 +13,7 @@
 const CONNECT_TIMEOUT_MS = 2000;
 
 /** Silence within an answer's body after which it is given up. */
-const BODY_TIMEOUT_MS = 60_000;
+const BODY_IDLE_TIMEOUT_MS = 60_000;
 
 /**
  * Codes with which a connection was never made. Everything else counts as sent: a reset of a kept
@@ -47,17 +47,17 @@
     connections: MAX_CONNECTIONS,
     connect: { timeout: CONNECT_TIMEOUT_MS },
     headersTimeout: 0,
-    bodyTimeout: BODY_TIMEOUT_MS,
+    bodyTimeout: BODY_IDLE_TIMEOUT_MS,
   };
   const pooled = new Agent({ ...options, pipelining: 1 });
   // A kept connection that the server closes at that moment fails without a sign of whether the
   // call ran. On one of its own, a failure to connect surely means that nothing was sent.
-  const fresh = new Agent({ ...options, pipelining: 0 });
+  const unpooled = new Agent({ ...options, pipelining: 0 });
 
   const sendCall: PlainClient['sendCall'] = async (server, call, signal) => {
     if (signal.aborted) return err({ kind: 'cancelled', sent: false });
     try {
-      const { body, headers, statusCode } = await (call.repeatable ? pooled : fresh).request({
+      const { body, headers, statusCode } = await (call.repeatable ? pooled : unpooled).request({
         origin: server.url,
         path: call.path,
         method: call.method,
@@ -65,10 +65,10 @@
         body: call.body.length === 0 ? null : call.body,
         signal,
       });
-      const known = Object.entries(headers).flatMap(([name, value]) =>
+      const definedHeaders = Object.entries(headers).flatMap(([name, value]) =>
         value === undefined ? [] : [[name, value] as const],
       );
-      return ok({ status: statusCode, headers: Object.fromEntries(known), body });
+      return ok({ status: statusCode, headers: Object.fromEntries(definedHeaders), body });
     } catch (error) {
       return err(convertError(error, signal));
     }
@@ -77,7 +77,7 @@
   return {
     sendCall,
     stop: async () => {
-      await Promise.all([pooled.destroy(), fresh.destroy()]);
+      await Promise.all([pooled.destroy(), unpooled.destroy()]);
     },
   };
 };
--- a/src/adapters/http/startCallerServer/index.ts
+++ b/src/adapters/http/startCallerServer/index.ts
@@ -1,9 +1,9 @@
 import type { Server } from 'node:http';
 import { createAdaptorServer } from '@hono/node-server';
 import type { Result } from 'neverthrow';
-import { startListening, type CallerServer, type ListenError } from '../_lib/startListening';
+import { startListening, type ListeningServer, type ListenError } from '../_lib/startListening';
 
-export type { CallerServer, ListenError } from '../_lib/startListening';
+export type { ListeningServer, ListenError } from '../_lib/startListening';
 
 /**
  * Starts to serve callers.
@@ -13,7 +13,7 @@
 export const startCallerServer = (
   app: { readonly fetch: Parameters<typeof createAdaptorServer>[0]['fetch'] },
   listen: { readonly host: string; readonly port: number },
-): Promise<Result<CallerServer, ListenError>> => {
+): Promise<Result<ListeningServer, ListenError>> => {
   // The replacement of the global Request and Response would change undici's in this process.
   const server = createAdaptorServer({
     fetch: app.fetch,
--- a/src/adapters/http/startForwardingServer/index.ts
+++ b/src/adapters/http/startForwardingServer/index.ts
@@ -6,10 +6,10 @@
 import type { ForwardingLimits, RequestHead } from '../../../domain/forwarding';
 import { createCallerReply } from '../_lib/createCallerReply';
 import { readBody } from '../_lib/readBody';
-import { startListening, type CallerServer, type ListenError } from '../_lib/startListening';
+import { startListening, type ListeningServer, type ListenError } from '../_lib/startListening';
 
 /** A request as the HTTP library read it. */
-export interface RawHead {
+export interface RawRequestHead {
   readonly method: string;
   readonly target: string;
   /** Name, value, name, value, as sent. */
@@ -24,7 +24,7 @@
   readonly log: EventLog;
   readonly forwarder: Forwarder;
   /** Decodes a head, or says why it is malformed. */
-  readonly decodeHead: (raw: RawHead) => Result<RequestHead, string>;
+  readonly decodeHead: (raw: RawRequestHead) => Result<RequestHead, string>;
   /** Null before a configuration is known. */
   readonly readLimits: () => ForwardingLimits | null;
   /** True: each connection is closed after its answer. */
@@ -32,7 +32,7 @@
 }
 
 /** A listening server that forwards requests. */
-export interface ForwardingServer extends CallerServer {
+export interface ForwardingServer extends ListeningServer {
   /** Sets how long connections may be idle, and how long headers may take. */
   applyLimits(limits: ForwardingLimits): void;
   closeIdleConnections(): void;
@@ -64,7 +64,7 @@
 };
 
 /** Statuses for what the parser refuses. */
-const PARSE_STATUSES: Readonly<Record<string, string>> = {
+const STATUS_BY_PARSE_ERROR: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
 };
@@ -118,14 +118,14 @@
     );
   };
 
-  const answering = new WeakSet<Duplex>();
+  const answeringSockets = new WeakSet<Duplex>();
   const server = createServer(
     { maxHeaderSize: MAX_PARSED_HEADER_BYTES, requireHostHeader: false, noDelay: true },
     (incoming, response) => {
       const { socket } = incoming;
-      answering.add(socket);
+      answeringSockets.add(socket);
       response.once('close', () => {
-        if (response.shouldKeepAlive) answering.delete(socket);
+        if (response.shouldKeepAlive) answeringSockets.delete(socket);
       });
       handle(incoming, response).catch((error: unknown) => {
         const reason = error instanceof Error ? error.message : 'unknown';
@@ -138,12 +138,12 @@
   server.on('clientError', (error: NodeJS.ErrnoException, socket: Duplex) => {
     // Bytes after a request that is being answered, or was rejected, get no answer of their own:
     // it would stand where another one is due.
-    if (!socket.writable || error.code === 'ECONNRESET' || answering.has(socket)) {
+    if (!socket.writable || error.code === 'ECONNRESET' || answeringSockets.has(socket)) {
       socket.destroy();
       return;
     }
     log.warn('request rejected', { status: 400, reason: error.code ?? error.message });
-    const status = PARSE_STATUSES[error.code ?? ''] ?? '400 Bad Request';
+    const status = STATUS_BY_PARSE_ERROR[error.code ?? ''] ?? '400 Bad Request';
     socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
   });
   const applyLimits = (limits: ForwardingLimits): void => {
@@ -153,8 +153,8 @@
   applyLimits(DEFAULT_LIMITS);
 
   const listening = await startListening(server, listen);
-  return listening.map((one) => ({
-    ...one,
+  return listening.map((listeningServer) => ({
+    ...listeningServer,
     applyLimits,
     closeIdleConnections: () => server.closeIdleConnections(),
   }));
--- a/src/adapters/http/types/CallerDependencies.ts
+++ b/src/adapters/http/types/CallerDependencies.ts
@@ -14,7 +14,7 @@
 import type { EntryMetrics } from '../../metrics';
 
 /** Signs and verifies cursors with the deployment's keys. */
-export interface CursorCodec {
+export interface CursorSigner {
   sign(cursor: Cursor): string;
   verify(text: string): Result<Cursor, CursorError>;
 }
@@ -26,7 +26,7 @@
   /** Cancels a generation wherever it runs; false if no VM runs it. */
   readonly cancelGeneration: (generation: CancelledGeneration) => Promise<boolean>;
   readonly services: PlainServices;
-  readonly cursors: CursorCodec;
+  readonly cursors: CursorSigner;
   readonly shutdown: Shutdown;
   readonly metrics: EntryMetrics;
   readonly clock: Clock;
--- a/src/adapters/log/createDecisionLog/index.ts
+++ b/src/adapters/log/createDecisionLog/index.ts
@@ -24,18 +24,18 @@
   options: DecisionLogOptions = {},
 ): DecisionLog => {
   const capacity = options.capacity ?? DEFAULT_CAPACITY;
-  const held: RoutingDecision[] = [];
-  let next = 0;
+  const decisions: RoutingDecision[] = [];
+  let nextIndex = 0;
 
   return {
     record: (decision) => {
-      held[next] = decision;
-      next = (next + 1) % capacity;
+      decisions[nextIndex] = decision;
+      nextIndex = (nextIndex + 1) % capacity;
       onDecision?.(decision.kind);
       logger.info({ decision: decision as unknown as MessageContext }, decision.kind);
     },
     listDecisions: (requestId) =>
-      [...held.slice(next), ...held.slice(0, next)].filter(
+      [...decisions.slice(nextIndex), ...decisions.slice(0, nextIndex)].filter(
         (decision) => decision.requestId === requestId,
       ),
   };
--- a/src/adapters/log/createLineQueue/index.ts
+++ b/src/adapters/log/createLineQueue/index.ts
@@ -2,8 +2,8 @@
 export interface LineQueue {
   push(line: string): void;
   /** Resolves when everything taken so far was written. */
-  waitForEmpty(): Promise<void>;
-  countDropped(): number;
+  waitUntilEmpty(): Promise<void>;
+  countDroppedLines(): number;
 }
 
 /** Where lines go, and how many may wait. */
@@ -13,7 +13,7 @@
   /** Characters that may wait; lines past it are dropped and counted. */
   readonly maxCharacters: number;
   /** Builds the line that tells how many lines were dropped. */
-  readonly buildDropLine: (dropped: number) => string;
+  readonly formatDropNotice: (dropped: number) => string;
 }
 
 /**
@@ -23,21 +23,21 @@
  * every request, as writes to a pipe wait for room. Here lines wait, then are dropped and counted.
  */
 export const createLineQueue = ({
-  buildDropLine,
+  formatDropNotice,
   maxCharacters,
   write,
 }: LineQueueOptions): LineQueue => {
   let waiting: string[] = [];
-  let characters = 0;
+  let queuedCharacters = 0;
   let dropped = 0;
-  let reported = 0;
+  let reportedDrops = 0;
   let isWriting = false;
   let waiters: (() => void)[] = [];
 
   const flush = (): void => {
-    if (dropped > reported) {
-      waiting.push(buildDropLine(dropped - reported));
-      reported = dropped;
+    if (dropped > reportedDrops) {
+      waiting.push(formatDropNotice(dropped - reportedDrops));
+      reportedDrops = dropped;
     }
     if (waiting.length === 0) {
       waiters.forEach((resolve) => resolve());
@@ -46,7 +46,7 @@
     }
     const text = waiting.join('');
     waiting = [];
-    characters = 0;
+    queuedCharacters = 0;
     isWriting = true;
     write(text, () => {
       isWriting = false;
@@ -56,11 +56,11 @@
 
   return {
     push: (line) => {
-      if (characters + line.length > maxCharacters) {
+      if (queuedCharacters + line.length > maxCharacters) {
         dropped += 1;
         return;
       }
-      characters += line.length;
+      queuedCharacters += line.length;
       waiting.push(`${line}\n`);
       if (isWriting || waiting.length > 1) return;
       // Lines of one turn of the loop go out together.
@@ -68,11 +68,11 @@
         if (!isWriting) flush();
       });
     },
-    waitForEmpty: () =>
+    waitUntilEmpty: () =>
       new Promise((resolve) => {
         if (waiting.length === 0 && !isWriting) resolve();
         else waiters.push(resolve);
       }),
-    countDropped: () => dropped,
+    countDroppedLines: () => dropped,
   };
 };
--- a/src/adapters/log/createLineQueue/test.ts
+++ b/src/adapters/log/createLineQueue/test.ts
@@ -9,7 +9,7 @@
   let release = (): void => undefined;
   const queue = createLineQueue({
     maxCharacters: 10,
-    buildDropLine: (dropped) => `dropped ${dropped}\n`,
+    formatDropNotice: (dropped) => `dropped ${dropped}\n`,
     write: (text, done) => {
       written.push(text);
       release = done;
@@ -21,11 +21,11 @@
   });
   t.deepEqual(written, ['first\n']);
   ['aaaa', 'bbbb', 'cccc', 'dddd'].forEach(queue.push);
-  t.is(queue.countDropped(), 2);
+  t.is(queue.countDroppedLines(), 2);
   release();
   t.deepEqual(written, ['first\n', 'aaaa\nbbbb\ndropped 2\n']);
   release();
-  await queue.waitForEmpty();
+  await queue.waitUntilEmpty();
   t.is(written.length, 2);
 });
 
@@ -33,13 +33,13 @@
   const written: string[] = [];
   const queue = createLineQueue({
     maxCharacters: 100,
-    buildDropLine: () => '',
+    formatDropNotice: () => '',
     write: (text, done) => {
       written.push(text);
       done();
     },
   });
   ['a', 'b', 'c'].forEach(queue.push);
-  await queue.waitForEmpty();
+  await queue.waitUntilEmpty();
   t.deepEqual(written, ['a\nb\nc\n']);
 });
--- a/src/adapters/objects/createS3ObjectStore/index.ts
+++ b/src/adapters/objects/createS3ObjectStore/index.ts
@@ -13,14 +13,14 @@
 }
 
 /** Statuses that say that the request had no effect, by S3's list of error codes. */
-const REFUSED_STATUSES: ReadonlySet<number> = new Set([429, 503]);
+const RETRYABLE_STATUSES: ReadonlySet<number> = new Set([429, 503]);
 
 const CONFLICT_STATUSES: ReadonlySet<number> = new Set([409, 412]);
 
 function convertObjectError(status: number, write: boolean): StoreError {
   const reason = `status ${status}`;
   if (CONFLICT_STATUSES.has(status)) return { kind: 'condition-failed', current: null };
-  if (REFUSED_STATUSES.has(status) || (status >= 500 && !write)) {
+  if (RETRYABLE_STATUSES.has(status) || (status >= 500 && !write)) {
     return { kind: 'unavailable', reason, retryAfterMs: DEFAULT_RETRY_AFTER_MS };
   }
   return { kind: status >= 500 ? 'ambiguous' : 'invalid', reason };
@@ -39,18 +39,18 @@
     `/${[settings.bucket, ...key.split('/')].map(encodeURIComponent).join('/')}`;
   return {
     readObject: async (key) => {
-      const sent = await client.sendRequest({
+      const response = await client.sendRequest({
         method: 'GET',
         path: buildPath(key),
         service: 's3',
         write: false,
       });
-      return sent.andThen(({ status, content }) =>
+      return response.andThen(({ status, content }) =>
         status === 404 ? ok(null) : checkStatus(status, false).map(() => content),
       );
     },
     writeObject: async (key, content, { onlyIfAbsent }) => {
-      const sent = await client.sendRequest({
+      const response = await client.sendRequest({
         method: 'PUT',
         path: buildPath(key),
         headers: onlyIfAbsent ? { 'if-none-match': '*' } : {},
@@ -58,7 +58,7 @@
         service: 's3',
         write: true,
       });
-      return sent.andThen(({ status }) => checkStatus(status, true));
+      return response.andThen(({ status }) => checkStatus(status, true));
     },
   };
 }
--- a/src/adapters/platform-http/_lib/createAnswerCollector/index.ts
+++ b/src/adapters/platform-http/_lib/createAnswerCollector/index.ts
@@ -10,7 +10,7 @@
 export interface AnswerCollector {
   readonly handler: Dispatcher.DispatchHandler;
   readonly answer: Promise<PlatformAnswer>;
-  isStarted(): boolean;
+  isSent(): boolean;
   /** Ends the request; one that waits for a connection is never sent afterwards. */
   abort(reason: Error): void;
 }
@@ -30,19 +30,19 @@
   answer.catch(() => {});
   return {
     answer,
-    isStarted: () => controller !== null,
+    isSent: () => controller !== null,
     abort: (reason) => {
       abortReason = reason;
       controller?.abort(reason);
       settle.reject(reason);
     },
     handler: {
-      onRequestStart: (given) => {
+      onRequestStart: (newController) => {
         // A request whose deadline passed in the queue would else still take effect, after its
         // caller was told that it had none: a claim nobody holds. undici sends nothing if it is
         // aborted here.
-        if (abortReason === null) controller = given;
-        else given.abort(abortReason);
+        if (abortReason === null) controller = newController;
+        else newController.abort(abortReason);
       },
       onResponseStart: (_, statusCode) => {
         status = statusCode;
--- a/src/adapters/settings/readSecret/index.ts
+++ b/src/adapters/settings/readSecret/index.ts
@@ -23,7 +23,7 @@
   }
 };
 
-const READERS: readonly {
+const READER_BY_PREFIX: readonly {
   readonly prefix: string;
   readonly read: (name: string) => Result<string, SecretError>;
 }[] = [
@@ -40,6 +40,6 @@
  * readSecret('file:/run/jackdaw/cursor.key');
  */
 export const readSecret = (value: string): Result<string, SecretError> => {
-  const reader = READERS.find(({ prefix }) => value.startsWith(prefix));
+  const reader = READER_BY_PREFIX.find(({ prefix }) => value.startsWith(prefix));
   return reader === undefined ? ok(value) : reader.read(value.slice(reader.prefix.length));
 };
--- a/src/adapters/table/_lib/convertTableError/index.ts
+++ b/src/adapters/table/_lib/convertTableError/index.ts
@@ -17,7 +17,7 @@
 });
 
 /** Errors that DynamoDB documents as having had no effect. */
-const CONVERTERS: ReadonlyMap<string, (body: ErrorBody) => StoreError> = new Map([
+const CONVERTERS_BY_NAME: ReadonlyMap<string, (body: ErrorBody) => StoreError> = new Map([
   [
     'ConditionalCheckFailedException',
     ({ item }: ErrorBody): StoreError => ({
@@ -45,7 +45,7 @@
 export function convertTableError(status: number, text: string, write: boolean): StoreError {
   const body = parseErrorBody(text);
   const name = body?.name ?? '';
-  const convert = CONVERTERS.get(name);
+  const convert = CONVERTERS_BY_NAME.get(name);
   if (body !== null && convert !== undefined) return convert(body);
   const reason = `status ${status} ${name}`.trim();
   if (status < 500) return { kind: 'invalid', reason };
--- a/src/adapters/table/createDynamoTableStore/test.ts
+++ b/src/adapters/table/createDynamoTableStore/test.ts
@@ -81,13 +81,13 @@
   t.is((await store.writeItem(buildItem(3), { kind: 'any' }))._unsafeUnwrapErr().kind, 'ambiguous');
   t.is((await store.readItem('p', 's'))._unsafeUnwrapErr().kind, 'unavailable');
   // Only a new connection is refused; on a kept one that was just closed a write may have left.
-  const anew = connectTo(table, createSystemClock(), 20_000);
-  t.teardown(anew.disconnect);
+  const secondClient = connectTo(table, createSystemClock(), 20_000);
+  t.teardown(secondClient.disconnect);
   await table.setFaults({ outage: 'refuse' });
-  const refused = await anew.store.writeItem(buildItem(3), { kind: 'any' });
+  const refused = await secondClient.store.writeItem(buildItem(3), { kind: 'any' });
   t.is(refused._unsafeUnwrapErr().kind, 'unavailable');
   await table.setFaults({ outage: 'none' });
-  t.deepEqual((await anew.store.readItem('p', 's'))._unsafeUnwrap(), buildItem(1));
+  t.deepEqual((await secondClient.store.readItem('p', 's'))._unsafeUnwrap(), buildItem(1));
 });
 
 test('a write whose deadline passes in the queue is never sent', async (t) => {
@@ -98,13 +98,13 @@
   const { table, store, close } = await startTable(clock, 300);
   t.teardown(close);
   await table.setFaults({ outage: 'hang' });
-  const held = Array.from({ length: 17 }, (_, n) =>
+  const queuedWrites = Array.from({ length: 17 }, (_, n) =>
     store.writeItem(buildItem(1, `row-${n}`), { kind: 'absent' }),
   );
   while (table.readCounts().writes < 16) await new Promise(setImmediate);
   await table.setFaults({ outage: 'none' });
   clock.advance(300);
-  const kinds = (await Promise.all(held)).map((result) => result._unsafeUnwrapErr().kind);
+  const kinds = (await Promise.all(queuedWrites)).map((result) => result._unsafeUnwrapErr().kind);
   t.deepEqual(kinds, [...Array(16).fill('ambiguous'), 'unavailable']);
   // The next call goes out on the same connections, behind whatever was queued.
   t.is((await store.readItem('p', 'row-16'))._unsafeUnwrap(), null);
--- a/src/adapters/toml/_lib/buildConfiguration/index.ts
+++ b/src/adapters/toml/_lib/buildConfiguration/index.ts
@@ -23,7 +23,7 @@
   [WorkClass.Plain]: 0,
 } as const;
 
-function listNamed<Value>(record: Readonly<Record<string, Value>>): readonly (Value & Named)[] {
+function listWithNames<Value>(record: Readonly<Record<string, Value>>): readonly (Value & Named)[] {
   return sortByName(Object.entries(record).map(([name, value]) => ({ name, ...value })));
 }
 
@@ -75,13 +75,13 @@
   return {
     deployment: document.deployment.name,
     survival: document.deployment.survival,
-    places: listNamed(document.places).map(({ name, region, availability_zones: zones }) => ({
+    places: listWithNames(document.places).map(({ name, region, availability_zones: zones }) => ({
       name,
       region,
       availabilityZones: zones,
     })),
-    services: listNamed(document.services).map(buildService),
-    backendServers: listNamed(document.backend_servers).map((written) => ({
+    services: listWithNames(document.services).map(buildService),
+    backendServers: listWithNames(document.backend_servers).map((written) => ({
       name: written.name,
       url: written.url,
       region: written.region,
@@ -90,14 +90,14 @@
       slots: written.slots,
       checksFencing: written.checks_fencing,
     })),
-    workspaces: listNamed(document.workspaces).map((written) => ({
+    workspaces: listWithNames(document.workspaces).map((written) => ({
       name: written.name,
       keyDigests: written.key_digests,
       services: written.services,
       places: written.places,
       weight: written.weight,
     })),
-    placementRules: listNamed(document.placement_rules),
+    placementRules: listWithNames(document.placement_rules),
     engineTargets: listEngineTargets(document.engine_targets),
     limits: buildLimits(document.limits),
   };
--- a/src/adapters/toml/listTomlKeyLines/index.ts
+++ b/src/adapters/toml/listTomlKeyLines/index.ts
@@ -12,7 +12,7 @@
   readonly depth: number;
 }
 
-const CLOSED: ValueState = { openQuotes: '', depth: 0 };
+const NO_OPEN_VALUE: ValueState = { openQuotes: '', depth: 0 };
 const SEGMENT = /"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+/g;
 const DOTTED_KEY =
   /^(?:"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+)(?:\s*\.\s*(?:"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+))*/;
@@ -68,7 +68,7 @@
   const found: KeyLine[] = [];
   const arrayLengths = new Map<string, number>();
   let table: readonly string[] = [];
-  let state = CLOSED;
+  let state = NO_OPEN_VALUE;
   text.split('\n').forEach((rawLine, index) => {
     const line = rawLine.trim();
     if (state.openQuotes !== '' || state.depth > 0) {
@@ -92,7 +92,7 @@
       return;
     }
     found.push({ path: [...table, ...parseDottedKey(line)], line: index + 1 });
-    state = updateValueState(CLOSED, line.slice(line.indexOf('=') + 1));
+    state = updateValueState(NO_OPEN_VALUE, line.slice(line.indexOf('=') + 1));
   });
   return found;
 }
--- a/src/adapters/toml/mergeTomlSources/index.ts
+++ b/src/adapters/toml/mergeTomlSources/index.ts
@@ -17,7 +17,7 @@
   readonly problems: readonly ConfigurationProblem[];
 }
 
-const EMPTY: MergedToml = { table: {}, origins: [], problems: [] };
+const EMPTY_MERGE: MergedToml = { table: {}, origins: [], problems: [] };
 
 /** Lists keys that both tables set, where at least one side is not a table. */
 function listConflicts(
@@ -29,9 +29,9 @@
     if (!Object.hasOwn(before, key)) {
       return [];
     }
-    const earlier = before[key];
-    if (isTomlTable(earlier) && isTomlTable(value)) {
-      return listConflicts(earlier, value, [...path, key]);
+    const existingValue = before[key];
+    if (isTomlTable(existingValue) && isTomlTable(value)) {
+      return listConflicts(existingValue, value, [...path, key]);
     }
     return [[...path, key]];
   });
@@ -41,8 +41,8 @@
 function mergeTables(before: TomlTable, after: TomlTable): TomlTable {
   const merged = Object.entries(after).map(([key, value]) => {
     const earlier = Object.hasOwn(before, key) ? before[key] : undefined;
-    const isDeep = isTomlTable(earlier) && isTomlTable(value);
-    return [key, isDeep ? mergeTables(earlier, value) : value] as const;
+    const areTables = isTomlTable(earlier) && isTomlTable(value);
+    return [key, areTables ? mergeTables(earlier, value) : value] as const;
   });
   // fromEntries defines own properties, so that a key named `__proto__` changes no prototype.
   return Object.fromEntries([...Object.entries(before), ...merged]);
@@ -76,7 +76,7 @@
   return [{ kind: ProblemKind.Invalid, file: source.file, line, key: OVERRIDE_KEY, reason }];
 }
 
-function addSource(merged: MergedToml, source: TomlSource): MergedToml {
+function mergeSource(merged: MergedToml, source: TomlSource): MergedToml {
   const { [OVERRIDE_KEY]: override, ...table } = source.table;
   const conflicts = override === true ? [] : listConflicts(merged.table, table, []);
   const problems = conflicts.map((path) => buildConflictProblem(merged, source, path));
@@ -95,5 +95,5 @@
  * @returns the merged table, and a problem for each key that is set twice, naming both places
  */
 export function mergeTomlSources(sources: readonly TomlSource[]): MergedToml {
-  return sources.reduce(addSource, EMPTY);
+  return sources.reduce(mergeSource, EMPTY_MERGE);
 }
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -1,6 +1,6 @@
 import { err, ok, type Result } from 'neverthrow';
 import { startPeerServer } from '../../../adapters/connect';
-import { createCallerApp, startCallerServer, type CursorCodec } from '../../../adapters/http';
+import { createCallerApp, startCallerServer, type CursorSigner } from '../../../adapters/http';
 import { createProber } from '../../../application/health';
 import { createMembershipFollower } from '../../../application/membership';
 import { createLoadPoller } from '../../../application/routing';
@@ -18,7 +18,7 @@
 /** Timeout of a drain's wait until the answers of ended generations are stored. */
 const ANSWER_WRITE_TIMEOUT_MS = 5000;
 
-const createCursorCodec = (keys: EntrySettings['cursorKeys']): CursorCodec => ({
+const createCursorCodec = (keys: EntrySettings['cursorKeys']): CursorSigner => ({
   sign: (cursor) => signCursor(cursor, keys),
   verify: (text) => verifyCursor(text, keys),
 });
@@ -70,8 +70,8 @@
 const addGauges = ({ metrics, shutdown }: EntryInfrastructure, parts: EntryParts): void =>
   metrics.addGauges({
     countRunningGenerations: parts.generations.countRunning,
-    countRunningWork: shutdown.countRunning,
-    countWaiting: parts.router.countWaiting,
+    countRunningRequests: shutdown.countRunning,
+    countWaitingDemands: parts.router.countWaiting,
     readConfigurationVersion: parts.configuration.readVersion,
     isReady: () =>
       !shutdown.isDraining() && parts.configuration.readCurrent() !== null && !parts.isCutOff(),
