--- a/src/adapters/connect/_lib/convertKnowledge/index.ts
+++ b/src/adapters/connect/_lib/convertKnowledge/index.ts
@@ -27,7 +27,7 @@
     millicores: Math.round(cores * MILLI),
   });
 
-/** Converts knowledge to its message. */
+/** Converts a gateway's knowledge to its protobuf message. */
 export const buildKnowledgeMessage = (knowledge: Knowledge): KnowledgeMessage =>
   create(KnowledgeSchema, {
     sender: buildMember(knowledge.sender),
@@ -78,7 +78,7 @@
   sequence: 0,
 });
 
-/** Converts a message to knowledge; null if it names no sender. */
+/** Converts a protobuf message to knowledge; null if the message names no sender. */
 export const readKnowledgeMessage = (message: KnowledgeMessage | undefined): Knowledge | null =>
   message?.sender
     ? {
--- a/src/adapters/connect/_lib/convertRollouts/index.ts
+++ b/src/adapters/connect/_lib/convertRollouts/index.ts
@@ -9,15 +9,15 @@
   type VersionTally as VersionTallyMessage,
 } from '../../gen/gateway_pb';
 
-const STATES: ReadonlyMap<string, RolloutState> = new Map(
+const STATES_BY_NAME: ReadonlyMap<string, RolloutState> = new Map(
   Object.values(RolloutState).map((state) => [state, state]),
 );
 
-/** Converts a verdict to its message. */
+/** Converts a rollout verdict to its protobuf message. */
 export const buildVerdictMessage = (verdict: RolloutVerdict): RolloutVerdictMessage =>
   create(RolloutVerdictSchema, { ...verdict, sequence: BigInt(verdict.sequence) });
 
-/** Converts a message to a verdict; null if its state is not known here. */
+/** Converts a protobuf message to a rollout verdict; null if this version lacks its state. */
 export const readVerdictMessage = ({
   isStored,
   sequence,
@@ -25,11 +25,11 @@
   state,
   to,
 }: RolloutVerdictMessage): RolloutVerdict | null => {
-  const known = STATES.get(state);
+  const known = STATES_BY_NAME.get(state);
   return known ? { service, to, sequence: Number(sequence), state: known, isStored } : null;
 };
 
-/** Converts a report to its message. */
+/** Converts a trial report to its protobuf message. */
 export const buildReportMessage = (report: TrialReport): ReportTrialRequest =>
   create(ReportTrialRequestSchema, {
     sender: report.sender,
@@ -43,7 +43,7 @@
   poor: message?.poor ?? 0,
 });
 
-/** Converts a message to a report. */
+/** Converts a protobuf message to a trial report. */
 export const readReportMessage = ({
   sender,
   sequence,
--- a/src/adapters/connect/_lib/convertStatements/index.ts
+++ b/src/adapters/connect/_lib/convertStatements/index.ts
@@ -10,8 +10,11 @@
 } from '../../gen/gateway_pb';
 import { buildTableChanges, readTableChanges } from '../convertTableChanges';
 
-/** Converts a request to its message. */
-export const buildRequestMessage = ({ held, waitMs }: StatementsRequest): FollowTablesRequest =>
+/** Converts a statements request to its protobuf message. */
+export const buildStatementsRequestMessage = ({
+  held,
+  waitMs,
+}: StatementsRequest): FollowTablesRequest =>
   create(FollowTablesRequestSchema, {
     held: held.map(({ ageMs, table, version }) =>
       create(HeldTableSchema, { table, version: BigInt(version), ageMs }),
@@ -19,13 +22,16 @@
     waitMs: Math.round(waitMs),
   });
 
-/** Converts a message to a request. */
-export const readRequestMessage = ({ held, waitMs }: FollowTablesRequest): StatementsRequest => ({
+/** Converts a protobuf message to a statements request. */
+export const readStatementsRequestMessage = ({
+  held,
+  waitMs,
+}: FollowTablesRequest): StatementsRequest => ({
   held: held.map(({ ageMs, table, version }) => ({ table, version: Number(version), ageMs })),
   waitMs,
 });
 
-/** Converts an answer to its message. */
+/** Converts a statements response to its protobuf message. */
 export const buildStatementsMessage = (statements: StatementsResponse): FollowTablesResponse =>
   create(FollowTablesResponseSchema, {
     heldMs: statements.heldMs,
@@ -41,7 +47,7 @@
     ),
   });
 
-/** Converts a message to an answer; throws if a value is none. */
+/** Converts a protobuf message to a statements response; throws if a value cannot be decoded. */
 export const readStatementsMessage = (message: FollowTablesResponse): StatementsResponse => ({
   heldMs: message.heldMs,
   isCutOff: message.isCutOff,
--- a/src/adapters/connect/_lib/convertTableChanges/index.ts
+++ b/src/adapters/connect/_lib/convertTableChanges/index.ts
@@ -7,23 +7,23 @@
   type Row,
   type TableChanges as TableChangesMessage,
 } from '../../gen/gateway_pb';
-import { packValue, unpackValue } from '../packValue';
+import { encodeRowValue, decodeRowValue } from '../encodeRowValue';
 
 const buildRow = ({ key, value, version }: SharedRow): Row =>
   create(RowSchema, {
     key,
-    ...(value ? packValue(value) : {}),
+    ...(value ? encodeRowValue(value) : {}),
     removed: value === null,
     version: BigInt(version),
   });
 
 const readRow = ({ isDeflated, key, removed, value, version }: Row): SharedRow => ({
   key,
-  value: removed ? null : unpackValue({ value, isDeflated }),
+  value: removed ? null : decodeRowValue({ value, isDeflated }),
   version: Number(version),
 });
 
-/** Converts changes of a table to their message. */
+/** Converts the changes of a table to their protobuf message. */
 export const buildTableChanges = ({
   after,
   rows,
@@ -37,7 +37,7 @@
     rows: rows.map(buildRow),
   });
 
-/** Converts a message to changes of a table; throws if a value is none. */
+/** Converts a protobuf message to the changes of a table; throws if a value cannot be decoded. */
 export const readTableChanges = ({
   after,
   rows,
--- a/src/adapters/connect/_lib/createUnaryCaller/index.ts
+++ b/src/adapters/connect/_lib/createUnaryCaller/index.ts
@@ -10,9 +10,9 @@
 import { Pool } from 'undici';
 import { buildMethodPath, MESSAGE_TYPE } from '../buildMethodPath';
 
-/** Calls unary methods of other processes. */
+/** Client of unary methods of other processes. */
 export interface UnaryCaller {
-  /** Null if the process does not answer in time, or with a failure. */
+  /** Calls a method; null if the process responds with an error or not before the timeout. */
   call<Input extends DescMessage, Output extends DescMessage>(
     address: string,
     method: DescMethodUnary<Input, Output>,
@@ -25,34 +25,34 @@
 
 const OK_STATUS = 200;
 
-/** Processes are asked by the second; a connection that is idle for longer is closed. */
-const IDLE_CONNECTION_MS = 30_000;
+/** Processes are called about once a second, so a connection idle this long is unused. */
+const IDLE_CONNECTION_TIMEOUT_MS = 30_000;
 
 const CONNECT_TIMEOUT_MS = 1000;
 
 /**
- * Creates a caller of unary methods: the Connect protocol over HTTP/1.1.
+ * Creates a client of unary methods: the Connect protocol over HTTP/1.1.
  *
- * Each call has a connection to itself, so that one that is given up ends no other.
+ * Concurrent calls use separate connections, so that aborting one call does not end another.
  */
 export const createUnaryCaller = (): UnaryCaller => {
   const pools = new Map<string, Pool>();
 
-  const findPool = (address: string): Pool => {
+  const getPool = (address: string): Pool => {
     const known = pools.get(address);
     if (known) return known;
     const pool = new Pool(`http://${address}`, {
       headersTimeout: 0,
       bodyTimeout: 0,
       connectTimeout: CONNECT_TIMEOUT_MS,
-      keepAliveTimeout: IDLE_CONNECTION_MS,
-      keepAliveMaxTimeout: IDLE_CONNECTION_MS,
+      keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
+      keepAliveMaxTimeout: IDLE_CONNECTION_TIMEOUT_MS,
     });
     pools.set(address, pool);
     return pool;
   };
 
-  /** Lets running calls end; the next one opens a connection of its own. */
+  /** Removes a pool: its running calls may finish, and the next call opens a new connection. */
   const dropPool = (address: string, pool: Pool): void => {
     if (pools.get(address) === pool) pools.delete(address);
     pool.close().catch(() => undefined);
@@ -64,8 +64,8 @@
       const timer = setTimeout(() => abort.abort(), timeoutMs);
       let pool: Pool | null = null;
       try {
-        // An address that another process told may be none.
-        pool = findPool(address);
+        // Throws for an invalid address: addresses come from other processes.
+        pool = getPool(address);
         const answer = await pool.request({
           path: buildMethodPath(method),
           method: 'POST',
@@ -76,8 +76,8 @@
         const bytes = await answer.body.bytes();
         return answer.statusCode === OK_STATUS ? fromBinary(method.output, bytes) : null;
       } catch {
-        // Connections that were idle may have fallen silent together. The caller takes null for what
-        // it is, a process that was not heard.
+        // All idle connections to the address may be dead, so the whole pool is dropped. The caller
+        // treats null as a process that did not respond.
         if (pool) dropPool(address, pool);
         return null;
       } finally {
--- a/src/adapters/connect/_lib/openTransport/index.ts
+++ b/src/adapters/connect/_lib/openTransport/index.ts
@@ -2,19 +2,19 @@
 import { createConnectTransport } from '@connectrpc/connect-node';
 import { createSessionManager, type SessionManager } from '../createSessionManager';
 
-/** A ping finds out whether a connection that was idle this long still lives. */
+/** A connection that has been idle this long is checked with a ping. */
 const PING_INTERVAL_MS = 5_000;
 const PING_TIMEOUT_MS = 500;
 const IDLE_CONNECTION_TIMEOUT_MS = 30_000;
 
-/** A connection to another process, opened on the first call. */
-export interface OpenedTransport {
+/** A connection to another process, established on the first call. */
+export interface OpenTransport {
   readonly transport: Transport;
   readonly manager: SessionManager;
 }
 
-/** Opens the one HTTP/2 connection to an address, which is closed when idle. */
-export const openTransport = (peerAddress: string): OpenedTransport => {
+/** Opens the single HTTP/2 connection to an address; an idle connection is closed. */
+export const openTransport = (peerAddress: string): OpenTransport => {
   const baseUrl = `http://${peerAddress}`;
   const manager = createSessionManager(baseUrl, {
     pingIntervalMs: PING_INTERVAL_MS,
--- a/src/adapters/connect/convertNewsFromMessage/index.ts
+++ b/src/adapters/connect/convertNewsFromMessage/index.ts
@@ -7,7 +7,7 @@
   SuspicionNews,
 } from '../gen/peer_pb';
 
-const INCARNATION_TAGS = 256;
+const INCARNATION_TAG_COUNT = 256;
 const LOAD_COLUMNS = 6;
 
 const convertRecord = (record: PeerRecordMessage): PeerRecord => ({
@@ -22,7 +22,7 @@
 const isCause = (cause: string): cause is SuspicionCause =>
   Object.values<string>(SuspicionCause).includes(cause);
 
-// A newer version may know causes that this one does not: the evidence counts all the same.
+// A peer with newer software may send an unknown cause; the suspicion is kept as `Failing`.
 const convertSuspicion = (news: SuspicionNews): Fact => ({
   kind: 'suspicion',
   suspicion: {
@@ -50,8 +50,8 @@
     return {
       kind: 'pulse',
       id,
-      incarnationTag: value % INCARNATION_TAGS,
-      beats: Math.floor(value / INCARNATION_TAGS),
+      incarnationTag: value % INCARNATION_TAG_COUNT,
+      beats: Math.floor(value / INCARNATION_TAG_COUNT),
     };
   });
 
--- a/src/adapters/connect/convertNewsToMessage/index.ts
+++ b/src/adapters/connect/convertNewsToMessage/index.ts
@@ -10,7 +10,7 @@
   News as NewsMessage,
 } from '../gen/peer_pb';
 
-const INCARNATION_TAGS = 256;
+const INCARNATION_TAG_COUNT = 256;
 
 const convertRecord = (record: PeerRecord) => ({
   ...record,
@@ -47,19 +47,19 @@
   recoveredServers: [],
 });
 
-type Handlers = {
+type AddFactByKind = {
   readonly [Kind in Fact['kind']]: (
     columns: Columns,
     fact: Extract<Fact, { kind: Kind }>,
   ) => unknown;
 };
 
-/** How each kind of fact is added to its columns. */
-const handlers: Handlers = {
+/** Adds a fact to the columns of its kind. */
+const addFactByKind: AddFactByKind = {
   peer: (columns, fact) => columns.peers.push(convertRecord(fact.record)),
   pulse: (columns, fact) => {
     columns.pulseIds.push(fact.id);
-    columns.pulseValues.push(fact.beats * INCARNATION_TAGS + fact.incarnationTag);
+    columns.pulseValues.push(fact.beats * INCARNATION_TAG_COUNT + fact.incarnationTag);
   },
   region: (columns, fact) =>
     columns.regions.push({ region: fact.region, heard: fact.heard, ageMs: fact.ageMs }),
@@ -98,10 +98,10 @@
   fact: Extract<Fact, { kind: Kind }>,
 ): void => {
   const { kind } = fact;
-  handlers[kind](columns, fact);
+  addFactByKind[kind](columns, fact);
 };
 
-/** Converts news to its protobuf message: what is frequent goes in packed columns. */
+/** Converts news to its protobuf message; frequent kinds of facts are stored in packed columns. */
 export const convertNewsToMessage = (news: News): NewsMessage => {
   const columns = createColumns();
   news.facts.forEach((fact) => addFact(columns, fact));
--- a/src/adapters/connect/createGatewayClient/index.ts
+++ b/src/adapters/connect/createGatewayClient/index.ts
@@ -8,61 +8,64 @@
 import type { RolloutVerdict } from '../../../domain/rollouts';
 import { buildKnowledgeMessage, readKnowledgeMessage } from '../_lib/convertKnowledge';
 import { buildReportMessage, readVerdictMessage } from '../_lib/convertRollouts';
-import { buildRequestMessage, readStatementsMessage } from '../_lib/convertStatements';
+import { buildStatementsRequestMessage, readStatementsMessage } from '../_lib/convertStatements';
 import { createUnaryCaller } from '../_lib/createUnaryCaller';
 import { GatewayService } from '../gen/gateway_pb';
 
-/** Calls to other gateways. */
+/** Client of other gateways. */
 export interface GatewayClient extends GossipCalls {
-  /** Asks a gateway for one of its repeats; false also if it does not answer in time. */
-  askRetry(address: string, service: string): Promise<boolean>;
-  /** Tells a gateway of a prompt that was sent to a server; nothing depends on its arrival. */
+  /** Asks a gateway for one retry of its budget; false also if the gateway times out. */
+  borrowRetry(address: string, service: string): Promise<boolean>;
+  /** Tells a gateway about a prompt that was sent to a server; best effort, no retry. */
   tellPrompt(address: string, prompt: PlacedPrompt): void;
-  /** Takes a place for a prompt; null if the gateway does not answer in time. */
+  /** Reserves a place for a prompt; null if the gateway times out. */
   reservePrompt(address: string, prompt: PlacedPrompt): Promise<number | null>;
-  /** Asks a gateway for a permit; null if it does not answer in time. */
+  /** Asks a gateway for a permit; null if the gateway times out. */
   acquirePermit(address: string, request: PermitRequest): Promise<PermitDecision | null>;
-  /** Gives a permit back; nothing depends on its arrival. */
+  /** Returns an unused permit; best effort, no retry. */
   releasePermit(address: string, server: string): void;
-  /** Asks for what a gateway holds of the store's tables; null if it does not answer in time. */
+  /** Asks a gateway for newer rows of the store's tables; null if the gateway times out. */
   followTables(
     address: string,
     request: StatementsRequest,
     timeoutMs: number,
   ): Promise<StatementsResponse | null>;
-  /** Tells a gateway what was seen of a new version; null if it does not take it in time. */
+  /** Reports the results of a new version; null without a verdict, or if the gateway times out. */
   reportTrial(address: string, report: TrialReport): Promise<RolloutVerdict | null>;
   /** Closes every connection. */
   close(): void;
 }
 
 /**
- * A gateway answers within some milliseconds; one that is cut off never does. A configuration of
- * 2,000 routes has 0.5 MB, which a VM of 7 Mbit/s receives in 0.6 s.
+ * A gateway responds within a few milliseconds; an unreachable one never does. A configuration of
+ * 2,000 routes has 0.5 MB, which a VM with a 7 Mbit/s link receives in 0.6 s.
  */
 const CALL_TIMEOUT_MS = 1000;
 
-/** A stream waits for this answer, and may ask two more. */
+/** A stream waits for the response, and may ask two more gateways. */
 const RETRY_TIMEOUT_MS = 100;
 
 /**
- * Reports go to the next gateway in line then; a bad version must be known within a second or two.
+ * After a timeout the report goes to the next gateway in line. A bad version must be detected within
+ * one or two seconds.
  */
 const REPORT_TIMEOUT_MS = 300;
 
-/** A prompt waits for this answer; sound gateways take some milliseconds. */
-const RESERVE_WAIT_MS = 30;
+/** A prompt waits for the response; a healthy gateway responds within a few milliseconds. */
+const RESERVE_TIMEOUT_MS = 30;
 
-/** A lookup waits for this answer, and may ask seven more. */
-const PERMIT_WAIT_MS = 40;
+/** A lookup waits for the response, and may ask seven more gateways. */
+const PERMIT_TIMEOUT_MS = 40;
 
 const METHODS = GatewayService.method;
 
-/** Waits for an answer so long; null if it is late, which is no failure: the connection is kept. */
-const waitAtMost = <Answer>(
-  asked: Promise<Answer | null>,
+/**
+ * Waits for a response; null after `waitMs`. The call itself goes on, so the connection is kept.
+ */
+const waitWithTimeout = <Answer>(
+  response: Promise<Answer | null>,
   waitMs: number,
-): Promise<Answer | null> => Promise.race([asked, wait(waitMs, null, { ref: false })]);
+): Promise<Answer | null> => Promise.race([response, wait(waitMs, null, { ref: false })]);
 
 /** Creates the client of other gateways. */
 export const createGatewayClient = (): GatewayClient => {
@@ -73,19 +76,19 @@
       const answer = await call(address, METHODS.exchange, request, CALL_TIMEOUT_MS);
       return answer && readKnowledgeMessage(answer.knowledge);
     },
-    askRetry: async (address, service) => {
+    borrowRetry: async (address, service) => {
       const answer = await call(address, METHODS.lendRetry, { service }, RETRY_TIMEOUT_MS);
       return answer?.isLent ?? false;
     },
     reservePrompt: async (address, prompt) => {
-      const asked = call(address, METHODS.reservePrompt, prompt, CALL_TIMEOUT_MS);
-      const answer = await waitAtMost(asked, RESERVE_WAIT_MS);
+      const pending = call(address, METHODS.reservePrompt, prompt, CALL_TIMEOUT_MS);
+      const answer = await waitWithTimeout(pending, RESERVE_TIMEOUT_MS);
       return answer?.othersTokens ?? null;
     },
     acquirePermit: async (address, request) => {
       const message = { ...request, sentAgesMs: [...request.sentAgesMs] };
-      const asked = call(address, METHODS.acquirePermit, message, CALL_TIMEOUT_MS);
-      const answer = await waitAtMost(asked, PERMIT_WAIT_MS);
+      const pending = call(address, METHODS.acquirePermit, message, CALL_TIMEOUT_MS);
+      const answer = await waitWithTimeout(pending, PERMIT_TIMEOUT_MS);
       return answer && { isGranted: answer.isGranted, waitMs: answer.waitMs };
     },
     releasePermit: (address, server) => {
@@ -95,7 +98,7 @@
       call(address, METHODS.tellPrompt, prompt, CALL_TIMEOUT_MS);
     },
     followTables: async (address, request, timeoutMs) => {
-      const message = buildRequestMessage(request);
+      const message = buildStatementsRequestMessage(request);
       const answer = await call(address, METHODS.followTables, message, Math.ceil(timeoutMs));
       return answer && readStatementsMessage(answer);
     },
--- a/src/adapters/connect/createGatewayClient/test.ts
+++ b/src/adapters/connect/createGatewayClient/test.ts
@@ -1,5 +1,5 @@
-// Guards against calls that go on to fail on the connections of a gateway that has left, and against a
-// caller that stops answering as several of them fail at once.
+// Guards against two failures: calls that keep failing on dead connections of a gateway that has
+// shut down, and a client that hangs when several calls on one connection fail at once.
 import { once } from 'node:events';
 import { createServer } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
@@ -8,7 +8,7 @@
 
 const PROMPT = { server: 'i-1', tokens: 8200 };
 
-/** A gateway that takes calls and answers none. */
+/** Starts a gateway that accepts calls and never responds. */
 const startSilentGateway = async () => {
   const sockets: Socket[] = [];
   const server = createServer();
@@ -23,29 +23,29 @@
   return { address, server, sockets, stop };
 };
 
-const takeTurn = (): Promise<void> =>
+const waitForNextTurn = (): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, 0);
   });
 
-test('calls to a gateway that leaves fail, and the next ones open a connection of their own', async (t) => {
+test('after a gateway resets its connections, calls fail and later calls open new ones', async (t) => {
   const { address, server, sockets, stop } = await startSilentGateway();
   const client = createGatewayClient();
-  const hasArrived = once(server, 'request');
+  const firstRequest = once(server, 'request');
   client.tellPrompt(address, PROMPT);
   client.tellPrompt(address, PROMPT);
-  await hasArrived;
+  await firstRequest;
   const before = sockets.length;
   sockets.forEach((socket) => socket.resetAndDestroy());
-  const isNew = once(server, 'connection');
+  const newConnection = once(server, 'connection');
   for (let turn = 0; turn < 10; turn += 1) {
     client.tellPrompt(address, PROMPT);
     client.tellPrompt(address, PROMPT);
-    await takeTurn();
+    await waitForNextTurn();
   }
-  await isNew;
+  await newConnection;
   t.true(sockets.length > before);
-  t.false(await client.askRetry(address, 's'));
+  t.false(await client.borrowRetry(address, 's'));
   client.close();
   stop();
 });
--- a/src/adapters/connect/createGatewayHandlers/index.ts
+++ b/src/adapters/connect/createGatewayHandlers/index.ts
@@ -7,10 +7,10 @@
 import type { RolloutVerdict } from '../../../domain/rollouts';
 import { buildKnowledgeMessage, readKnowledgeMessage } from '../_lib/convertKnowledge';
 import { buildVerdictMessage, readReportMessage } from '../_lib/convertRollouts';
-import { buildStatementsMessage, readRequestMessage } from '../_lib/convertStatements';
+import { buildStatementsMessage, readStatementsRequestMessage } from '../_lib/convertStatements';
 import { GatewayService } from '../gen/gateway_pb';
 
-/** What a gateway does when others call it. */
+/** Services of a gateway that other gateways call. */
 export interface GatewayServices {
   readonly handleKnowledge: (knowledge: Knowledge) => Knowledge;
   readonly lendRetry: (service: string) => boolean;
@@ -19,15 +19,13 @@
   readonly handlePermit: (request: PermitRequest) => PermitDecision;
   readonly releasePermit: (server: string) => void;
   readonly handleRequest: (request: StatementsRequest) => Promise<StatementsResponse>;
-  /** Null if the order is not known here. */
+  /** Null if this gateway does not know the rollout order. */
   readonly handleReport: (report: TrialReport) => RolloutVerdict | null;
 }
 
 type Methods = typeof GatewayService.method;
 
-/**
- * Handlers of the calls between gateways, by method; a request that makes no sense is thrown back.
- */
+/** Handlers of the calls between gateways, by method; they throw on an invalid request. */
 export type GatewayHandlers = {
   readonly [Name in keyof Methods]: (
     request: MessageShape<Methods[Name]['input']>,
@@ -63,7 +61,7 @@
     return verdict ? { verdict: buildVerdictMessage(verdict) } : {};
   },
   followTables: async (request) =>
-    buildStatementsMessage(await handleRequest(readRequestMessage(request))),
+    buildStatementsMessage(await handleRequest(readStatementsRequestMessage(request))),
   exchange: async (request) => {
     const knowledge = readKnowledgeMessage(request.knowledge);
     if (knowledge === null) throw new Error('knowledge without a sender');
--- a/src/adapters/connect/createPeerClient/_lib/openGeneration/index.ts
+++ b/src/adapters/connect/createPeerClient/_lib/openGeneration/index.ts
@@ -17,12 +17,12 @@
 }
 
 const RETRY_AFTER_MS = 1_000;
-/** A broken relay: the caller may come back at once, with its cursor. */
-const LOST_PEER: GenerationEvent = {
+/** Event after the connection to the relaying VM broke; the caller may resume with its cursor. */
+const PEER_LOST_EVENT: GenerationEvent = {
   kind: 'failed',
   error: {
     code: 'peer_lost',
-    message: 'the VM that relayed this generation was lost; come back with the last event id',
+    message: 'the VM that relayed this generation was lost; resume with the last event id',
     status: 502,
     runState: RunState.Ran,
     retryAfterMs: RETRY_AFTER_MS,
@@ -63,13 +63,13 @@
 const relayEvents = async function* relayEvents(
   generation: Generation,
   responses: AsyncIterator<AttachGenerationResponse>,
-  isDetached: () => boolean,
+  isAborted: () => boolean,
 ): AsyncGenerator<GenerationEvent> {
   for (;;) {
     const next = await ResultAsync.fromPromise(responses.next(), convertConnectError);
-    if (isDetached()) return;
+    if (isAborted()) return;
     if (next.isErr()) {
-      yield LOST_PEER;
+      yield PEER_LOST_EVENT;
       return;
     }
     if (next.value.done === true) return;
@@ -79,11 +79,11 @@
 };
 
 /**
- * Attaches to a generation at a peer.
+ * Attaches to a generation that a peer holds.
  *
- * `timeoutMs` is the time until the peer must have said that it holds the generation.
+ * The peer must confirm within `timeoutMs` that it holds the generation.
  *
- * @returns the feed; `unreachable` or `not-held`
+ * @returns the feed, or `unreachable` or `not-held`
  */
 export const openGeneration = async (
   calls: Client<typeof PeerService>,
--- a/src/adapters/connect/createPeerClient/index.ts
+++ b/src/adapters/connect/createPeerClient/index.ts
@@ -13,21 +13,21 @@
 import { openTransport } from '../_lib/openTransport';
 import { openGeneration } from './_lib/openGeneration';
 
-/** An operator waits this long for one VM. */
+/** Timeout of an operator's call to one VM. */
 const OPERATOR_TIMEOUT_MS = 2_000;
-/** A VM that holds the generation says so within this time, or is taken as unreachable. */
+/** A VM that does not confirm within this time that it holds the generation is unreachable. */
 const ATTACH_TIMEOUT_MS = 400;
 
-/** What the peer client needs. */
+/** Dependencies of the peer client. */
 export interface PeerClientDependencies {
   readonly clock: Clock;
-  /** Peer address of a VM that was heard lately, or null. */
+  /** Finds the peer address of a VM that was heard from recently; null if there is none. */
   findPeerAddress(vm: string): string | null;
 }
 
-/** Calls to peers over connect. */
+/** Client of peers over Connect. */
 export interface PeerClient extends PeerCalls, OperatorCalls, PeerGenerations {
-  /** Reads the peer's configuration; null if it holds none above `newerThan`. */
+  /** Reads the peer's configuration; null if its version is not above `newerThan`. */
   readConfiguration(
     peerAddress: string,
     newerThan: number,
@@ -52,12 +52,12 @@
 };
 
 /**
- * Creates the client of peers: one HTTP/2 connection an address, opened on the first call and
+ * Creates the client of peers: one HTTP/2 connection per address, opened on the first call and
  * closed when idle.
  */
 export const createPeerClient = (deps: PeerClientDependencies): PeerClient => {
   const connections = new Map<string, Connection>();
-  const findConnection = (peerAddress: string): Connection => {
+  const getConnection = (peerAddress: string): Connection => {
     const known = connections.get(peerAddress);
     if (known !== undefined) return known;
     const opened = openConnection(peerAddress);
@@ -65,7 +65,7 @@
     return opened;
   };
   const send = <T>(peerAddress: string, call: (calls: Client<typeof PeerService>) => Promise<T>) =>
-    ResultAsync.fromPromise(call(findConnection(peerAddress).calls), convertConnectError);
+    ResultAsync.fromPromise(call(getConnection(peerAddress).calls), convertConnectError);
   const operatorOptions = { timeoutMs: OPERATOR_TIMEOUT_MS };
 
   return {
@@ -74,7 +74,7 @@
       const response = await send(peerAddress, (calls) => calls.exchange(request, { timeoutMs }));
       return response.andThen((message) => {
         const answer = convertNewsFromMessage(message.news);
-        const missing: PeerError = { kind: 'refused', reason: 'answer without a sender' };
+        const missing: PeerError = { kind: 'refused', reason: 'response without a sender' };
         return answer === null ? err(missing) : ok(answer);
       });
     },
@@ -104,7 +104,7 @@
         .mapErr(({ reason }) => ({ kind: 'unreachable', reason }));
     },
     attachGeneration: (target, generation) =>
-      openGeneration(findConnection(target.peerAddress).calls, generation, {
+      openGeneration(getConnection(target.peerAddress).calls, generation, {
         clock: deps.clock,
         timeoutMs: ATTACH_TIMEOUT_MS,
       }),
--- a/src/adapters/connect/startConnectServer/index.ts
+++ b/src/adapters/connect/startConnectServer/index.ts
@@ -6,21 +6,21 @@
 import { ResultAsync } from 'neverthrow';
 import type { Result } from 'neverthrow';
 
-/** News of a large region stays far below this; a longer message is refused. */
+/** Longer messages are refused; the news of a large region is far shorter. */
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 
-/** Where a server listens, and what it answers. */
+/** Address and routes of a server. */
 export interface ConnectServerOptions {
-  /** IP number to listen on. */
+  /** IP address to listen on. */
   readonly host: string;
-  /** TCP port; 0 takes a free one. */
+  /** TCP port; 0 selects a free port. */
   readonly port: number;
   readonly routes: (router: ConnectRouter) => void;
 }
 
 /** A running peer server. */
 export interface PeerServer {
-  /** `ip:port` on which it listens. */
+  /** `ip:port` on which the server listens. */
   readonly address: string;
   /** Closes the server and every connection to it. */
   stop(): Promise<void>;
@@ -33,12 +33,12 @@
 }
 
 /**
- * Starts a server that the system's other processes call, by connect over HTTP/2 without TLS.
+ * Starts a server for calls of the system's other processes: Connect over HTTP/2 without TLS.
  *
- * HTTP/2 because its compressed headers cost about a quarter of those of HTTP/1.1, which alone
- * would use up most of the budget of bytes a second (docs/decisions/030-membership.md).
+ * HTTP/2 compresses headers to about a quarter of their size in HTTP/1.1, where headers alone would
+ * use most of the bandwidth budget (docs/decisions/030-membership.md).
  *
- * @returns the server, or `listen-failed` if the address can't be had
+ * @returns the server, or `listen-failed` if the address is not available
  */
 export const startConnectServer = ({
   host,
@@ -49,7 +49,7 @@
   const server = createServer(connectNodeAdapter({ readMaxBytes: MAX_MESSAGE_BYTES, routes }));
   server.on('session', (session) => {
     sessions.add(session);
-    // A peer that dies resets its connection: nothing to do but to forget it.
+    // A peer that crashes resets its connection, which needs no further handling.
     session.on('error', () => session.destroy());
     session.on('close', () => sessions.delete(session));
   });
@@ -61,8 +61,8 @@
   const listening = new Promise<PeerServer>((resolve, reject) => {
     server.once('error', reject);
     server.listen(port, host, () => {
-      const { address, port: bound } = server.address() as AddressInfo;
-      resolve({ address: `${address}:${bound}`, stop });
+      const { address, port: boundPort } = server.address() as AddressInfo;
+      resolve({ address: `${address}:${boundPort}`, stop });
     });
   });
   const started = ResultAsync.fromPromise(listening, (error): PeerServerError => ({
--- a/src/adapters/connect/startPeerServer/_lib/sendGeneration/index.ts
+++ b/src/adapters/connect/startPeerServer/_lib/sendGeneration/index.ts
@@ -32,7 +32,7 @@
   });
 };
 
-/** Streams a generation that this VM holds to a peer; fails with `NotFound` if it holds none. */
+/** Streams a generation to a peer; fails with `NotFound` if this VM does not hold it. */
 export const sendGeneration = async function* sendGeneration(
   generations: Pick<Generations, 'findGeneration'> | null,
   request: AttachGenerationRequest,
@@ -40,10 +40,10 @@
 ): AsyncGenerator<AttachGenerationResponse> {
   const feed =
     generations?.findGeneration(request.workspace, request.generationId, request.offset) ?? null;
-  if (feed === null) throw new ConnectError('not held here', Code.NotFound);
+  if (feed === null) throw new ConnectError('this VM does not hold the generation', Code.NotFound);
   signal.addEventListener('abort', feed.detach, { once: true });
   try {
-    // The peer learns at once that the generation is here, also when its next token is far off.
+    // Confirms at once that this VM holds the generation; the next token may take long.
     yield create(AttachGenerationResponseSchema, { event: { case: 'attached', value: {} } });
     for await (const event of feed.events) yield convertEvent(event);
   } finally {
--- a/src/adapters/connect/startPeerServer/index.ts
+++ b/src/adapters/connect/startPeerServer/index.ts
@@ -3,19 +3,19 @@
 import { startConnectServer, type PeerServer, type PeerServerError } from '../startConnectServer';
 import { createPeerHandlers } from './_lib/createPeerHandlers';
 
-/** What the peer server needs. */
+/** Dependencies of the peer server. */
 export interface PeerServerDependencies {
-  /** IP number to listen on. */
+  /** IP address to listen on. */
   readonly host: string;
-  /** TCP port; 0 takes a free one. */
+  /** TCP port; 0 selects a free port. */
   readonly port: number;
   readonly services: PeerServices;
 }
 
 /**
- * Starts the server that peers and operators call.
+ * Starts the server for calls of peers and operators.
  *
- * @returns the server, or `listen-failed` if the address can't be had
+ * @returns the server, or `listen-failed` if the address is not available
  */
 export const startPeerServer = ({
   services,
--- a/src/adapters/http/_lib/checkCursor/index.ts
+++ b/src/adapters/http/_lib/checkCursor/index.ts
@@ -1,7 +1,7 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { CursorError } from '../../../../domain/cursor';
 import type { Cursor } from '../../../../domain/types';
-import type { CallerError, CursorCodec } from '../../types';
+import type { CallerError, CursorSigner } from '../../types';
 
 const MESSAGE_BY_KIND: Readonly<Record<CursorError['kind'], string>> = {
   malformed: 'Last-Event-ID is not a cursor of this system.',
@@ -9,12 +9,12 @@
 };
 
 /**
- * Checks the cursor with which a caller comes back.
+ * Checks the cursor with which a caller resumes.
  *
  * @param expected - the caller's workspace, and the generation in the path
  */
 export const checkCursor = (
-  cursors: CursorCodec,
+  cursors: CursorSigner,
   text: string | undefined,
   expected: { readonly workspace: string; readonly generationId: string },
 ): Result<Cursor, CallerError> => {
--- a/src/adapters/http/_lib/checkNewWork/index.ts
+++ b/src/adapters/http/_lib/checkNewWork/index.ts
@@ -2,7 +2,7 @@
 import { checkCaller, type Caller } from '../../../../application/access';
 import type { CallerContext, CallerDependencies, CallerError } from '../../types';
 
-/** Checks that this entry takes new work and that the caller may bring some. */
+/** Checks that this entry accepts new work, and authenticates the caller. */
 export const checkNewWork = (
   context: CallerContext,
   { configuration, isCutOff, shutdown }: CallerDependencies,
--- a/src/adapters/http/_lib/convertErrorToAnswer/index.ts
+++ b/src/adapters/http/_lib/convertErrorToAnswer/index.ts
@@ -2,15 +2,15 @@
 import type { GenerationError } from '../../../../application/ports';
 import type { CallerError } from '../../types';
 
-/** When to ask another entry, if this one takes no work. */
-const OTHER_ENTRY_AFTER_MS = 1000;
+/** Delay before a retry at another entry, if this one accepts no work. */
+const RETRY_AT_OTHER_ENTRY_MS = 1000;
 
-const refuse = (status: number, code: string, message: string): GenerationError => ({
+const buildRefusal = (status: number, code: string, message: string): GenerationError => ({
   code,
   message,
   status,
   runState: RunState.NotRun,
-  retryAfterMs: status === 503 ? OTHER_ENTRY_AFTER_MS : 0,
+  retryAfterMs: status === 503 ? RETRY_AT_OTHER_ENTRY_MS : 0,
 });
 
 type Handlers = {
@@ -20,47 +20,65 @@
 };
 
 const HANDLERS: Handlers = {
-  'malformed-json': ({ message }) => refuse(400, 'malformed_json', message),
-  'bad-field': ({ field, message }) => refuse(400, 'invalid_field', `${field}: ${message}`),
-  'bad-header': ({ header, message }) => refuse(400, 'invalid_header', `${header}: ${message}`),
+  'malformed-json': ({ message }) => buildRefusal(400, 'malformed_json', message),
+  'bad-field': ({ field, message }) => buildRefusal(400, 'invalid_field', `${field}: ${message}`),
+  'bad-header': ({ header, message }) =>
+    buildRefusal(400, 'invalid_header', `${header}: ${message}`),
   'unknown-service': ({ service }) =>
-    refuse(404, 'model_not_found', `There is no service named ${JSON.stringify(service)} here.`),
+    buildRefusal(
+      404,
+      'model_not_found',
+      `There is no service named ${JSON.stringify(service)} here.`,
+    ),
   'service-not-allowed': ({ service }) =>
-    refuse(403, 'service_not_allowed', `This workspace may not use ${JSON.stringify(service)}.`),
+    buildRefusal(
+      403,
+      'service_not_allowed',
+      `This workspace may not use ${JSON.stringify(service)}.`,
+    ),
   'no-configuration': () =>
-    refuse(503, 'no_configuration', 'This entry has not read a configuration yet.'),
+    buildRefusal(503, 'no_configuration', 'This entry has not read a configuration yet.'),
   'bad-bearer': () =>
-    refuse(401, 'invalid_api_key', 'The bearer key is missing or belongs to no workspace.'),
+    buildRefusal(401, 'invalid_api_key', 'The bearer key is missing or belongs to no workspace.'),
   'body-too-large': ({ maxBytes }) =>
-    refuse(413, 'body_too_large', `The body is longer than ${maxBytes} bytes.`),
+    buildRefusal(413, 'body_too_large', `The body is longer than ${maxBytes} bytes.`),
   'bad-cursor': ({ message }) => ({
-    ...refuse(400, 'invalid_cursor', message),
+    ...buildRefusal(400, 'invalid_cursor', message),
     runState: RunState.Unknown,
   }),
   'foreign-cursor': () => ({
-    ...refuse(403, 'foreign_cursor', 'The cursor belongs to another workspace or generation.'),
+    ...buildRefusal(
+      403,
+      'foreign_cursor',
+      'The cursor belongs to another workspace or generation.',
+    ),
     runState: RunState.Unknown,
   }),
   'unknown-generation': () => ({
-    ...refuse(404, 'unknown_generation', 'No running generation of this workspace has this id.'),
+    ...buildRefusal(
+      404,
+      'unknown_generation',
+      'No running generation of this workspace has this id.',
+    ),
     runState: RunState.Unknown,
   }),
-  'unknown-path': () => refuse(404, 'unknown_path', 'There is nothing at this path and method.'),
+  'unknown-path': () =>
+    buildRefusal(404, 'unknown_path', 'There is nothing at this path and method.'),
   'shutting-down': () =>
-    refuse(503, 'shutting_down', 'This entry is shutting down; ask another one.'),
+    buildRefusal(503, 'shutting_down', 'This entry is shutting down; ask another one.'),
   'cut-off': () =>
-    refuse(503, 'cut_off', 'This entry cannot tell whether its configuration is current.'),
+    buildRefusal(503, 'cut_off', 'This entry cannot tell whether its configuration is current.'),
   'caller-gone': () => ({
-    ...refuse(499, 'caller_gone', 'The caller closed the connection.'),
+    ...buildRefusal(499, 'caller_gone', 'The caller closed the connection.'),
     runState: RunState.Unknown,
   }),
   internal: () => ({
-    ...refuse(500, 'internal_error', 'The entry failed; its log has the reason.'),
+    ...buildRefusal(500, 'internal_error', 'The entry failed; its log has the reason.'),
     runState: RunState.Unknown,
   }),
   failed: ({ error }) => error,
 };
 
-/** Converts an error into what the caller is told, by table. */
+/** Converts a caller error to the status, code and message of the answer. */
 export const convertErrorToAnswer = (error: CallerError): GenerationError =>
   (HANDLERS[error.kind] as (value: CallerError) => GenerationError)(error);
--- a/src/adapters/http/_lib/createCallerReply/index.ts
+++ b/src/adapters/http/_lib/createCallerReply/index.ts
@@ -2,8 +2,8 @@
 import type { AnswerHead } from '../../../../domain/forwarding';
 import type { CallerReply, Refusal, RefusalKind } from '../../../../application/forwarding';
 
-/** Status of each of this process's own answers. */
-const STATUSES: Readonly<Record<RefusalKind, number>> = {
+/** HTTP status of each kind of refusal by this process. */
+const STATUS_BY_REFUSAL: Readonly<Record<RefusalKind, number>> = {
   'not-run': 503,
   'unknown-route': 404,
   'unknown-key': 401,
@@ -13,33 +13,33 @@
 
 const MS_PER_S = 1000;
 
-/** Answers that have no body, and so no length. */
-const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
+/** Statuses whose answers have neither a body nor a `content-length`. */
+const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 304]);
 
-/** What a reply works with. */
+/** Options of a caller's reply. */
 export interface CallerReplyOptions {
-  /** Whether the connection is to be closed after this answer. */
+  /** Whether the connection is closed after this answer. */
   readonly isClosing: () => boolean;
 }
 
-/** Creates the reply to one request of Node's HTTP server. */
+/** Creates the reply to one request, on top of a response of Node's HTTP server. */
 export const createCallerReply = (
   response: ServerResponse,
   { isClosing }: CallerReplyOptions,
 ): CallerReply => {
-  const left = new AbortController();
+  const leaveController = new AbortController();
   response.once('close', () => {
-    if (!response.writableEnded) left.abort();
+    if (!response.writableEnded) leaveController.abort();
   });
-  const isOpen = (): boolean => !left.signal.aborted && !response.writableEnded;
+  const isOpen = (): boolean => !leaveController.signal.aborted && !response.writableEnded;
 
   const writeHead = (status: number, headers: readonly string[]): void => {
     if (isClosing()) response.shouldKeepAlive = false;
     response.writeHead(status, [...headers]);
   };
 
-  // A server's answer that ends with its connection is handed on as such: with a length, or in
-  // chunks, one that was cut short would look whole.
+  // An answer that the server ends by closing its connection is forwarded in the same way: with a
+  // content length or chunked encoding, a truncated answer would look complete.
   const writeAnswerHead = (head: AnswerHead, framing: readonly string[]): void => {
     if (!head.isFramed) {
       response.shouldKeepAlive = false;
@@ -53,19 +53,19 @@
     const body = Buffer.from(JSON.stringify({ error: reason }));
     const headers = ['content-type', 'application/json', 'content-length', String(body.length)];
     if (retryAfterMs > 0) headers.push('retry-after', String(retryAfterMs / MS_PER_S));
-    writeHead(STATUSES[kind], headers);
+    writeHead(STATUS_BY_REFUSAL[kind], headers);
     response.end(body);
   };
 
   return {
-    left: left.signal,
+    left: leaveController.signal,
     isOpen,
     hasBegun: () => response.headersSent,
     sendRefusal,
     sendWhole: (head, body) => {
       if (!isOpen()) return;
       const hasLength =
-        head.isFramed && !BODILESS_STATUSES.has(head.status) && response.req.method !== 'HEAD';
+        head.isFramed && !STATUSES_WITHOUT_BODY.has(head.status) && response.req.method !== 'HEAD';
       writeAnswerHead(head, hasLength ? ['content-length', String(body.length)] : []);
       response.end(body);
     },
--- a/src/adapters/http/_lib/formatChunk/index.ts
+++ b/src/adapters/http/_lib/formatChunk/index.ts
@@ -1,7 +1,7 @@
 import { Endpoint, type TokenBatch } from '../../../../domain/types';
 import type { AnswerShape } from '../../types';
 
-/** Token counts in OpenAI's shape; the prompt's is an estimate, four characters a token. */
+/** Token counts in OpenAI's format; the prompt's is estimated at four characters per token. */
 export interface Usage {
   readonly prompt_tokens: number;
   readonly completion_tokens: number;
@@ -10,7 +10,7 @@
 
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Computes the usage of an answer of so many tokens. */
+/** Computes the usage of an answer with `completionTokens` tokens. */
 export const computeUsage = (shape: AnswerShape, completionTokens: number): Usage => {
   const promptTokens = Math.ceil(shape.promptCharacters / CHARACTERS_PER_TOKEN);
   return {
@@ -35,7 +35,7 @@
   [Endpoint.Completion]: (batch: TokenBatch) => `"text":${JSON.stringify(batch.text)}`,
 } as const;
 
-/** Formats the chunks of one answer. */
+/** Formatter of the chunks of one answer. */
 export interface ChunkFormatter {
   formatTokens(batch: TokenBatch, cursor: string): string;
   formatEnd(completionTokens: number): string;
@@ -44,8 +44,8 @@
 /**
  * Creates the formatter of one answer's SSE events.
  *
- * What does not change from event to event is formatted once: building and serialising the whole
- * object for each token took several times as long.
+ * The parts that all events share are formatted once: building and serialising the whole object
+ * for each token took several times as long.
  */
 export const createChunkFormatter = (shape: AnswerShape): ChunkFormatter => {
   const head = JSON.stringify({
--- a/src/adapters/http/_lib/handleCancel/index.ts
+++ b/src/adapters/http/_lib/handleCancel/index.ts
@@ -3,7 +3,7 @@
 import type { CallerContext, CallerDependencies } from '../../types';
 import { sendError } from '../sendError';
 
-/** Handles `DELETE /v1/generations/{id}`, also while this entry shuts down. */
+/** Handles `DELETE /v1/generations/{id}`, also while this entry is shutting down. */
 export const handleCancel = async (
   context: CallerContext,
   { cancelGeneration, configuration }: CallerDependencies,
--- a/src/adapters/http/_lib/handleGeneration/index.ts
+++ b/src/adapters/http/_lib/handleGeneration/index.ts
@@ -19,7 +19,7 @@
 import { runDelivery, type DeliverySource } from '../runDelivery';
 import { sendError } from '../sendError';
 
-/** Checks a body and the headers, and builds the request that the caller may run. */
+/** Validates body, headers and access to the service, and builds the generation request. */
 export const checkGenerationRequest = (
   context: CallerContext,
   caller: Caller,
@@ -47,7 +47,7 @@
   );
 };
 
-/** Builds the shape of the answer to a request. */
+/** Builds the properties that all chunks of the answer to a request share. */
 export const buildShape = (request: GenerationRequest): DeliverySource['shape'] => {
   const options = request.body.stream_options as { include_usage?: boolean } | null | undefined;
   return {
--- a/src/adapters/http/_lib/handleModels/index.ts
+++ b/src/adapters/http/_lib/handleModels/index.ts
@@ -3,7 +3,7 @@
 import type { CallerContext, CallerDependencies } from '../../types';
 import { sendError } from '../sendError';
 
-/** Handles `GET /v1/models`: the models that the caller's workspace may use. */
+/** Handles `GET /v1/models`: lists the models that the caller's workspace may use. */
 export const handleModels = (
   context: CallerContext,
   { configuration }: CallerDependencies,
--- a/src/adapters/http/_lib/handleResume/index.ts
+++ b/src/adapters/http/_lib/handleResume/index.ts
@@ -18,7 +18,7 @@
 import { runDelivery, type DeliverySource } from '../runDelivery';
 import { sendError } from '../sendError';
 
-/** What the caller sends with its cursor. */
+/** Content of a resume request besides its cursor. */
 interface ResumeContent {
   readonly prefixTokenIds: readonly number[] | null;
   readonly request: GenerationRequest | null;
@@ -33,7 +33,7 @@
   endpoint: EndpointSchema.optional(),
 });
 
-/** A caller that does not name the endpoint is answered as its request's shape says. */
+/** Chooses the endpoint; if the body names none, a request with a `prompt` means completions. */
 const chooseEndpoint = (body: z.infer<typeof ResumeBodySchema>): Endpoint =>
   body.endpoint ?? (body.request?.prompt === undefined ? Endpoint.Chat : Endpoint.Completion);
 
@@ -74,7 +74,8 @@
 };
 
 /**
- * The right to the service is checked again: a cursor outlives a configuration that took it away.
+ * Checks the cursor and the access to its service: a configuration after the cursor was issued may
+ * have revoked the access.
  */
 const checkResume = (
   context: CallerContext,
@@ -100,23 +101,23 @@
 };
 
 /**
- * Refuses a caller that comes back. Its generation may have run, whatever this entry says of the
- * request: told `not-run`, the caller would begin it a second time.
+ * Sends an error to a resuming caller, with the run state `unknown`: the generation may have run,
+ * and after `not-run` the caller would start it a second time.
  */
-const refuse = (context: CallerContext, error: CallerError): Response =>
+const sendRefusal = (context: CallerContext, error: CallerError): Response =>
   sendError(context, error, { runState: RunState.Unknown });
 
-/** Handles `GET` and `POST /v1/generations/{id}/events`: a caller that comes back. */
+/** Handles `GET` and `POST /v1/generations/{id}/events`, with which a caller resumes a stream. */
 export const handleResume = async (
   context: CallerContext,
   dependencies: CallerDependencies,
 ): Promise<Response> => {
   const caller = checkNewWork(context, dependencies);
-  if (caller.isErr()) return refuse(context, caller.error);
+  if (caller.isErr()) return sendRefusal(context, caller.error);
   const cursor = checkResume(context, dependencies, caller.value);
-  if (cursor.isErr()) return refuse(context, cursor.error);
+  if (cursor.isErr()) return sendRefusal(context, cursor.error);
   const content = await readContent(context, caller.value);
-  if (content.isErr()) return refuse(context, content.error);
+  if (content.isErr()) return sendRefusal(context, content.error);
   const { prefixTokenIds, request } = content.value;
   const resume = {
     requestId: context.get('requestId'),
--- a/src/adapters/http/_lib/handleService/index.ts
+++ b/src/adapters/http/_lib/handleService/index.ts
@@ -10,10 +10,10 @@
 import { checkNewWork } from '../checkNewWork';
 import { readBody } from '../readBody';
 import { sendError } from '../sendError';
-import { endWorkWithAnswer, startResponseWatch, startStallLimit } from '../startResponseWatch';
+import { endWorkOnClose, watchResponse, startStallTimeout } from '../watchResponse';
 
-/** Headers of one connection, RFC 9110 7.6.1, and those that the entry sets or keeps to itself. */
-const DROPPED_HEADERS: readonly string[] = [
+/** Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the entry sets or does not forward. */
+const DROPPED_REQUEST_HEADERS: readonly string[] = [
   'authorization',
   'connection',
   'content-length',
@@ -32,7 +32,7 @@
   'upgrade',
 ];
 
-/** Headers of an answer that belong to the connection to the service. */
+/** Hop-by-hop headers of an answer, and headers that the entry sets. */
 const DROPPED_ANSWER_HEADERS: readonly string[] = [
   'connection',
   'jackdaw-request-id',
@@ -44,16 +44,20 @@
 ];
 
 const convertHeaders = (headers: IncomingHttpHeaders): Record<string, string> => {
-  // A header named in `Connection` is for this connection too.
-  const named = (headers.connection ?? '').split(',').map((name) => name.trim().toLowerCase());
+  // Headers listed in `Connection` are hop-by-hop too.
+  const connectionHeaders = (headers.connection ?? '')
+    .split(',')
+    .map((name) => name.trim().toLowerCase());
   return Object.fromEntries(
     Object.entries(headers)
-      .filter(([name]) => !DROPPED_HEADERS.includes(name) && !named.includes(name))
+      .filter(
+        ([name]) => !DROPPED_REQUEST_HEADERS.includes(name) && !connectionHeaders.includes(name),
+      )
       .map(([name, value]) => [name, Array.isArray(value) ? value.join(', ') : (value ?? '')]),
   );
 };
 
-/** Path below the service, with the query, as the caller sent it. */
+/** Reads the path below the service, with the query, as the caller sent it. */
 const readServicePath = (context: CallerContext): string => {
   const url = context.env.incoming.url ?? '/';
   const rest = /^\/services\/[^/?]+(.*)$/.exec(url)?.[1] ?? '';
@@ -73,8 +77,9 @@
     'Jackdaw-Request-Id': context.get('requestId'),
     'Jackdaw-Run-State': runState,
   });
-  startStallLimit(outgoing);
-  // An answer that breaks off destroys the connection: a caller must not take it for a whole one.
+  startStallTimeout(outgoing);
+  // If the answer breaks off, `pipeline` destroys the connection, so that the caller does not take a
+  // truncated answer for a complete one.
   await pipeline(Readable.from(response.body, { objectMode: false }), outgoing).catch(
     () => undefined,
   );
@@ -115,14 +120,17 @@
       idempotent: options.value.idempotent,
       timeoutMs: options.value.timeoutMs ?? service.value.timeoutMs,
     },
-    startResponseWatch(context.env.outgoing).signal,
+    watchResponse(context.env.outgoing).signal,
   );
   if (answer.isErr()) return sendError(context, { kind: 'failed', error: answer.error });
   await sendAnswer(context, answer.value);
   return RESPONSE_ALREADY_SENT;
 };
 
-/** Handles any method on `/services/{service}/*`. A shutdown waits for it: it has no cursor. */
+/**
+ * Handles any method on `/services/{service}/*`. A shutdown waits for the call to end, since a call
+ * has no cursor to resume with.
+ */
 export const handleService = async (
   context: CallerContext,
   dependencies: CallerDependencies,
@@ -132,6 +140,6 @@
   try {
     return await runCall(context, dependencies);
   } finally {
-    endWorkWithAnswer(context.env.outgoing, work);
+    endWorkOnClose(context.env.outgoing, work);
   }
 };
--- a/src/adapters/http/_lib/parseJson/index.ts
+++ b/src/adapters/http/_lib/parseJson/index.ts
@@ -1,7 +1,7 @@
 import { Result } from 'neverthrow';
 import type { CallerError } from '../../types';
 
-/** Parses a body; the error never quotes it, since it may hold a dossier. */
+/** Parses a JSON body; the error never quotes the body, which may hold confidential data. */
 export const parseJson = Result.fromThrowable(
   (bytes: Uint8Array): unknown =>
     JSON.parse(new TextDecoder('utf-8', { fatal: true }).decode(bytes)),
--- a/src/adapters/http/_lib/readBody/index.ts
+++ b/src/adapters/http/_lib/readBody/index.ts
@@ -3,9 +3,9 @@
 import type { CallerError } from '../../types';
 
 /**
- * Reads a request's whole body, up to a limit.
+ * Reads the complete body of a request, up to a limit.
  *
- * @param maxBytes - reading stops at the first byte past it, whatever `Content-Length` says
+ * @param maxBytes - reading stops at the first byte past the limit, whatever `Content-Length` says
  */
 export const readBody = async (
   incoming: IncomingMessage,
@@ -16,7 +16,7 @@
   const chunks: Buffer[] = [];
   let bytes = 0;
   try {
-    // `destroyOnReturn` off: the answer still has to go out on this connection.
+    // With `destroyOnReturn` the connection would close before the answer is sent.
     for await (const chunk of incoming.iterator({ destroyOnReturn: false })) {
       bytes += (chunk as Buffer).length;
       if (bytes > maxBytes) return err(tooLarge);
--- a/src/adapters/http/_lib/runDelivery/index.ts
+++ b/src/adapters/http/_lib/runDelivery/index.ts
@@ -4,30 +4,30 @@
 import type { AnswerShape, CallerContext, CallerDependencies, Delivery } from '../../types';
 import { sendError } from '../sendError';
 import { sendEventStream } from '../sendEventStream';
-import { sendWholeAnswer } from '../sendWholeAnswer';
-import { endWorkWithAnswer, startResponseWatch } from '../startResponseWatch';
+import { sendJsonAnswer } from '../sendJsonAnswer';
+import { endWorkOnClose, watchResponse } from '../watchResponse';
 
-/** What is to be delivered. */
+/** Source of a delivery: the generation's feed and how its answer is sent. */
 export interface DeliverySource {
   readonly openFeed: (signal: AbortSignal) => Promise<Result<GenerationFeed, GenerationError>>;
-  /** The answer's shape but for its id, which the feed gives. */
+  /** Properties of the answer; the feed adds the id, and the delivery the creation time. */
   readonly shape: Omit<AnswerShape, 'createdS' | 'generationId'>;
   readonly stream: boolean;
-  /** False: coming back without a cursor must not start the work again. */
+  /** If false, a retry without a cursor must not start the work again. */
   readonly idempotent: boolean;
-  /** What a refusal by this entry says of the generation. */
+  /** Run state reported if this entry refuses the request. */
   readonly runStateIfRefused: RunState;
 }
 
 const HAND_OVER_ERROR: GenerationError = {
   code: 'handed_over',
-  message: 'This entry is shutting down; go on at another one with the last cursor.',
+  message: 'This entry is shutting down; resume at another entry with the last cursor.',
   status: 503,
   runState: RunState.Ran,
   retryAfterMs: 1,
 };
 
-/** Builds a promise of a signal's abort, so that each wait needs no listener of its own. */
+/** Builds a promise that resolves on a signal's abort, so that waits share a single listener. */
 const buildAbortPromise = (signal: AbortSignal): Promise<void> =>
   new Promise((resolve) => {
     if (signal.aborted) resolve();
@@ -35,9 +35,10 @@
   });
 
 /**
- * Opens a generation's feed and delivers it to the caller, streamed or whole.
+ * Opens a generation's feed and delivers it to the caller, as a stream or as one JSON answer.
  *
- * A caller that goes away detaches: the generation runs on, and it can come back with its cursor.
+ * A caller that disconnects is detached: the generation continues, and the caller can resume with
+ * its cursor.
  */
 export const runDelivery = async (
   context: CallerContext,
@@ -46,7 +47,7 @@
 ): Promise<Response> => {
   const { clock, shutdown } = dependencies;
   const startedMs = clock.readMonotonicMs();
-  const watch = startResponseWatch(context.env.outgoing);
+  const watch = watchResponse(context.env.outgoing);
   const handOver = new AbortController();
   const work = shutdown.startWork(() => handOver.abort());
   if (work === null) {
@@ -74,12 +75,12 @@
           : { kind: 'caller-gone' },
     };
     try {
-      const send = source.stream ? sendEventStream : sendWholeAnswer;
+      const send = source.stream ? sendEventStream : sendJsonAnswer;
       return await send(context, dependencies, delivery);
     } finally {
       feed.detach();
     }
   } finally {
-    endWorkWithAnswer(context.env.outgoing, work);
+    endWorkOnClose(context.env.outgoing, work);
   }
 };
--- a/src/adapters/http/_lib/sendError/index.ts
+++ b/src/adapters/http/_lib/sendError/index.ts
@@ -5,8 +5,8 @@
 
 const MS_PER_S = 1000;
 
-/** How a generation that breaks off without a reason is reported: never as a finished answer. */
-export const INCOMPLETE: GenerationError = {
+/** Error of a stream that ends before its generation; must never look like a finished answer. */
+export const STREAM_INCOMPLETE_ERROR: GenerationError = {
   code: 'stream_incomplete',
   message: 'The stream ended before the generation did.',
   status: 502,
@@ -14,14 +14,14 @@
   retryAfterMs: 0,
 };
 
-/** OpenAI's `type` by the hundred of the status. */
-const TYPE_BY_HUNDRED: Readonly<Record<number, string>> = { 4: 'invalid_request_error' };
+/** OpenAI's `type` by status class (the first digit of the status). */
+const TYPE_BY_STATUS_CLASS: Readonly<Record<number, string>> = { 4: 'invalid_request_error' };
 
-/** Builds the OpenAI-shaped body of an error. */
+/** Builds the body of an error in OpenAI's format. */
 export const buildErrorBody = (error: GenerationError, requestId: string) => ({
   error: {
     message: error.message,
-    type: TYPE_BY_HUNDRED[Math.floor(error.status / 100)] ?? 'server_error',
+    type: TYPE_BY_STATUS_CLASS[Math.floor(error.status / 100)] ?? 'server_error',
     param: null,
     code: error.code,
     run_state: error.runState,
@@ -30,17 +30,17 @@
   },
 });
 
-/** What differs from an error's usual answer. */
+/** Overrides of an error's default answer. */
 export interface ErrorAnswerOptions {
-  /** Further members of the body, for example the cursor of a hand-over. */
+  /** Additional fields of the body, for example the cursor of a hand-over. */
   readonly extra?: Readonly<Record<string, unknown>>;
-  /** What is known of the work that the request is about, if it is not the request's own. */
+  /** Run state of the work that the request refers to, if that differs from the error's own. */
   readonly runState?: RunState;
 }
 
 const buildRetryHeaders = (error: GenerationError): Record<string, string> => {
-  const isLoad = error.status === 429 || error.status === 503;
-  if (!isLoad && error.retryAfterMs === 0) return {};
+  const isOverload = error.status === 429 || error.status === 503;
+  if (!isOverload && error.retryAfterMs === 0) return {};
   const retryAfterMs = Math.max(error.retryAfterMs, 1);
   return {
     'Retry-After': String(Math.ceil(retryAfterMs / MS_PER_S)),
@@ -49,31 +49,31 @@
 };
 
 /**
- * Answers with an error.
+ * Sends an error to the caller.
  *
- * OpenAI's clients repeat a 409, 429 or 5xx by themselves unless `x-should-retry` says otherwise.
- * Without it such a client would repeat a call that may have run, so it is sent with each error:
- * `true` only where the error itself asks to come back.
+ * OpenAI's clients retry a 409, 429 or 5xx unless `x-should-retry` says otherwise, and would so
+ * repeat a call that may have run. Each error therefore carries the header, with `true` only if the
+ * error has a retry delay.
  *
- * @param options - what differs from the error's usual answer
+ * @param options - overrides of the error's default answer
  */
 export const sendError = (
   context: CallerContext,
   source: CallerError,
   options: ErrorAnswerOptions = {},
 ): Response => {
-  const usual = convertErrorToAnswer(source);
-  const error = { ...usual, runState: options.runState ?? usual.runState };
+  const defaultError = convertErrorToAnswer(source);
+  const error = { ...defaultError, runState: options.runState ?? defaultError.runState };
   const requestId = context.get('requestId');
   context.set('errorCode', error.code);
-  const mayRepeat = error.retryAfterMs > 0;
+  const shouldRetry = error.retryAfterMs > 0;
   return new Response(JSON.stringify({ ...buildErrorBody(error, requestId), ...options.extra }), {
     status: error.status,
     headers: {
       'Content-Type': 'application/json',
       'Jackdaw-Request-Id': requestId,
       'Jackdaw-Run-State': error.runState,
-      'x-should-retry': String(mayRepeat),
+      'x-should-retry': String(shouldRetry),
       ...(error.status === 401 ? { 'WWW-Authenticate': 'Bearer' } : {}),
       ...(error.status === 413 ? { Connection: 'close' } : {}),
       ...buildRetryHeaders(error),
--- a/src/adapters/http/_lib/sendEventStream/index.ts
+++ b/src/adapters/http/_lib/sendEventStream/index.ts
@@ -4,17 +4,17 @@
 import type { Clock, GenerationError, GenerationEvent } from '../../../../application/ports';
 import type { CallerContext, CallerDependencies, Delivery } from '../../types';
 import { createChunkFormatter } from '../formatChunk';
-import { buildErrorBody, INCOMPLETE, sendError } from '../sendError';
-import { startStallLimit } from '../startResponseWatch';
+import { buildErrorBody, STREAM_INCOMPLETE_ERROR, sendError } from '../sendError';
+import { startStallTimeout } from '../watchResponse';
 
 /**
- * How long an answer's status waits for the first token, so that an early failure has a status of
- * its own. Later the headers go out, and a failure becomes an event.
+ * Wait for the first event before the headers are sent: a failure within this time is sent with its
+ * own HTTP status, a later one as an event of the stream.
  */
-const STATUS_WAIT_MS = 2000;
+const FIRST_EVENT_WAIT_MS = 2000;
 
-/** Silence after which a comment is sent: a client with an idle limit sees that the entry lives. */
-const HEARTBEAT_MS = 5000;
+/** Silence after which a comment is sent, so that a client's idle timeout does not expire. */
+const HEARTBEAT_INTERVAL_MS = 5000;
 
 const writeHead = (context: CallerContext, delivery: Delivery, runState: RunState): void => {
   context.env.outgoing.writeHead(200, {
@@ -32,7 +32,7 @@
   context.env.outgoing.end(`event: error\ndata: ${body}\n\n`);
 };
 
-/** Resolves when the response takes more, or never will. */
+/** Resolves when the response accepts more data or has closed. */
 const waitForDrain = (outgoing: ServerResponse): Promise<void> =>
   new Promise((resolve) => {
     const finish = (): void => {
@@ -46,10 +46,10 @@
 
 type Step = IteratorResult<GenerationEvent>;
 
-/** Gives the first event if it comes soon, else null. */
-const waitForStatus = (first: Promise<Step>, clock: Clock, stop: Promise<void>) =>
+/** Waits for the first event; null after `FIRST_EVENT_WAIT_MS` or if the delivery stops. */
+const waitForFirstEvent = (first: Promise<Step>, clock: Clock, stop: Promise<void>) =>
   new Promise<Step | null>((resolve, reject) => {
-    const cancelTimer = clock.startTimer(STATUS_WAIT_MS, () => resolve(null));
+    const cancelTimer = clock.startTimer(FIRST_EVENT_WAIT_MS, () => resolve(null));
     const finish = (step: Step | null): void => {
       cancelTimer();
       resolve(step);
@@ -58,22 +58,22 @@
     stop.then(() => finish(null));
   });
 
-/** Starts to write a comment after each silence; the returned function stops it. */
+/** Starts writing a comment after each silent interval; the returned function stops it. */
 const startHeartbeat = (outgoing: ServerResponse, clock: Clock): (() => void) => {
   let written = 0;
   let cancelTimer: () => void = () => undefined;
-  const beat = (): void => {
+  const sendHeartbeat = (): void => {
     const now = outgoing.socket?.bytesWritten ?? 0;
-    // A caller that does not read gets no more: comments would only pile up behind the tokens.
+    // Sends none to a caller that does not read: comments would pile up behind the tokens.
     if (now === written && !outgoing.writableNeedDrain) outgoing.write(':\n\n');
     written = outgoing.socket?.bytesWritten ?? 0;
-    cancelTimer = clock.startTimer(HEARTBEAT_MS, beat);
+    cancelTimer = clock.startTimer(HEARTBEAT_INTERVAL_MS, sendHeartbeat);
   };
-  cancelTimer = clock.startTimer(HEARTBEAT_MS, beat);
+  cancelTimer = clock.startTimer(HEARTBEAT_INTERVAL_MS, sendHeartbeat);
   return () => cancelTimer();
 };
 
-/** Writes event after event, as fast as the caller reads. */
+/** Writes the events one by one, as fast as the caller reads. */
 const sendEvents = async (
   context: CallerContext,
   { clock, cursors, metrics }: CallerDependencies,
@@ -100,7 +100,7 @@
   }
   if (delivery.stop.aborted) return;
   if (finished) outgoing.end(formatter.formatEnd(tokens));
-  else sendErrorEvent(context, INCOMPLETE);
+  else sendErrorEvent(context, STREAM_INCOMPLETE_ERROR);
 };
 
 /** Delivers a generation as server-sent events, each with a signed cursor as its id. */
@@ -111,15 +111,16 @@
 ): Promise<Response> => {
   const { outgoing } = context.env;
   const first = delivery.iterator.next();
-  const step = await waitForStatus(first, dependencies.clock, delivery.stopped);
+  const step = await waitForFirstEvent(first, dependencies.clock, delivery.stopped);
   if (delivery.stop.aborted) return sendError(context, delivery.buildStopError());
   if (step !== null && !step.done && step.value.kind === 'failed') {
     return sendError(context, { kind: 'failed', error: step.value.error });
   }
-  if (step !== null && step.done) return sendError(context, { kind: 'failed', error: INCOMPLETE });
+  if (step !== null && step.done)
+    return sendError(context, { kind: 'failed', error: STREAM_INCOMPLETE_ERROR });
   writeHead(context, delivery, step === null ? RunState.Unknown : RunState.Ran);
   if (step === null) outgoing.flushHeaders();
-  startStallLimit(outgoing);
+  startStallTimeout(outgoing);
   const stopHeartbeat = startHeartbeat(outgoing, dependencies.clock);
   try {
     await Promise.race([sendEvents(context, dependencies, delivery, first), delivery.stopped]);
--- a/src/adapters/http/_lib/sendWholeAnswer/index.ts
+++ b/src/adapters/http/_lib/sendJsonAnswer/index.ts
@@ -2,18 +2,18 @@
 import type { GenerationError, GenerationEvent } from '../../../../application/ports';
 import type { AnswerShape, CallerContext, CallerDependencies, Delivery } from '../../types';
 import { computeUsage } from '../formatChunk';
-import { INCOMPLETE, sendError } from '../sendError';
+import { STREAM_INCOMPLETE_ERROR, sendError } from '../sendError';
 
 interface CollectedAnswer {
   readonly text: string;
   readonly tokenIds: readonly number[];
   /** Null while the generation has not finished. */
   readonly finishReason: string | null;
-  /** Position after the last token held; null before the first. */
+  /** Position after the last collected token; null before the first token. */
   readonly cursor: Cursor | null;
 }
 
-/** Collects the batches of one answer; what it holds can be read at any time. */
+/** Creates a collector of the batches of one answer, whose content can be read at any time. */
 const createCollector = () => {
   const texts: string[] = [];
   const tokenIds: number[] = [];
@@ -32,7 +32,7 @@
 
 type Collector = ReturnType<typeof createCollector>;
 
-/** Follows the generation to its end; gives its error, or null. */
+/** Reads the generation to its end; returns its error, or null if the generation finished. */
 const collectEvents = async (
   { clock, metrics }: CallerDependencies,
   { iterator, startedMs }: Delivery,
@@ -44,7 +44,7 @@
     if (step.value.kind === 'failed') return step.value.error;
     collector.addEvent(step.value);
   }
-  return collector.readAnswer().finishReason === null ? INCOMPLETE : null;
+  return collector.readAnswer().finishReason === null ? STREAM_INCOMPLETE_ERROR : null;
 };
 
 const CHOICE_BY_ENDPOINT = {
@@ -75,8 +75,8 @@
 });
 
 /**
- * Members of an error's body with which a caller can go on: the answer so far and its cursor, to
- * be sent to `/v1/generations/{id}/events`.
+ * Builds the fields of an error's body with which a caller can resume: the answer so far and its
+ * cursor, for a request to `/v1/generations/{id}/events`.
  */
 const buildResumePoint = ({ cursors }: CallerDependencies, answer: CollectedAnswer) => {
   if (answer.cursor === null) return {};
@@ -92,8 +92,8 @@
   };
 };
 
-/** Delivers a generation as one JSON answer, once it has ended. */
-export const sendWholeAnswer = async (
+/** Delivers a generation as one JSON answer after the generation has ended. */
+export const sendJsonAnswer = async (
   context: CallerContext,
   dependencies: CallerDependencies,
   delivery: Delivery,
--- a/src/adapters/http/_lib/startListening/index.ts
+++ b/src/adapters/http/_lib/startListening/index.ts
@@ -2,14 +2,14 @@
 import type { AddressInfo } from 'node:net';
 import { err, ok, type Result } from 'neverthrow';
 
-/** A listening server for callers. */
-export interface CallerServer {
+/** A listening HTTP server. */
+export interface ListeningServer {
   readonly url: string;
-  /** Stops listening and closes what is still open. */
+  /** Stops listening and closes all open connections. */
   stop(): Promise<void>;
 }
 
-/** Why a server could not listen. */
+/** Error of a server that could not listen. */
 export interface ListenError {
   readonly kind: 'cannot-listen';
   readonly address: string;
@@ -23,14 +23,14 @@
   });
 
 /**
- * Starts to listen with a server that is set up.
+ * Starts listening with a configured server.
  *
- * @param listen - host and port; port 0 takes a free one
+ * @param listen - host and port; port 0 selects a free port
  */
 export const startListening = (
   server: Server,
   listen: { readonly host: string; readonly port: number },
-): Promise<Result<CallerServer, ListenError>> =>
+): Promise<Result<ListeningServer, ListenError>> =>
   new Promise((resolve) => {
     const address = `${listen.host}:${listen.port}`;
     const fail = (error: Error): void =>
--- a/src/adapters/http/createCallerApp/index.ts
+++ b/src/adapters/http/createCallerApp/index.ts
@@ -9,10 +9,10 @@
 import { sendError } from '../_lib/sendError';
 import type { CallerContext, CallerDependencies, CallerEnvironment } from '../types';
 
-/** Random bytes of a request id: enough to be unique among all entries. */
+/** Random bytes of a request id, enough to be unique across all entries. */
 const REQUEST_ID_BYTES = 12;
 
-/** Why the balancer should send no new work here, or null. */
+/** Finds why this entry is not ready for new work; null if it is ready. */
 const findUnreadyReason = (dependencies: CallerDependencies): string | null => {
   if (dependencies.shutdown.isDraining()) return 'shutting down';
   if (dependencies.configuration.readCurrent() === null) return 'no configuration';
@@ -33,10 +33,10 @@
 };
 
 /**
- * Counts each answer under its route's pattern once it has ended, however it ended, and logs those
- * that are errors: a refusal before routing has no decision that would explain it.
+ * Records each answer in the metrics under its route's pattern when the response closes. Errors are
+ * also logged: a refusal before routing has no entry in the decision log.
  */
-const recordAnswerOf = (context: CallerContext, dependencies: CallerDependencies): void => {
+const recordAnswerOnClose = (context: CallerContext, dependencies: CallerDependencies): void => {
   const { clock, log, metrics } = dependencies;
   const startedMs = clock.readMonotonicMs();
   const { outgoing } = context.env;
@@ -53,17 +53,18 @@
 };
 
 /**
- * Creates the HTTP interface for callers: OpenAI's endpoints, resuming, plain services, probes.
+ * Creates the HTTP API for callers: OpenAI's endpoints, resuming, plain services and probes.
  *
- * @returns a hono app, to be served by `startCallerServer`; it needs node's request and response
+ * @returns a Hono app for `startCallerServer`; it requires Node's request and response objects
  */
 export const createCallerApp = (dependencies: CallerDependencies): Hono<CallerEnvironment> => {
   const app = new Hono<CallerEnvironment>();
   app.use(async (context, next) => {
     const given = parseRequestId(context.req.header('Jackdaw-Request-Id'));
     context.set('requestId', given ?? `req_${dependencies.randomness.readHex(REQUEST_ID_BYTES)}`);
-    recordAnswerOf(context, dependencies);
-    // Balancers and clients keep connections: without this they would come back to a leaving entry.
+    recordAnswerOnClose(context, dependencies);
+    // Without this header, clients and load balancers would reuse their connections to an entry
+    // that is shutting down.
     if (dependencies.shutdown.isDraining()) context.env.outgoing.setHeader('Connection', 'close');
     await next();
   });
@@ -84,7 +85,7 @@
   app.all('/services/:service', (context) => handleService(context, dependencies));
   app.notFound((context) => sendError(context, { kind: 'unknown-path' }));
   app.onError((error, context) => {
-    // The message may hold what the caller sent, so the log gets the error's name and place only.
+    // The message may contain the caller's data, so only the error's name and location are logged.
     const place = error.stack?.split('\n')[1]?.trim() ?? '';
     dependencies.log.error('request failed', {
       requestId: context.get('requestId'),
--- a/src/adapters/http/createHttpPlainClient/index.ts
+++ b/src/adapters/http/createHttpPlainClient/index.ts
@@ -2,22 +2,22 @@
 import { Agent } from 'undici';
 import type { PlainClient, PlainError } from '../../../application/ports';
 
-/** A client with its connections. */
+/** Client of plain services; `stop` closes its connections. */
 export interface HttpPlainClient extends PlainClient {
   stop(): Promise<void>;
 }
 
-/** Connections to one server at once; more calls than its slots are never sent. */
+/** Limit of concurrent connections to one server; calls are already limited by its slots. */
 const MAX_CONNECTIONS = 256;
 
 const CONNECT_TIMEOUT_MS = 2000;
 
-/** Silence within an answer's body after which it is given up. */
-const BODY_TIMEOUT_MS = 60_000;
+/** Silence within an answer's body after which the call is aborted. */
+const BODY_IDLE_TIMEOUT_MS = 60_000;
 
 /**
- * Codes with which a connection was never made. Everything else counts as sent: a reset of a kept
- * connection looks the same before and after the service has read the request.
+ * Error codes of failures to connect. After any other error the call counts as sent: a reset of a
+ * keep-alive connection looks the same before and after the service has read the request.
  */
 const NOT_CONNECTED_CODES: readonly string[] = [
   'ECONNREFUSED',
@@ -37,27 +37,28 @@
 };
 
 /**
- * Creates the client for plain services.
+ * Creates the client of plain services.
  *
- * Pipelining is off, so that undici never holds a second request behind one that failed and sends
- * it again on a new connection.
+ * Pipelining is off, so that undici never queues a second request behind a failed one and resends
+ * it on a new connection.
  */
 export const createHttpPlainClient = (): HttpPlainClient => {
   const options = {
     connections: MAX_CONNECTIONS,
     connect: { timeout: CONNECT_TIMEOUT_MS },
     headersTimeout: 0,
-    bodyTimeout: BODY_TIMEOUT_MS,
+    bodyTimeout: BODY_IDLE_TIMEOUT_MS,
   };
   const pooled = new Agent({ ...options, pipelining: 1 });
-  // A kept connection that the server closes at that moment fails without a sign of whether the
-  // call ran. On one of its own, a failure to connect surely means that nothing was sent.
-  const fresh = new Agent({ ...options, pipelining: 0 });
+  // If the server closes a keep-alive connection just as a call is sent, the error does not tell
+  // whether the call ran. A call that must not be repeated gets a new connection, where a failure to
+  // connect proves that nothing was sent.
+  const unpooled = new Agent({ ...options, pipelining: 0 });
 
   const sendCall: PlainClient['sendCall'] = async (server, call, signal) => {
     if (signal.aborted) return err({ kind: 'cancelled', sent: false });
     try {
-      const { body, headers, statusCode } = await (call.repeatable ? pooled : fresh).request({
+      const { body, headers, statusCode } = await (call.repeatable ? pooled : unpooled).request({
         origin: server.url,
         path: call.path,
         method: call.method,
@@ -65,10 +66,10 @@
         body: call.body.length === 0 ? null : call.body,
         signal,
       });
-      const known = Object.entries(headers).flatMap(([name, value]) =>
+      const definedHeaders = Object.entries(headers).flatMap(([name, value]) =>
         value === undefined ? [] : [[name, value] as const],
       );
-      return ok({ status: statusCode, headers: Object.fromEntries(known), body });
+      return ok({ status: statusCode, headers: Object.fromEntries(definedHeaders), body });
     } catch (error) {
       return err(convertError(error, signal));
     }
@@ -77,7 +78,7 @@
   return {
     sendCall,
     stop: async () => {
-      await Promise.all([pooled.destroy(), fresh.destroy()]);
+      await Promise.all([pooled.destroy(), unpooled.destroy()]);
     },
   };
 };
--- a/src/adapters/http/startCallerServer/index.ts
+++ b/src/adapters/http/startCallerServer/index.ts
@@ -1,25 +1,25 @@
 import type { Server } from 'node:http';
 import { createAdaptorServer } from '@hono/node-server';
 import type { Result } from 'neverthrow';
-import { startListening, type CallerServer, type ListenError } from '../_lib/startListening';
+import { startListening, type ListeningServer, type ListenError } from '../_lib/startListening';
 
-export type { CallerServer, ListenError } from '../_lib/startListening';
+export type { ListeningServer, ListenError } from '../_lib/startListening';
 
 /**
- * Starts to serve callers.
+ * Starts the HTTP server for callers.
  *
- * @param listen - host and port; port 0 takes a free one
+ * @param listen - host and port; port 0 selects a free port
  */
 export const startCallerServer = (
   app: { readonly fetch: Parameters<typeof createAdaptorServer>[0]['fetch'] },
   listen: { readonly host: string; readonly port: number },
-): Promise<Result<CallerServer, ListenError>> => {
-  // The replacement of the global Request and Response would change undici's in this process.
+): Promise<Result<ListeningServer, ListenError>> => {
+  // Overriding the global Request and Response would also affect undici in this process.
   const server = createAdaptorServer({
     fetch: app.fetch,
     overrideGlobalObjects: false,
   }) as Server;
-  // Bodies may be long and callers slow; the body's size is bounded instead.
+  // No timeout, since bodies may be long and callers slow; the body size is limited instead.
   server.requestTimeout = 0;
   return startListening(server, listen);
 };
--- a/src/adapters/http/startForwardingServer/index.ts
+++ b/src/adapters/http/startForwardingServer/index.ts
@@ -6,39 +6,39 @@
 import type { ForwardingLimits, RequestHead } from '../../../domain/forwarding';
 import { createCallerReply } from '../_lib/createCallerReply';
 import { readBody } from '../_lib/readBody';
-import { startListening, type CallerServer, type ListenError } from '../_lib/startListening';
+import { startListening, type ListeningServer, type ListenError } from '../_lib/startListening';
 
-/** A request as the HTTP library read it. */
-export interface RawHead {
+/** Head of a request as parsed by Node's HTTP server. */
+export interface RawRequestHead {
   readonly method: string;
   readonly target: string;
-  /** Name, value, name, value, as sent. */
+  /** Names and values alternately, as sent. */
   readonly rawHeaders: readonly string[];
-  /** Monotonic milliseconds. */
+  /** Monotonic time of arrival, in milliseconds. */
   readonly arrivedAtMs: number;
 }
 
-/** What a forwarding server needs. */
+/** Dependencies of the forwarding server. */
 export interface ForwardingServerDependencies {
   readonly clock: Clock;
   readonly log: EventLog;
   readonly forwarder: Forwarder;
-  /** Decodes a head, or says why it is malformed. */
-  readonly decodeHead: (raw: RawHead) => Result<RequestHead, string>;
-  /** Null before a configuration is known. */
+  /** Decodes a head; the error is the reason why the head is malformed. */
+  readonly decodeHead: (raw: RawRequestHead) => Result<RequestHead, string>;
+  /** Reads the limits in force; null before the first configuration. */
   readonly readLimits: () => ForwardingLimits | null;
-  /** True: each connection is closed after its answer. */
+  /** Whether each connection is closed after its answer. */
   readonly isClosing: () => boolean;
 }
 
 /** A listening server that forwards requests. */
-export interface ForwardingServer extends CallerServer {
-  /** Sets how long connections may be idle, and how long headers may take. */
+export interface ForwardingServer extends ListeningServer {
+  /** Sets the timeouts of idle connections and of request headers. */
   applyLimits(limits: ForwardingLimits): void;
   closeIdleConnections(): void;
 }
 
-/** Until a configuration is known. */
+/** Limits before the first configuration. */
 const DEFAULT_LIMITS: ForwardingLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 1_048_576,
@@ -46,25 +46,25 @@
   idleTimeoutMs: 5000,
 };
 
-/** Most that the parser takes of a head; the configured limit is checked on top. */
+/** Hard limit of the parser; the configured, lower limit is checked afterwards. */
 const MAX_PARSED_HEADER_BYTES = 65_536;
 
-/** Bytes of a header besides its name and value: colon, space, carriage return, line feed. */
+/** Bytes of a header besides name and value: colon, space, carriage return and line feed. */
 const HEADER_OVERHEAD_BYTES = 4;
 
 const countHeaderBytes = (rawHeaders: readonly string[]): number =>
   rawHeaders.reduce((sum, text) => sum + text.length, 0) +
   (rawHeaders.length / 2) * HEADER_OVERHEAD_BYTES;
 
-/** Answers a request that is never forwarded, and closes its connection: the rest is not read. */
+/** Rejects a request without forwarding it, and closes the connection with the rest unread. */
 const rejectRequest = (response: ServerResponse, status: number, reason: string): void => {
   response.shouldKeepAlive = false;
   response.writeHead(status, { 'content-type': 'application/json' });
   response.end(JSON.stringify({ error: reason }));
 };
 
-/** Statuses for what the parser refuses. */
-const PARSE_STATUSES: Readonly<Record<string, string>> = {
+/** Status line by error code of Node's HTTP parser; every other code is a 400. */
+const STATUS_BY_PARSE_ERROR: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout',
 };
@@ -72,10 +72,10 @@
 /**
  * Starts the server for callers whose requests are forwarded.
  *
- * It stands on Node's own HTTP server: connections are closed, kept and broken off one by one here,
- * which an adapter for standard requests and responses hides.
+ * The server uses Node's HTTP server directly, since it closes, keeps or aborts each connection
+ * individually, which adapters for standard requests and responses do not support.
  *
- * @param listen - host and port; port 0 takes a free one
+ * @param listen - host and port; port 0 selects a free port
  */
 export const startForwardingServer = async (
   dependencies: ForwardingServerDependencies,
@@ -118,14 +118,14 @@
     );
   };
 
-  const answering = new WeakSet<Duplex>();
+  const answeringSockets = new WeakSet<Duplex>();
   const server = createServer(
     { maxHeaderSize: MAX_PARSED_HEADER_BYTES, requireHostHeader: false, noDelay: true },
     (incoming, response) => {
       const { socket } = incoming;
-      answering.add(socket);
+      answeringSockets.add(socket);
       response.once('close', () => {
-        if (response.shouldKeepAlive) answering.delete(socket);
+        if (response.shouldKeepAlive) answeringSockets.delete(socket);
       });
       handle(incoming, response).catch((error: unknown) => {
         const reason = error instanceof Error ? error.message : 'unknown';
@@ -136,14 +136,14 @@
   );
   server.requestTimeout = 0;
   server.on('clientError', (error: NodeJS.ErrnoException, socket: Duplex) => {
-    // Bytes after a request that is being answered, or was rejected, get no answer of their own:
-    // it would stand where another one is due.
-    if (!socket.writable || error.code === 'ECONNRESET' || answering.has(socket)) {
+    // Malformed bytes after a request that is being answered or was rejected get no answer: the
+    // caller would take it for the answer to that request.
+    if (!socket.writable || error.code === 'ECONNRESET' || answeringSockets.has(socket)) {
       socket.destroy();
       return;
     }
     log.warn('request rejected', { status: 400, reason: error.code ?? error.message });
-    const status = PARSE_STATUSES[error.code ?? ''] ?? '400 Bad Request';
+    const status = STATUS_BY_PARSE_ERROR[error.code ?? ''] ?? '400 Bad Request';
     socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
   });
   const applyLimits = (limits: ForwardingLimits): void => {
@@ -153,8 +153,8 @@
   applyLimits(DEFAULT_LIMITS);
 
   const listening = await startListening(server, listen);
-  return listening.map((one) => ({
-    ...one,
+  return listening.map((listeningServer) => ({
+    ...listeningServer,
     applyLimits,
     closeIdleConnections: () => server.closeIdleConnections(),
   }));
--- a/src/adapters/http/types/CallerContext.ts
+++ b/src/adapters/http/types/CallerContext.ts
@@ -1,15 +1,15 @@
 import type { HttpBindings } from '@hono/node-server';
 import type { Context } from 'hono';
 
-/** What each request's context carries. */
+/** Bindings and variables of each request's context. */
 export interface CallerEnvironment {
   readonly Bindings: HttpBindings;
   readonly Variables: {
     requestId: string;
-    /** Code of the error that was answered, if one was. */
+    /** Code of the error sent to the caller, if any. */
     errorCode?: string;
   };
 }
 
-/** Context of one request on the callers' interface. */
+/** Context of one request of the callers' API. */
 export type CallerContext = Context<CallerEnvironment>;
--- a/src/adapters/http/types/CallerDependencies.ts
+++ b/src/adapters/http/types/CallerDependencies.ts
@@ -14,24 +14,24 @@
 import type { EntryMetrics } from '../../metrics';
 
 /** Signs and verifies cursors with the deployment's keys. */
-export interface CursorCodec {
+export interface CursorSigner {
   sign(cursor: Cursor): string;
   verify(text: string): Result<Cursor, CursorError>;
 }
 
-/** What the callers' interface needs. */
+/** Dependencies of the callers' API. */
 export interface CallerDependencies {
   readonly configuration: ConfigurationView;
   readonly generations: Pick<Generations, 'startGeneration' | 'resumeGeneration'>;
-  /** Cancels a generation wherever it runs; false if no VM runs it. */
+  /** Cancels a generation on whichever VM runs it; false if none does. */
   readonly cancelGeneration: (generation: CancelledGeneration) => Promise<boolean>;
   readonly services: PlainServices;
-  readonly cursors: CursorCodec;
+  readonly cursors: CursorSigner;
   readonly shutdown: Shutdown;
   readonly metrics: EntryMetrics;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
-  /** True: this VM may hold an outdated configuration and takes no new work. */
+  /** Whether this VM's configuration may be outdated, so that it accepts no new work. */
   readonly isCutOff: () => boolean;
 }
--- a/src/adapters/http/types/CallerError.ts
+++ b/src/adapters/http/types/CallerError.ts
@@ -3,7 +3,7 @@
 import type { CallerRefusal } from '../../../application/access';
 import type { GenerationError } from '../../../application/ports';
 
-/** Everything that a caller can be refused with. */
+/** Any error that can be sent to a caller. */
 export type CallerError =
   | RequestError
   | AccessError
@@ -16,6 +16,5 @@
   | { readonly kind: 'shutting-down' }
   | { readonly kind: 'cut-off' }
   | { readonly kind: 'caller-gone' }
-  /** `known` is the run state if one is known whatever failed. */
   | { readonly kind: 'internal' }
   | { readonly kind: 'failed'; readonly error: GenerationError };
--- a/src/adapters/http/types/Delivery.ts
+++ b/src/adapters/http/types/Delivery.ts
@@ -2,13 +2,13 @@
 import type { AnswerShape } from './AnswerShape';
 import type { CallerError } from './CallerError';
 
-/** One answer on its way to one caller, and what stops it before its end. */
+/** Delivery of one answer to one caller, with the conditions that stop it early. */
 export interface Delivery {
   /** Monotonic time of the request's arrival, in milliseconds. */
   readonly startedMs: number;
   readonly shape: AnswerShape;
   readonly iterator: AsyncIterator<GenerationEvent>;
-  /** Aborts when the caller is gone, or when a shutdown hands the generation over. */
+  /** Aborts when the caller disconnects, or when a shutdown hands the generation over. */
   readonly stop: AbortSignal;
   /** Resolves when `stop` aborts. */
   readonly stopped: Promise<void>;
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -1,6 +1,6 @@
 import { err, ok, type Result } from 'neverthrow';
 import { startPeerServer } from '../../../adapters/connect';
-import { createCallerApp, startCallerServer, type CursorCodec } from '../../../adapters/http';
+import { createCallerApp, startCallerServer, type CursorSigner } from '../../../adapters/http';
 import { createProber } from '../../../application/health';
 import { createMembershipFollower } from '../../../application/membership';
 import { createLoadPoller } from '../../../application/routing';
@@ -18,7 +18,7 @@
 /** Longest wait of a drain for the answers of ended generations to be stored. */
 const END_WRITE_MS = 5000;
 
-const createCursorCodec = (keys: EntrySettings['cursorKeys']): CursorCodec => ({
+const createCursorCodec = (keys: EntrySettings['cursorKeys']): CursorSigner => ({
   sign: (cursor) => signCursor(cursor, keys),
   verify: (text) => verifyCursor(text, keys),
 });
--- a/src/programs/gateway/_lib/startEndpoints/index.ts
+++ b/src/programs/gateway/_lib/startEndpoints/index.ts
@@ -1,6 +1,10 @@
 import { Hono } from 'hono';
 import { err, ok, type Result } from 'neverthrow';
-import { startCallerServer, type CallerServer, type ListenError } from '../../../../adapters/http';
+import {
+  startCallerServer,
+  type ListeningServer,
+  type ListenError,
+} from '../../../../adapters/http';
 import { createGatewayHandlers, startGatewayServer } from '../../../../adapters/connect';
 import { CALLS } from '../../../../../platform';
 import type { GatewaySettings } from '../../../../domain/forwarding';
@@ -57,7 +61,7 @@
   metricsApp.get('/metrics', async (call) =>
     call.body(await metrics.render(), READY_STATUS, { 'content-type': metrics.contentType }),
   );
-  const servers: CallerServer[] = [];
+  const servers: ListeningServer[] = [];
   const stop = async (): Promise<void> => {
     await Promise.all(servers.map((server) => server.stop()));
   };
--- a/src/programs/gateway/_lib/wireRetries/index.ts
+++ b/src/programs/gateway/_lib/wireRetries/index.ts
@@ -12,7 +12,7 @@
 /** What the parts work with. */
 export interface RetryPartsDependencies {
   readonly bounds: GatewayBounds;
-  readonly calls: Pick<GatewayClient, 'askRetry'>;
+  readonly calls: Pick<GatewayClient, 'borrowRetry'>;
   readonly clock: Clock;
   readonly gossip: Pick<Gossip, 'countVms' | 'drawAddresses'>;
   readonly log: EventLog;
@@ -37,7 +37,7 @@
     retries,
     log,
     drawPeers: gossip.drawAddresses,
-    askPeer: calls.askRetry,
+    askPeer: calls.borrowRetry,
   });
   return { retries, lender };
 };
