--- a/src/adapters/engine/_lib/buildAttemptBody/index.ts
+++ b/src/adapters/engine/_lib/buildAttemptBody/index.ts
@@ -1,6 +1,6 @@
 import type { AttemptStart } from '../../../../application/ports';
 
-/** Fields of the caller that would contradict the attempt's own. */
+/** Fields of the caller's body that conflict with fields of the attempt. */
 const REPLACED_FIELDS: ReadonlySet<string> = new Set([
   'max_completion_tokens',
   'stream_options',
@@ -8,10 +8,10 @@
 ]);
 
 /**
- * Builds the JSON body of an attempt: the caller's, with the engine protocol's fields set.
+ * Builds the JSON body of an attempt: the caller's body with the fields of the engine protocol.
  *
- * @param start - Attempt to send.
- * @returns Body for the engine.
+ * @param start - Attempt to start.
+ * @returns Body to send to the engine.
  */
 export const buildAttemptBody = (start: AttemptStart): Readonly<Record<string, unknown>> => ({
   ...Object.fromEntries(
--- a/src/adapters/engine/_lib/callEngine/index.ts
+++ b/src/adapters/engine/_lib/callEngine/index.ts
@@ -8,17 +8,17 @@
   readonly url: string;
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly body: Readonly<Record<string, unknown>> | null;
-  /** Longest wait for the answer's head; 0 means none. */
+  /** Longest wait for the answer's headers; 0 means no timeout. */
   readonly headersTimeoutMs: number;
   readonly signal: AbortSignal | null;
 }
 
 /**
- * Calls a backend server and gives the answer's head with its body unread.
+ * Calls a backend server and returns the answer with its body unread.
  *
  * @param dispatcher - Connections to use.
- * @param call - Call to make.
- * @returns Answer of any status, or `not-started` or `broken`.
+ * @param call - Call to send.
+ * @returns The answer of any status, or `not-started` or `broken`.
  */
 export const callEngine = async (
   dispatcher: Dispatcher,
--- a/src/adapters/engine/_lib/convertCallError/index.ts
+++ b/src/adapters/engine/_lib/convertCallError/index.ts
@@ -1,7 +1,7 @@
 import type { EngineError } from '../../../../application/ports';
 
-/** Codes of failures that happen before any byte of the request can have left. */
-const UNSENT_CODES: ReadonlySet<string> = new Set([
+/** Error codes of failures to connect, before any byte of the request was sent. */
+const NOT_CONNECTED_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
   'ENETUNREACH',
@@ -16,16 +16,16 @@
 };
 
 /**
- * Converts what a failed HTTP call threw.
+ * Converts the error of a failed HTTP call.
  *
- * Only failures to connect count as not started. A reset may come after the engine has read the
- * request, and calling that "not started" would let non-idempotent work run twice.
+ * Only failures to connect count as not started. A connection reset may happen after the engine has
+ * read the request; as `not-started` it would let non-idempotent work run twice.
  *
- * @param error - What the HTTP client threw.
- * @returns `not-started` or `broken`, with the system's code as reason.
+ * @param error - Error that the HTTP client threw.
+ * @returns `not-started` or `broken`, with the system's error code as reason.
  */
 export const convertCallError = (error: unknown): EngineError => {
   const code = readCode(error);
-  if (UNSENT_CODES.has(code)) return { kind: 'not-started', reason: code, retryAfterMs: 0 };
+  if (NOT_CONNECTED_CODES.has(code)) return { kind: 'not-started', reason: code, retryAfterMs: 0 };
   return { kind: 'broken', reason: code || 'call failed' };
 };
--- a/src/adapters/engine/_lib/convertStatus/index.ts
+++ b/src/adapters/engine/_lib/convertStatus/index.ts
@@ -1,7 +1,7 @@
 import type { Dispatcher } from 'undici';
 import type { EngineError } from '../../../../application/ports';
 
-/** Longest part of an engine's own message that is passed on. */
+/** Length to which an engine's error message is truncated. */
 const MAX_MESSAGE_CHARACTERS = 200;
 
 type StatusHandler = (response: Dispatcher.ResponseData) => Promise<EngineError>;
@@ -42,7 +42,7 @@
   return { kind: 'broken', reason: `status ${response.statusCode}` };
 };
 
-/** What each status means when an attempt is started. */
+/** Error by status of a call that starts an attempt. */
 const START_HANDLERS: Readonly<Record<number, StatusHandler>> = {
   400: buildRejected,
   404: buildRejected,
@@ -53,7 +53,7 @@
   503: buildNotStarted,
 };
 
-/** What each status means when an existing stream is read again. */
+/** Error by status of a call that resumes an existing stream. */
 const RESUME_HANDLERS: Readonly<Record<number, StatusHandler>> = {
   404: buildStreamGone,
   410: buildStreamGone,
@@ -63,11 +63,11 @@
 const HANDLERS = { start: START_HANDLERS, resume: RESUME_HANDLERS } as const;
 
 /**
- * Converts an engine's refusal by its status; reads the body to its end.
+ * Converts an engine's error status to an error; reads the body to its end.
  *
- * @param purpose - Whether the call would have started work, or read work that exists.
+ * @param purpose - Whether the call was to start work or to resume an existing stream.
  * @param response - Answer with a status other than 2xx.
- * @returns The error; `broken` for each status that does not say what happened.
+ * @returns The error; `broken` for each status that leaves open whether the work ran.
  */
 export const convertStatus = (
   purpose: keyof typeof HANDLERS,
--- a/src/adapters/engine/_lib/openStream/index.ts
+++ b/src/adapters/engine/_lib/openStream/index.ts
@@ -5,44 +5,44 @@
 import { convertStatus } from '../convertStatus';
 import { readBatches } from '../readBatches';
 
-/** How a stream is opened. */
-export interface StreamOpening {
+/** Options of a stream that is opened. */
+export interface StreamOptions {
   readonly purpose: 'start' | 'resume';
   readonly call: Omit<EngineCall, 'signal' | 'headersTimeoutMs'>;
   readonly firstOffset: number;
 }
 
 /**
- * Longest wait for the head of a stream's answer. The generations' own detection acts far sooner;
- * this only ends calls that nobody waits for any more, so that sockets do not pile up.
+ * Longest wait for the headers of a stream. Failure detection of the generations acts far sooner;
+ * this timeout only ends abandoned calls, so that their sockets do not accumulate.
  */
 const HEADERS_TIMEOUT_MS = 120_000;
 
 /**
- * Opens a stream of an engine and reads it as batches.
+ * Opens a stream of an engine and reads it as token batches.
  *
  * @param dispatcher - Connections to use.
- * @param opening - Call and offset to begin at.
- * @returns The stream, or why there is none.
+ * @param options - Call and first offset.
+ * @returns The stream, or the error that prevented it.
  */
 export const openStream = async (
   dispatcher: Dispatcher,
-  opening: StreamOpening,
+  options: StreamOptions,
 ): Promise<Result<EngineStream, EngineError>> => {
   const abort = new AbortController();
   const response = await callEngine(dispatcher, {
-    ...opening.call,
+    ...options.call,
     headersTimeoutMs: HEADERS_TIMEOUT_MS,
     signal: abort.signal,
   });
   if (response.isErr()) return err(response.error);
   if (response.value.statusCode !== 200) {
-    return err(await convertStatus(opening.purpose, response.value));
+    return err(await convertStatus(options.purpose, response.value));
   }
-  // Without a listener an abort between two reads would surface as an unhandled error event.
+  // Without a listener, an abort between two reads would cause an unhandled error event.
   response.value.body.on('error', () => undefined);
   return ok({
-    batches: readBatches(response.value.body, opening.firstOffset, abort.signal),
+    batches: readBatches(response.value.body, options.firstOffset, abort.signal),
     detach: () => abort.abort(),
   });
 };
--- a/src/adapters/engine/_lib/parseSseEvents/index.ts
+++ b/src/adapters/engine/_lib/parseSseEvents/index.ts
@@ -1,10 +1,10 @@
-/** One server-sent event; fields that the engine protocol does not use are dropped. */
+/** One server-sent event, without the fields that the engine protocol does not use. */
 export interface SseEvent {
   readonly id: string;
   readonly data: string;
 }
 
-/** Longest event accepted: an engine that never ends an event must not fill the memory. */
+/** Longest event accepted, so that an engine that never ends an event cannot exhaust memory. */
 const MAX_EVENT_CHARACTERS = 1_000_000;
 
 const parseEvent = (text: string): SseEvent => {
@@ -21,11 +21,11 @@
 /**
  * Parses a body of server-sent events.
  *
- * An event counts only once the empty line after it has arrived: one that a broken connection cut
- * in its middle is dropped, since its tokens could be incomplete.
+ * An event is complete only after its terminating empty line. An event that a broken connection
+ * truncates is dropped, since its tokens could be incomplete.
  *
- * @param body - Chunks of UTF-8 bytes, cut anywhere.
- * @returns Events with data, in order; throws what the body throws, or on an endless event.
+ * @param body - Chunks of UTF-8 bytes, split at any position.
+ * @returns Events with data, in order; throws if the body throws or an event is too long.
  */
 export async function* parseSseEvents(body: AsyncIterable<Uint8Array>): AsyncGenerator<SseEvent> {
   const decoder = new TextDecoder();
--- a/src/adapters/engine/_lib/parseTokenBatch/index.ts
+++ b/src/adapters/engine/_lib/parseTokenBatch/index.ts
@@ -30,13 +30,13 @@
 };
 
 /**
- * Parses one event of an engine's stream and checks that it follows on exactly.
+ * Parses one event of an engine's stream and checks that its offset follows the previous event.
  *
- * A gap or an overlap would become a missing or repeated token in the caller's answer without any
- * other sign, so it is an error here and the attempt ends.
+ * A gap or an overlap would silently become a missing or repeated token in the caller's answer, so
+ * it is an error that ends the attempt.
  *
  * @param event - Event with data other than `[DONE]`.
- * @param expectedOffset - Tokens that came before it.
+ * @param expectedOffset - Number of tokens before the event.
  * @returns The batch, or the reason why the event is malformed.
  */
 export const parseTokenBatch = (
@@ -53,7 +53,7 @@
   const reported = Number(event.id);
   if (event.id === '' ? tokenIds.length > 0 : reported !== offsetAfter) {
     return err(
-      `offset ${event.id || 'missing'} after ${expectedOffset} and ${tokenIds.length} tokens`,
+      `event id ${event.id || 'missing'} after offset ${expectedOffset} and ${tokenIds.length} tokens`,
     );
   }
   const finishReason = typeof choice.finish_reason === 'string' ? choice.finish_reason : null;
--- a/src/adapters/engine/_lib/readBatches/index.ts
+++ b/src/adapters/engine/_lib/readBatches/index.ts
@@ -8,12 +8,12 @@
   err({ kind: 'broken', reason });
 
 /**
- * Reads an engine's stream as batches with checked offsets.
+ * Reads an engine's stream as token batches and checks that their offsets are contiguous.
  *
  * @param body - Body of a `text/event-stream` answer.
- * @param firstOffset - Offset at which the stream was asked to begin.
+ * @param firstOffset - Offset from which the stream was requested.
  * @param signal - Aborted when the reader has detached.
- * @returns Batches; the last has a finish reason, or one error follows.
+ * @returns Batches; the last one has a finish reason or is followed by one error.
  */
 export async function* readBatches(
   body: AsyncIterable<Uint8Array>,
--- a/src/adapters/engine/createHttpEngineClient/index.ts
+++ b/src/adapters/engine/createHttpEngineClient/index.ts
@@ -9,20 +9,20 @@
 import { parseCacheEvents } from '../_lib/parseCacheEvents';
 import { parseLoadReport } from '../_lib/parseLoadReport';
 
-/** What the client of the engines needs. */
+/** Dependencies of the engine client. */
 export interface HttpEngineClientDependencies {
   readonly clock: Clock;
 }
 
-/** The client with its connections, which its owner closes. */
+/** Engine client; `close` closes its connections. */
 export interface HttpEngineClient extends EngineClient {
   close(): Promise<void>;
 }
 
-/** Connections inside one region open within a few milliseconds; a longer wait means a dead host. */
+/** Connections within a region open in a few milliseconds; after this time the host is dead. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** Wait for short answers (load, cache events, orders, probes). */
+/** Timeout of short calls: load, cache events, orders, cancellations and probes. */
 const SHORT_CALL_TIMEOUT_MS = 2_000;
 
 const ENDPOINT_PATHS = {
@@ -30,23 +30,23 @@
   [Endpoint.Completion]: '/v1/completions',
 } as const;
 
-const MALFORMED: EngineError = { kind: 'broken', reason: 'malformed answer' };
+const MALFORMED_RESPONSE: EngineError = { kind: 'broken', reason: 'malformed answer' };
 
 /**
  * Creates the client of the engine protocol over HTTP.
  *
- * @param dependencies - Clock for the times of reports.
- * @returns Client; its owner closes it.
+ * @param dependencies - Clock for the timestamps of load reports.
+ * @returns Client, to be closed by the caller.
  */
 export const createHttpEngineClient = ({
   clock,
 }: HttpEngineClientDependencies): HttpEngineClient => {
   const options = { connect: { timeout: CONNECT_TIMEOUT_MS } };
   const pooled = new Agent(options);
-  // A request on a kept connection that the server closes at that moment fails without a sign
-  // of whether it ran. Non-idempotent work cannot be sent again then, so it gets a connection of
-  // its own, where a failure to connect surely means that nothing was sent.
-  const fresh = new Agent({ ...options, pipelining: 0 });
+  // If the server closes a keep-alive connection just as a request is sent, the error does not tell
+  // whether the request ran. Non-idempotent work could then not be retried, so it gets a new
+  // connection, where a failure to connect proves that nothing was sent.
+  const unpooled = new Agent({ ...options, pipelining: 0 });
 
   const callShort = async (
     url: string,
@@ -70,13 +70,13 @@
     try {
       return ok(await response.value.body.json());
     } catch {
-      return err(MALFORMED);
+      return err(MALFORMED_RESPONSE);
     }
   };
 
   return {
     startAttempt: (server, start) =>
-      openStream(start.request.idempotent ? pooled : fresh, {
+      openStream(start.request.idempotent ? pooled : unpooled, {
         purpose: 'start',
         call: {
           url: `${server.url}${ENDPOINT_PATHS[start.request.endpoint]}`,
@@ -108,14 +108,14 @@
       const body = await readJson(`${server.url}/load`);
       return body.andThen((value) => {
         const report = parseLoadReport(value, server.name, clock.readMonotonicMs());
-        return report ? ok(report) : err(MALFORMED);
+        return report ? ok(report) : err(MALFORMED_RESPONSE);
       });
     },
     listCacheEvents: async (server, afterSequence) => {
       const body = await readJson(`${server.url}/cache-events?after=${afterSequence}`);
       return body.andThen((value) => {
         const events = parseCacheEvents(value);
-        return events ? ok(events) : err(MALFORMED);
+        return events ? ok(events) : err(MALFORMED_RESPONSE);
       });
     },
     sendOrder: async (server, order) => {
@@ -138,13 +138,13 @@
       const response = await callShort(`${server.url}/health`, 'GET');
       if (response.isErr()) return err(response.error);
       await response.value.body.dump().catch(() => undefined);
-      // A plain service need not know this path: whatever is not a server error is an answer.
+      // A plain service may not serve this path, so any status below 500 counts as alive.
       return response.value.statusCode < 500
         ? ok()
         : err({ kind: 'broken', reason: `status ${response.value.statusCode}` });
     },
     close: async () => {
-      await Promise.all([pooled.destroy(), fresh.destroy()]);
+      await Promise.all([pooled.destroy(), unpooled.destroy()]);
     },
   };
 };
--- a/src/adapters/engine/createHttpEngineClient/test.ts
+++ b/src/adapters/engine/createHttpEngineClient/test.ts
@@ -30,7 +30,7 @@
   return { batches, end: 'finished' };
 };
 
-/** Runs a client against a server that answers as the test says; closes both. */
+/** Runs a client against a server with the given answer, and closes both. */
 const withServer = async <T>(
   answer: (response: ServerResponse) => void,
   run: (
@@ -67,7 +67,7 @@
     async (client, server) => readAll((await client.startAttempt(server, START))._unsafeUnwrap()),
   );
 
-test('a stream is read on from its prefix, however its bytes are cut', async (t) => {
+test('a stream continues after its prefix, wherever its bytes are split', async (t) => {
   const bytes = Buffer.from(`${formatEvent('3', [1])}${formatEvent('5', [2, 3], 'stop')}`);
   const { batches, end } = await readStart((response) => {
     [...bytes].forEach((byte) => response.write(Buffer.from([byte])));
@@ -83,10 +83,10 @@
   );
 });
 
-// Symptom: a token of the answer is cut short, missing or doubled.
-// Sequence: the connection breaks inside an event; an engine skips or repeats an offset.
-// Cause: events that are passed on before they are whole, or without a look at their offset.
-test('a cut event is dropped, and a gap, an overlap and bad JSON end the stream', async (t) => {
+// Guards against truncated, missing and duplicate tokens in the answer. They come about if an event
+// is forwarded before it is complete, or without a check of its offset, when the connection breaks
+// inside an event or an engine skips or repeats an offset.
+test('a truncated event is dropped, and a gap, an overlap and bad JSON end the stream', async (t) => {
   const cut = formatEvent('4', [2]);
   const endings = [cut.slice(0, -4), formatEvent('5', [2]), formatEvent('3', [2]), 'data: {\n\n'];
   for (const ending of endings) {
@@ -98,10 +98,10 @@
   }
 });
 
-// Symptom: a caller is told "not run" of work that ran, or it runs twice.
-// Sequence: the engine refuses, is not there, or breaks the connection after the request.
-// Cause: failures after the send that are taken for failures before it.
-test('only what surely did not start counts as not started', async (t) => {
+// Guards against work that is reported as not run although it ran, or that runs twice. Both come
+// about if a failure after the request was sent is taken for one before: the engine refuses the
+// request, is unreachable, or breaks the connection after the request.
+test('only attempts that provably did not start are reported as not started', async (t) => {
   const statuses = { 429: 'not-started', 503: 'not-started', 400: 'rejected', 500: 'broken' };
   for (const [status, kind] of Object.entries(statuses)) {
     const answer = (response: ServerResponse) =>
--- a/src/adapters/platform-http/_lib/createAnswerCollector/index.ts
+++ b/src/adapters/platform-http/_lib/createAnswerCollector/index.ts
@@ -1,21 +1,21 @@
 import type { Dispatcher } from 'undici';
 
-/** Answer of one of the platform's services, of any status. */
+/** Answer of one of the platform's services, with any status. */
 export interface PlatformAnswer {
   readonly status: number;
   readonly content: Uint8Array;
 }
 
-/** Collects one answer, and knows whether the request's bytes may have left. */
+/** Collects one answer, and records whether the request may have been sent. */
 export interface AnswerCollector {
   readonly handler: Dispatcher.DispatchHandler;
   readonly answer: Promise<PlatformAnswer>;
-  isStarted(): boolean;
-  /** Ends the request; one that waits for a connection is never sent afterwards. */
+  isSent(): boolean;
+  /** Aborts the request; a request still queued for a connection is never sent. */
   abort(reason: Error): void;
 }
 
-/** Creates a collector of one answer of undici. */
+/** Creates a collector of one answer, as a handler of undici's dispatch. */
 export function createAnswerCollector(): AnswerCollector {
   let controller: Dispatcher.DispatchController | null = null;
   let abortReason: Error | null = null;
@@ -25,24 +25,24 @@
   const answer = new Promise<PlatformAnswer>((resolve, reject) => {
     settle = { resolve, reject };
   });
-  // A deadline that passes while the request is still being signed rejects before anyone awaits,
-  // which would end the process as an unhandled rejection; who awaits later still gets it.
+  // If the deadline passes while the request is being signed, the promise rejects before anything
+  // awaits it, and the unhandled rejection would end the process. A later `await` still throws.
   answer.catch(() => {});
   return {
     answer,
-    isStarted: () => controller !== null,
+    isSent: () => controller !== null,
     abort: (reason) => {
       abortReason = reason;
       controller?.abort(reason);
       settle.reject(reason);
     },
     handler: {
-      onRequestStart: (given) => {
-        // A request whose deadline passed in the queue would else still take effect, after its
-        // caller was told that it had none: a claim nobody holds. undici sends nothing if it is
-        // aborted here.
-        if (abortReason === null) controller = given;
-        else given.abort(abortReason);
+      onRequestStart: (newController) => {
+        // A request whose deadline passed in the queue would otherwise still take effect after its
+        // caller was told that it had none, for example as a claim without a holder. undici sends
+        // nothing if the request is aborted here.
+        if (abortReason === null) controller = newController;
+        else newController.abort(abortReason);
       },
       onResponseStart: (_, statusCode) => {
         status = statusCode;
--- a/src/adapters/platform-http/createPlatformClient/index.ts
+++ b/src/adapters/platform-http/createPlatformClient/index.ts
@@ -12,26 +12,26 @@
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string | Uint8Array<ArrayBuffer>;
-  /** Service that the signature names; null for an unsigned request. */
+  /** Service named in the signature; null for an unsigned request. */
   readonly service: 'dynamodb' | 's3' | null;
-  /** A lost answer of a write is `ambiguous`, of a read merely `unavailable`. */
+  /** Whether the request writes: the lost answer of a write is `ambiguous`, not `unavailable`. */
   readonly write: boolean;
 }
 
 /** Sends requests to one of the platform's services. */
 export interface PlatformClient {
   /**
-   * Sends one request, signed, with a deadline over the whole call. Never repeats it.
+   * Signs and sends one request, with a deadline for the whole call and without retries.
    *
-   * @returns the answer of any status, or an error: `ambiguous` for a write whose bytes may have
-   * left, else `unavailable`
+   * @returns the answer of any status, or an error: `ambiguous` for a write that may have been
+   * sent, else `unavailable`
    */
   sendRequest(sent: PlatformRequest): Promise<Result<PlatformAnswer, StoreError>>;
 }
 
 type Headers = Readonly<Record<string, string>>;
 
-/** Formats a time as AWS signatures carry it: ISO 8601 without punctuation and milliseconds. */
+/** Formats a time for AWS signatures: ISO 8601 without punctuation and milliseconds. */
 const formatSignatureTime = (wallMs: number): string =>
   new Date(wallMs).toISOString().replace(/[:-]|\.\d{3}/g, '');
 
@@ -52,7 +52,7 @@
   return headers as Headers;
 }
 
-/** Creates a client of one of the platform's services. */
+/** Creates the client of one of the platform's services. */
 export function createPlatformClient(
   settings: PlatformSettings,
   dependencies: PlatformDependencies,
@@ -75,7 +75,7 @@
         return ok(await collector.answer);
       } catch (error) {
         const reason = error instanceof Error ? error.message : 'the call failed';
-        return collector.isStarted() && sent.write
+        return collector.isSent() && sent.write
           ? err({ kind: 'ambiguous', reason })
           : err({ kind: 'unavailable', reason, retryAfterMs: DEFAULT_RETRY_AFTER_MS });
       } finally {
--- a/src/adapters/platform-http/createPlatformDispatcher/index.ts
+++ b/src/adapters/platform-http/createPlatformDispatcher/index.ts
@@ -2,12 +2,13 @@
 import { DEFAULT_DEADLINE_MS } from '../constants';
 
 /**
- * Connections to each of the platform's services. The platform takes several hundred writes and
- * two thousand reads a second from all VMs; at a few milliseconds a call, 16 carry more than that.
+ * Connections to each of the platform's services. The platform accepts several hundred writes and
+ * two thousand reads per second from all VMs; at a few milliseconds per call, 16 connections are
+ * enough for all of these.
  */
 const MAX_CONNECTIONS = 16;
 
-/** Creates the connections to the platform; the program closes them at its end. */
+/** Creates the connection pool to the platform; the program closes it at exit. */
 export function createPlatformDispatcher(): Agent {
   return new Agent({
     connections: MAX_CONNECTIONS,
--- a/src/adapters/platform-http/types.ts
+++ b/src/adapters/platform-http/types.ts
@@ -8,15 +8,15 @@
   readonly region: string;
 }
 
-/** Settings of a client of one of the platform's services. */
+/** Settings of the client of one of the platform's services. */
 export interface PlatformSettings extends PlatformCredentials {
   /** Base URL, `http://ip:port`. */
   readonly endpoint: string;
-  /** Time for a whole call, milliseconds; `DEFAULT_DEADLINE_MS` if absent. */
+  /** Deadline of a whole call, in milliseconds; default `DEFAULT_DEADLINE_MS`. */
   readonly deadlineMs?: number;
 }
 
-/** What a client of the platform's services needs. */
+/** Dependencies of the client of one of the platform's services. */
 export interface PlatformDependencies {
   readonly clock: Clock;
   readonly dispatcher: Dispatcher;
