--- a/src/adapters/settings/readSecret/index.ts
+++ b/src/adapters/settings/readSecret/index.ts
@@ -1,7 +1,7 @@
 import { readFileSync } from 'node:fs';
 import { err, ok, type Result } from 'neverthrow';
 
-/** Why a secret could not be read; never holds the secret. */
+/** Error of a secret that could not be read; never contains the secret. */
 export interface SecretError {
   readonly kind: 'unreadable-secret';
   readonly reason: string;
@@ -11,10 +11,12 @@
 
 const readVariable = (name: string): Result<string, SecretError> => {
   const value = process.env[name];
-  return value === undefined ? err(buildError(`no environment variable ${name}`)) : ok(value);
+  return value === undefined
+    ? err(buildError(`environment variable ${name} is not set`))
+    : ok(value);
 };
 
-/** Read while a process starts, before it serves anything, so that blocking harms nobody. */
+/** Reads a secret synchronously: a process reads secrets only before it begins to serve. */
 const readSecretFile = (path: string): Result<string, SecretError> => {
   try {
     return ok(readFileSync(path, 'utf8').trim());
@@ -23,7 +25,7 @@
   }
 };
 
-const READERS: readonly {
+const READER_BY_PREFIX: readonly {
   readonly prefix: string;
   readonly read: (name: string) => Result<string, SecretError>;
 }[] = [
@@ -32,7 +34,7 @@
 ];
 
 /**
- * Reads a secret that a setting names.
+ * Reads the secret that a setting refers to.
  *
  * @param value - `env:NAME`, `file:PATH`, or the secret itself
  *
@@ -40,6 +42,6 @@
  * readSecret('file:/run/jackdaw/cursor.key');
  */
 export const readSecret = (value: string): Result<string, SecretError> => {
-  const reader = READERS.find(({ prefix }) => value.startsWith(prefix));
+  const reader = READER_BY_PREFIX.find(({ prefix }) => value.startsWith(prefix));
   return reader === undefined ? ok(value) : reader.read(value.slice(reader.prefix.length));
 };
--- a/src/adapters/settings/schemas.ts
+++ b/src/adapters/settings/schemas.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import { readSecret } from './readSecret';
 
-/** A setting that is a secret: `env:NAME`, `file:PATH`, or the value itself. */
+/** A secret: `env:NAME`, `file:PATH`, or the value itself. */
 export const SecretSchema = z.string().transform((value, context) => {
   const secret = readSecret(value);
   if (secret.isOk()) return secret.value;
@@ -11,10 +11,10 @@
 
 const PortSchema = z.int().min(0).max(65_535);
 
-/** Where a server listens. */
+/** Address on which a server listens. */
 export const ListenSchema = z.strictObject({ host: z.string().min(1), port: PortSchema });
 
-/** This VM, as the platform placed it. */
+/** This VM's name and place. */
 export const VmSchema = z
   .strictObject({
     name: z.string().min(1),
@@ -48,15 +48,15 @@
   secretAccessKey: input.secret_access_key,
 });
 
-/** The platform's table. */
+/** Settings of the platform's table. */
 export const TableSchema = z
   .strictObject({ ...CREDENTIALS_SHAPE, name: z.string().min(1) })
   .transform((table) => ({ ...convertCredentials(table), tableName: table.name }));
 
-/** The platform's object store. */
+/** Settings of the platform's object store. */
 export const ObjectsSchema = z
   .strictObject({ ...CREDENTIALS_SHAPE, bucket: z.string().min(1) })
   .transform((objects) => ({ ...convertCredentials(objects), bucket: objects.bucket }));
 
-/** The platform's list of VMs. */
+/** Settings of the platform's VM list. */
 export const VmListSchema = z.strictObject({ endpoint: z.url() });
--- a/src/adapters/toml/_lib/buildConfiguration/index.ts
+++ b/src/adapters/toml/_lib/buildConfiguration/index.ts
@@ -9,21 +9,21 @@
 } from '../../../../domain/types';
 import type { ConfigurationDocument } from '../configurationSchema';
 
-/** Deadlines to the first token or answer byte, by class: a lookup's caller waits a few seconds. */
+/** Default deadline to the first token or byte, by work class; a lookup's caller waits seconds. */
 const DEFAULT_TIMEOUT_MS = {
   [WorkClass.Lookup]: 5_000,
   [WorkClass.Long]: 600_000,
   [WorkClass.Plain]: 30_000,
 } as const;
 
-/** Output lengths that fit a status line and a long review. */
+/** Default output limit by work class: a status line for a lookup, a long review for long work. */
 const DEFAULT_MAX_OUTPUT_TOKENS = {
   [WorkClass.Lookup]: 256,
   [WorkClass.Long]: 16_384,
   [WorkClass.Plain]: 0,
 } as const;
 
-function listNamed<Value>(record: Readonly<Record<string, Value>>): readonly (Value & Named)[] {
+function listWithNames<Value>(record: Readonly<Record<string, Value>>): readonly (Value & Named)[] {
   return sortByName(Object.entries(record).map(([name, value]) => ({ name, ...value })));
 }
 
@@ -41,7 +41,7 @@
     model: written.model ?? (isModel ? written.name : ''),
     modelVersion: written.model_version,
     adapter: written.adapter,
-    // A plain service may bill or send: unless told otherwise, each call runs at most once.
+    // A call of a plain service may have side effects, so by default it runs at most once.
     idempotent: written.idempotent ?? isModel,
     timeoutMs: written.timeout_ms ?? DEFAULT_TIMEOUT_MS[workClass],
     maxOutputTokens: written.max_output_tokens ?? DEFAULT_MAX_OUTPUT_TOKENS[workClass],
@@ -70,18 +70,18 @@
   };
 }
 
-/** Builds the domain's configuration from a checked document. */
+/** Builds the domain's configuration from a validated document. */
 export function buildConfiguration(document: ConfigurationDocument): Configuration {
   return {
     deployment: document.deployment.name,
     survival: document.deployment.survival,
-    places: listNamed(document.places).map(({ name, region, availability_zones: zones }) => ({
+    places: listWithNames(document.places).map(({ name, region, availability_zones: zones }) => ({
       name,
       region,
       availabilityZones: zones,
     })),
-    services: listNamed(document.services).map(buildService),
-    backendServers: listNamed(document.backend_servers).map((written) => ({
+    services: listWithNames(document.services).map(buildService),
+    backendServers: listWithNames(document.backend_servers).map((written) => ({
       name: written.name,
       url: written.url,
       region: written.region,
@@ -90,14 +90,14 @@
       slots: written.slots,
       checksFencing: written.checks_fencing,
     })),
-    workspaces: listNamed(document.workspaces).map((written) => ({
+    workspaces: listWithNames(document.workspaces).map((written) => ({
       name: written.name,
       keyDigests: written.key_digests,
       services: written.services,
       places: written.places,
       weight: written.weight,
     })),
-    placementRules: listNamed(document.placement_rules),
+    placementRules: listWithNames(document.placement_rules),
     engineTargets: listEngineTargets(document.engine_targets),
     limits: buildLimits(document.limits),
   };
--- a/src/adapters/toml/_lib/configurationSchema/index.ts
+++ b/src/adapters/toml/_lib/configurationSchema/index.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_LIMITS } from '../../../../domain/configuration';
 import { ServiceKind, SurvivalMode, WorkClass } from '../../../../domain/types';
 
-/** Longest name, so that names fit into log lines and table keys. */
+/** Limit on names, so that they fit into log lines and table keys. */
 const MAX_NAME_CHARACTERS = 64;
 
 const nameSchema = z
@@ -15,13 +15,13 @@
   message: 'names one item twice',
 });
 
-const atLeastOneName = namesSchema.min(1, 'must name at least one');
+const nonEmptyNamesSchema = namesSchema.min(1, 'must name at least one');
 
 const keyDigestSchema = z
   .string()
   .regex(/^[0-9a-f]{64}$/, 'must be a SHA-256 digest: 64 lower-case hex characters');
 
-/** Only plain base URLs by IP number: the data path does no name resolution. */
+/** Accepts only base URLs with an IP address: the data path does no name resolution. */
 function isBaseUrl(text: string): boolean {
   const match = /^https?:\/\/(\[[^\]/]+\]|[^:/[\]]+)(?::(\d{1,5}))?$/.exec(text);
   if (match === null) {
@@ -33,11 +33,11 @@
 
 const fractionSchema = z.number().min(0).max(1);
 const countSchema = z.int().min(0);
-const positiveSchema = z.int().min(1);
+const positiveCountSchema = z.int().min(1);
 
 const placeSchema = z.strictObject({
   region: nameSchema,
-  availability_zones: atLeastOneName,
+  availability_zones: nonEmptyNamesSchema,
 });
 
 const serviceSchema = z.strictObject({
@@ -47,30 +47,30 @@
   model_version: z.string().default(''),
   adapter: z.string().default(''),
   idempotent: z.boolean().optional(),
-  timeout_ms: positiveSchema.optional(),
-  max_output_tokens: positiveSchema.optional(),
+  timeout_ms: positiveCountSchema.optional(),
+  max_output_tokens: positiveCountSchema.optional(),
 });
 
 const backendServerSchema = z.strictObject({
   url: z.string().refine(isBaseUrl, 'must be http(s)://IP:PORT, by IP number and without a path'),
   region: nameSchema,
   availability_zone: nameSchema,
-  services: atLeastOneName,
-  slots: positiveSchema,
+  services: nonEmptyNamesSchema,
+  slots: positiveCountSchema,
   checks_fencing: z.boolean().default(false),
 });
 
 const workspaceSchema = z.strictObject({
   key_digests: z.array(keyDigestSchema).min(1, 'must hold at least one'),
-  services: atLeastOneName,
-  places: atLeastOneName,
+  services: nonEmptyNamesSchema,
+  places: nonEmptyNamesSchema,
   weight: z.number().positive().default(1),
 });
 
 const placementRuleSchema = z.strictObject({
   workspaces: namesSchema.default([]),
   services: namesSchema.default([]),
-  places: atLeastOneName,
+  places: nonEmptyNamesSchema,
 });
 
 const loadedModelSchema = z.strictObject({
@@ -80,13 +80,13 @@
 });
 
 const engineTargetSchema = z.strictObject({
-  backend_servers: atLeastOneName,
+  backend_servers: nonEmptyNamesSchema,
   models: z.array(loadedModelSchema),
   role: z.string().min(1).default('serve'),
 });
 
 const limitsSchema = z.strictObject({
-  max_body_bytes: positiveSchema.default(DEFAULT_LIMITS.maxBodyBytes),
+  max_body_bytes: positiveCountSchema.default(DEFAULT_LIMITS.maxBodyBytes),
   max_queued_long: countSchema.default(DEFAULT_LIMITS.maxQueuedLong),
   lookup_reserve: fractionSchema.default(DEFAULT_LIMITS.lookupReserve),
   retry_budget: fractionSchema.default(DEFAULT_LIMITS.retryBudget),
@@ -107,5 +107,5 @@
   limits: limitsSchema.prefault({}),
 });
 
-/** A configuration folder as written, checked value by value. */
+/** A configuration folder as written, with each value validated by itself. */
 export type ConfigurationDocument = z.output<typeof configurationSchema>;
--- a/src/adapters/toml/_lib/findOrigin/index.ts
+++ b/src/adapters/toml/_lib/findOrigin/index.ts
@@ -5,9 +5,9 @@
 }
 
 /**
- * Finds where a key, or the nearest table around it, is defined.
+ * Finds the definition of a key, or of its nearest enclosing table.
  *
- * @returns the origin that shares most with the path (of equal ones, the last), or null
+ * @returns the origin with the longest matching path (the last of equal ones), or null
  */
 export function findOrigin(
   origins: readonly KeyOrigin[],
--- a/src/adapters/toml/_lib/isTomlTable/index.ts
+++ b/src/adapters/toml/_lib/isTomlTable/index.ts
@@ -1,6 +1,6 @@
 import type { TomlTable } from '../../types';
 
-/** Tells a table from any other TOML value. */
+/** Checks whether a TOML value is a table. */
 export function isTomlTable(value: unknown): value is TomlTable {
   return (
     typeof value === 'object' && value !== null && !Array.isArray(value) && !(value instanceof Date)
--- a/src/adapters/toml/_lib/listSchemaProblems/index.ts
+++ b/src/adapters/toml/_lib/listSchemaProblems/index.ts
@@ -7,7 +7,7 @@
 } from '../../types';
 import { findOrigin } from '../findOrigin';
 
-/** A key and what is wrong with it. */
+/** A key and the reason why its value is not valid. */
 interface Fault {
   readonly path: readonly string[];
   readonly reason: string;
@@ -36,7 +36,7 @@
   return [{ path, reason: isMissing ? `is missing (${issue.message})` : issue.message }];
 }
 
-/** Gives each fault the file and line of its key. */
+/** Builds the problem of a fault, with the file and line of its key. */
 export function buildProblem(
   fault: Fault,
   origins: readonly KeyOrigin[],
@@ -53,9 +53,9 @@
 }
 
 /**
- * Lists what a schema found wrong in a table, with file and line.
+ * Lists the schema errors of a table, with file and line.
  *
- * @param file - named where no origin is known
+ * @param file - file to name if a key's origin is not known
  */
 export function listSchemaProblems(
   error: z.ZodError,
--- a/src/adapters/toml/listTomlKeyLines/index.ts
+++ b/src/adapters/toml/listTomlKeyLines/index.ts
@@ -4,19 +4,19 @@
   readonly line: number;
 }
 
-/** How far a value that spans lines has come. */
+/** Parser state within a value that spans several lines. */
 interface ValueState {
-  /** Closing quotes of an open multi-line string, or empty. */
+  /** Closing quotes of an open multi-line string; empty outside of one. */
   readonly openQuotes: string;
-  /** Brackets and braces still open. */
+  /** Number of open brackets and braces. */
   readonly depth: number;
 }
 
-const CLOSED: ValueState = { openQuotes: '', depth: 0 };
+const NO_OPEN_VALUE: ValueState = { openQuotes: '', depth: 0 };
 const SEGMENT = /"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+/g;
 const DOTTED_KEY =
   /^(?:"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+)(?:\s*\.\s*(?:"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+))*/;
-// One step of a value: a whole string, an opening of a multi-line string, a comment, or a character.
+// A token of a value: the opening of a multi-line string, a string, a comment, a bracket or a brace.
 const VALUE_STEP = /"""|'''|"(?:[^"\\]|\\.)*"|'[^']*'|#.*|[[\]{}]/g;
 const DEPTH_CHANGES = new Map([
   ['[', 1],
@@ -35,7 +35,7 @@
   return (key.match(SEGMENT) ?? []).map(parseSegment);
 }
 
-/** Moves over the part of a value that stands on one line. */
+/** Advances the state over the part of a value on one line. */
 function updateValueState(state: ValueState, text: string): ValueState {
   if (state.openQuotes !== '') {
     const end = text.indexOf(state.openQuotes);
@@ -58,17 +58,18 @@
 /**
  * Lists the keys and table headers of a valid TOML document with their lines.
  *
- * The parser gives lines for syntax errors only, but an error in a value must name its line too.
- * Keys inside inline tables and arrays are not listed: their line is that of the outer key.
+ * The TOML parser reports lines of syntax errors only, while an invalid value must be reported with
+ * its line too. Keys inside inline tables and arrays are not listed; the outer key's line stands
+ * for them.
  *
  * @param text - TOML source
- * @returns keys in the order of the source; an index of an array of tables is a path segment
+ * @returns keys in source order; the index in an array of tables is a path segment
  */
 export function listTomlKeyLines(text: string): readonly KeyLine[] {
   const found: KeyLine[] = [];
   const arrayLengths = new Map<string, number>();
   let table: readonly string[] = [];
-  let state = CLOSED;
+  let state = NO_OPEN_VALUE;
   text.split('\n').forEach((rawLine, index) => {
     const line = rawLine.trim();
     if (state.openQuotes !== '' || state.depth > 0) {
@@ -92,7 +93,7 @@
       return;
     }
     found.push({ path: [...table, ...parseDottedKey(line)], line: index + 1 });
-    state = updateValueState(CLOSED, line.slice(line.indexOf('=') + 1));
+    state = updateValueState(NO_OPEN_VALUE, line.slice(line.indexOf('=') + 1));
   });
   return found;
 }
--- a/src/adapters/toml/mergeTomlSources/index.ts
+++ b/src/adapters/toml/mergeTomlSources/index.ts
@@ -10,16 +10,16 @@
 
 const OVERRIDE_KEY = 'override';
 
-/** Several files as one table. */
+/** Several TOML files merged into one table. */
 export interface MergedToml {
   readonly table: TomlTable;
   readonly origins: readonly KeyOrigin[];
   readonly problems: readonly ConfigurationProblem[];
 }
 
-const EMPTY: MergedToml = { table: {}, origins: [], problems: [] };
+const EMPTY_MERGE: MergedToml = { table: {}, origins: [], problems: [] };
 
-/** Lists keys that both tables set, where at least one side is not a table. */
+/** Lists the paths of keys that both tables set, unless both values are tables. */
 function listConflicts(
   before: TomlTable,
   after: TomlTable,
@@ -37,14 +37,14 @@
   });
 }
 
-/** Merges tables deeply; of two other values the later one stays. */
+/** Merges tables deeply; of two other values, the later one wins. */
 function mergeTables(before: TomlTable, after: TomlTable): TomlTable {
   const merged = Object.entries(after).map(([key, value]) => {
     const earlier = Object.hasOwn(before, key) ? before[key] : undefined;
-    const isDeep = isTomlTable(earlier) && isTomlTable(value);
-    return [key, isDeep ? mergeTables(earlier, value) : value] as const;
+    const areTables = isTomlTable(earlier) && isTomlTable(value);
+    return [key, areTables ? mergeTables(earlier, value) : value] as const;
   });
-  // fromEntries defines own properties, so that a key named `__proto__` changes no prototype.
+  // `fromEntries` defines own properties, so a key named `__proto__` does not change a prototype.
   return Object.fromEntries([...Object.entries(before), ...merged]);
 }
 
@@ -88,12 +88,12 @@
 }
 
 /**
- * Merges files in the given order: tables deeply, and no key may be set by two files.
+ * Merges files in the given order. Tables are merged deeply, and no two files may set the same key.
  *
- * A file with `override = true` at its top may set keys again; its values then stand.
+ * A file with `override = true` at its top may set existing keys; its values then win.
  *
- * @returns the merged table, and a problem for each key that is set twice, naming both places
+ * @returns the merged table, and a problem with both locations for each key that is set twice
  */
 export function mergeTomlSources(sources: readonly TomlSource[]): MergedToml {
-  return sources.reduce(addSource, EMPTY);
+  return sources.reduce(addSource, EMPTY_MERGE);
 }
--- a/src/adapters/toml/readConfigurationFolder/index.ts
+++ b/src/adapters/toml/readConfigurationFolder/index.ts
@@ -19,7 +19,7 @@
 async function listTomlFiles(folder: string): Promise<Result<readonly string[], Problems>> {
   try {
     const names = await readdir(folder);
-    // Editors leave hidden copies of open files behind; these are no part of the configuration.
+    // Hidden files are skipped, since editors leave hidden copies of open files.
     const files = names.filter((name) => name.endsWith('.toml') && !name.startsWith('.')).sort();
     return files.length > 0
       ? ok(files.map((name) => join(folder, name)))
@@ -30,7 +30,10 @@
   }
 }
 
-/** Faults of engine targets name a backend server; operators write these in named groups. */
+/**
+ * Converts the path of an engine target's fault, which names a backend server, to the named group in
+ * which the operator listed the server.
+ */
 function convertFault(
   fault: ConfigurationFault,
   document: ConfigurationDocument,
@@ -63,10 +66,10 @@
 }
 
 /**
- * Reads a configuration folder: all its `.toml` files, merged in the order of their names.
+ * Reads a configuration folder: all of its `.toml` files, merged in the order of their names.
  *
  * @param folder - path of the folder
- * @returns the checked configuration, or every problem found, each with file, line, key and reason
+ * @returns the valid configuration, or every problem found, each with file, line, key and reason
  */
 export async function readConfigurationFolder(
   folder: string,
--- a/src/adapters/toml/readConfigurationFolder/test.ts
+++ b/src/adapters/toml/readConfigurationFolder/test.ts
@@ -37,7 +37,7 @@
   return { read, lines: problems.map((one) => formatProblem(one).replace(`${folder}/`, '')) };
 }
 
-test('reads a folder with defaults, and both examples', async (t) => {
+test('a folder is read with defaults, and both examples are valid', async (t) => {
   const { read } = await readFiles(t, { '10.toml': BASE, 'notes.txt': 'not TOML' });
   const configuration = read.unwrapOr(null);
   t.is(configuration?.services[0]?.model, 'review');
@@ -48,7 +48,7 @@
   t.true((await readConfigurationFolder('examples/cymdeithas')).isOk());
 });
 
-// Each case is a file beside BASE, or in its place, and every problem it must give.
+// Each case lists the files, which extend or replace BASE, and all problems expected of them.
 const CASES: readonly (readonly [string, Readonly<Record<string, string>>, readonly string[]])[] = [
   [
     'key set twice',
@@ -138,7 +138,7 @@
   });
 });
 
-test('lets a file with override = true set keys again', async (t) => {
+test('a file with override = true may set keys of an earlier file', async (t) => {
   const { read } = await readFiles(t, {
     'a.toml': BASE,
     'b.toml': 'override = true\n[backend_servers.engine]\nslots = 9\n',
@@ -146,7 +146,7 @@
   t.is(read.unwrapOr(null)?.backendServers[0]?.slots, 9);
 });
 
-test('gives one problem for a folder that does not exist or a file that cannot be read', async (t) => {
+test('a folder that does not exist and a file that cannot be read give one problem each', async (t) => {
   const missing = await readConfigurationFolder('no-such-folder');
   t.is(missing.isErr() ? missing.error.length : 0, 1);
   const folder = await mkdtemp(join(tmpdir(), 'jackdaw-test-'));
--- a/src/adapters/toml/readSettingsFile/index.ts
+++ b/src/adapters/toml/readSettingsFile/index.ts
@@ -5,11 +5,11 @@
 import type { ConfigurationProblem } from '../types';
 
 /**
- * Reads a process's settings file.
+ * Reads the settings file of a process.
  *
  * @param file - path of the TOML file
- * @param schema - zod schema of the whole file; use `z.strictObject`, so that unknown keys are
- *   errors. Keys are snake_case; a `transform` may convert them.
+ * @param schema - Zod schema of the whole file; `z.strictObject` makes unknown keys errors. Keys
+ *   are in snake_case; a `transform` may convert them.
  * @returns the settings, or every problem with file, line, key and reason
  *
  * @example
--- a/src/adapters/toml/readTomlSource/index.ts
+++ b/src/adapters/toml/readTomlSource/index.ts
@@ -4,13 +4,16 @@
 import { listTomlKeyLines } from '../listTomlKeyLines';
 import { ProblemKind, type ConfigurationProblem, type TomlSource } from '../types';
 
-/** Gives the code of a failed file operation, which holds no path twice. */
+/** Formats a file error by its code; Node's message would repeat the path. */
 function formatFileError(error: unknown): string {
   const { code } = error as NodeJS.ErrnoException;
   return code === 'ENOENT' ? 'does not exist' : `cannot be read (${code ?? String(error)})`;
 }
 
-/** Keeps the message's first line only: the rest quotes the source, which may hold secrets. */
+/**
+ * Builds the problem of a syntax error. Keeps only the first line of the parser's message, since the
+ * others quote the source, which may contain secrets.
+ */
 function buildSyntaxProblem(file: string, error: unknown): ConfigurationProblem {
   const line = error instanceof TomlError ? error.line : 0;
   const message = error instanceof Error ? (error.message.split('\n')[0] ?? '') : String(error);
@@ -29,7 +32,7 @@
 /**
  * Reads and parses one TOML file.
  *
- * @returns the table with the lines of its keys, or the one problem that kept it from being read
+ * @returns the table with the lines of its keys, or the problem that prevented it from being read
  */
 export async function readTomlSource(
   file: string,
--- a/src/adapters/toml/types/ConfigurationProblem.ts
+++ b/src/adapters/toml/types/ConfigurationProblem.ts
@@ -1,4 +1,4 @@
-/** Kinds of problem that reading a settings or configuration file can meet. */
+/** Kinds of problem in a settings or configuration file. */
 export const ProblemKind = {
   Unreadable: 'unreadable',
   Syntax: 'syntax',
@@ -6,16 +6,16 @@
   Invalid: 'invalid',
 } as const;
 
-/** One of the kinds of problem. */
+/** Kind of a problem in a settings or configuration file. */
 export type ProblemKind = (typeof ProblemKind)[keyof typeof ProblemKind];
 
-/** One thing that is wrong in a TOML file. Never holds values, since these may be secret. */
+/** One problem in a TOML file. It never contains the value of a key, which may be secret. */
 export interface ConfigurationProblem {
   readonly kind: ProblemKind;
   readonly file: string;
-  /** Counted from 1; 0 where the source cannot tell. */
+  /** Counted from 1; 0 if the line is not known. */
   readonly line: number;
-  /** Dotted key, or empty if the whole file is meant. */
+  /** Dotted key; empty if the problem concerns the whole file. */
   readonly key: string;
   readonly reason: string;
 }
--- a/src/adapters/toml/types/KeyOrigin.ts
+++ b/src/adapters/toml/types/KeyOrigin.ts
@@ -1,4 +1,4 @@
-/** Place of a key's definition in the TOML source. */
+/** File and line in which a key is defined. */
 export interface KeyOrigin {
   readonly path: readonly string[];
   readonly file: string;
