--- a/src/adapters/log/createDecisionLog/index.ts
+++ b/src/adapters/log/createDecisionLog/index.ts
@@ -3,39 +3,42 @@
 import type { RoutingDecision } from '../../../domain/types';
 import type { LineLogger } from '../createEventLog';
 
-/** What a decision log needs. */
+/** Dependencies of the decision log. */
 export interface DecisionLogDependencies {
   readonly logger: LineLogger;
   /** Called for each decision, for the metrics. */
   readonly onDecision?: (kind: RoutingDecision['kind']) => void;
 }
 
-/** Bounds of a decision log. */
+/** Options of the decision log. */
 export interface DecisionLogOptions {
-  /** Decisions kept for `explain`; the oldest go first. Default 5000, about 3 MB. */
+  /** Number of newest decisions kept for `explain`. Default 5000, about 3 MB. */
   readonly capacity?: number;
 }
 
 const DEFAULT_CAPACITY = 5000;
 
-/** Creates the log of routing and placement decisions: one JSON line each, the newest kept. */
+/**
+ * Creates the log of routing and placement decisions. Each decision is logged as one JSON line, and
+ * the newest decisions are kept in memory.
+ */
 export const createDecisionLog = (
   { logger, onDecision }: DecisionLogDependencies,
   options: DecisionLogOptions = {},
 ): DecisionLog => {
   const capacity = options.capacity ?? DEFAULT_CAPACITY;
-  const held: RoutingDecision[] = [];
-  let next = 0;
+  const decisions: RoutingDecision[] = [];
+  let nextIndex = 0;
 
   return {
     record: (decision) => {
-      held[next] = decision;
-      next = (next + 1) % capacity;
+      decisions[nextIndex] = decision;
+      nextIndex = (nextIndex + 1) % capacity;
       onDecision?.(decision.kind);
       logger.info({ decision: decision as unknown as MessageContext }, decision.kind);
     },
     listDecisions: (requestId) =>
-      [...held.slice(next), ...held.slice(0, next)].filter(
+      [...decisions.slice(nextIndex), ...decisions.slice(0, nextIndex)].filter(
         (decision) => decision.requestId === requestId,
       ),
   };
--- a/src/adapters/log/createDecisionLog/test.ts
+++ b/src/adapters/log/createDecisionLog/test.ts
@@ -14,7 +14,7 @@
   configurationVersion: 3,
 });
 
-test('each decision is a line; the newest are held, oldest first', (t) => {
+test('each decision is one line, and the newest are listed, oldest first', (t) => {
   const lines: unknown[] = [];
   const info = (context: unknown, message: string): void => {
     lines.push([message, context]);
--- a/src/adapters/log/createEventLog/index.ts
+++ b/src/adapters/log/createEventLog/index.ts
@@ -3,7 +3,7 @@
 
 type WriteLine = (context: MessageContext, message: string) => void;
 
-/** What is needed of a logger; roarr's has it, tests pass their own. */
+/** Methods that a log needs of its logger; Roarr's logger has them. */
 export interface LineLogger {
   readonly info: WriteLine;
   readonly warn: WriteLine;
--- a/src/adapters/log/createLineQueue/index.ts
+++ b/src/adapters/log/createLineQueue/index.ts
@@ -1,43 +1,44 @@
-/** Takes lines and writes them in order, without ever making the caller wait. */
+/** A queue that accepts lines without blocking the caller and writes them in order. */
 export interface LineQueue {
   push(line: string): void;
-  /** Resolves when everything taken so far was written. */
+  /** Resolves when all accepted lines are written. */
   waitForEmpty(): Promise<void>;
   countDropped(): number;
 }
 
-/** Where lines go, and how many may wait. */
+/** Output and limits of a line queue. */
 export interface LineQueueOptions {
-  /** Writes some bytes; calls back when they were taken. */
+  /** Writes a text; calls `done` when the output has accepted the text. */
   readonly write: (text: string, done: () => void) => void;
-  /** Characters that may wait; lines past it are dropped and counted. */
+  /** Limit on queued characters; further lines are dropped and counted. */
   readonly maxCharacters: number;
-  /** Builds the line that tells how many lines were dropped. */
-  readonly buildDropLine: (dropped: number) => string;
+  /** Formats the line that reports how many lines were dropped. */
+  readonly formatDropNotice: (dropped: number) => string;
 }
 
 /**
  * Creates a bounded queue of log lines.
  *
- * A reader of standard output that stops reading would otherwise block the process, and with it
- * every request, as writes to a pipe wait for room. Here lines wait, then are dropped and counted.
+ * Writes to a full pipe block: if the reader of standard output stopped reading, the process and
+ * all its requests would stall. Here lines are queued instead, and past the limit dropped and
+ * counted.
  */
 export const createLineQueue = ({
-  buildDropLine,
+  formatDropNotice,
   maxCharacters,
   write,
 }: LineQueueOptions): LineQueue => {
   let waiting: string[] = [];
   let characters = 0;
   let dropped = 0;
-  let reported = 0;
+  let reportedDrops = 0;
   let isWriting = false;
   let waiters: (() => void)[] = [];
 
   const flush = (): void => {
-    if (dropped > reported) {
-      waiting.push(buildDropLine(dropped - reported));
-      reported = dropped;
+    if (dropped > reportedDrops) {
+      waiting.push(formatDropNotice(dropped - reportedDrops));
+      reportedDrops = dropped;
     }
     if (waiting.length === 0) {
       waiters.forEach((resolve) => resolve());
@@ -63,7 +64,7 @@
       characters += line.length;
       waiting.push(`${line}\n`);
       if (isWriting || waiting.length > 1) return;
-      // Lines of one turn of the loop go out together.
+      // Lines of one turn of the event loop are written together.
       setImmediate(() => {
         if (!isWriting) flush();
       });
--- a/src/adapters/log/createLineQueue/test.ts
+++ b/src/adapters/log/createLineQueue/test.ts
@@ -1,15 +1,14 @@
 import test from 'ava';
 import { createLineQueue } from '.';
 
-// Symptom: every request of a VM stands still.
-// Sequence: whoever reads standard output stops reading.
-// Cause: the process waits for room in the pipe before it goes on.
-test('a blocked output holds nobody: lines wait up to a bound, then are dropped and counted', async (t) => {
+// Guards against a VM whose requests all stall: the reader of standard output stops reading, and the
+// process blocks on a write to the full pipe.
+test('with a blocked output, lines are queued up to the limit, then dropped and counted', async (t) => {
   const written: string[] = [];
   let release = (): void => undefined;
   const queue = createLineQueue({
     maxCharacters: 10,
-    buildDropLine: (dropped) => `dropped ${dropped}\n`,
+    formatDropNotice: (dropped) => `dropped ${dropped}\n`,
     write: (text, done) => {
       written.push(text);
       release = done;
@@ -29,11 +28,11 @@
   t.is(written.length, 2);
 });
 
-test('lines of one turn are written together, in order', async (t) => {
+test('lines of one event loop turn are written together, in order', async (t) => {
   const written: string[] = [];
   const queue = createLineQueue({
     maxCharacters: 100,
-    buildDropLine: () => '',
+    formatDropNotice: () => '',
     write: (text, done) => {
       written.push(text);
       done();
--- a/src/adapters/log/createRoarrLogger/index.ts
+++ b/src/adapters/log/createRoarrLogger/index.ts
@@ -1,12 +1,12 @@
 import type { Logger } from 'roarr';
 
 /**
- * Creates the logger of this process: one JSON line a message, to standard output.
+ * Creates the logger of this process, which writes one JSON line per message to standard output.
  *
- * roarr decides once, when it is loaded, whether it writes: without `ROARR_LOG` it drops every
- * line. The variable is therefore set, unless the operator did, before roarr is imported.
+ * Roarr reads `ROARR_LOG` once, when it is loaded, and drops every line if the variable is not set.
+ * The variable is therefore set, unless the operator has set it, before Roarr is imported.
  *
- * @param program - name of the binary, in each line's context
+ * @param program - name of the program in the context of each line
  */
 export const createRoarrLogger = async (program: string): Promise<Logger> => {
   process.env.ROARR_LOG ??= 'true';
--- a/src/adapters/log/createSilentLog/index.ts
+++ b/src/adapters/log/createSilentLog/index.ts
@@ -1,6 +1,6 @@
 import type { EventLog } from '../../../application/ports';
 
-/** Creates a log that keeps nothing. */
+/** Creates an event log that discards all events. */
 export const createSilentLog = (): EventLog => ({
   info: () => undefined,
   warn: () => undefined,
--- a/src/adapters/metrics/_lib/addGauge/index.ts
+++ b/src/adapters/metrics/_lib/addGauge/index.ts
@@ -1,6 +1,6 @@
 import { Gauge, type Registry } from 'prom-client';
 
-/** Adds a gauge whose value is read when metrics are asked for. */
+/** Adds a gauge whose value is read when the metrics are collected. */
 export const addGauge = (
   registry: Registry,
   name: string,
--- a/src/adapters/metrics/_lib/addProcessGauges/index.ts
+++ b/src/adapters/metrics/_lib/addProcessGauges/index.ts
@@ -4,10 +4,10 @@
 const MICROSECONDS_PER_S = 1e6;
 
 /**
- * Adds what the process itself uses: processor time and memory.
+ * Adds gauges of the process's own processor time and memory.
  *
- * The library's own default metrics start timers and observers; these three are read on demand only,
- * since a node may spend little on control.
+ * The library's default metrics start timers and observers. These three are read on demand only,
+ * since the processor budget for control work is small.
  */
 export const addProcessGauges = (registry: Registry): void => {
   const add = (name: string, help: string, read: () => number): void =>
--- a/src/adapters/metrics/createEntryMetrics/index.ts
+++ b/src/adapters/metrics/createEntryMetrics/index.ts
@@ -2,7 +2,7 @@
 import { addGauge } from '../_lib/addGauge';
 import { addProcessGauges } from '../_lib/addProcessGauges';
 
-/** What an entry tells of its state when metrics are read. */
+/** Sources of an entry's gauges, read when the metrics are collected. */
 export interface EntryGauges {
   readonly countRunningGenerations: () => number;
   readonly countRunningWork: () => number;
@@ -11,10 +11,10 @@
   readonly isReady: () => boolean;
 }
 
-/** Metrics of one entry, in a registry of its own. */
+/** Metrics of one entry, with their own registry. */
 export interface EntryMetrics {
   readonly contentType: string;
-  /** `route` is the path's pattern, never the path itself: label values must stay few. */
+  /** Records an answer; `route` is the path's pattern, to keep the label's cardinality low. */
   recordAnswer(answer: {
     readonly route: string;
     readonly status: number;
@@ -24,15 +24,15 @@
   recordTokens(count: number): void;
   /** Counts one decision of the decision log. */
   recordDecision(kind: string): void;
-  /** Sets where the gauges read from; until then they are absent. */
+  /** Adds the gauges with their sources. */
   addGauges(gauges: EntryGauges): void;
-  /** Gives all metrics in the Prometheus text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string>;
 }
 
 const MS_PER_S = 1000;
 
-/** From a lookup's milliseconds to a long review's minutes. */
+/** From the milliseconds of a lookup to the minutes of a long review. */
 const DURATION_BUCKETS_S = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 15, 60, 300, 1800];
 
 /** Creates the metrics of one entry; several entries may run in one process. */
--- a/src/adapters/metrics/createGatewayMetrics/index.ts
+++ b/src/adapters/metrics/createGatewayMetrics/index.ts
@@ -3,33 +3,33 @@
 import { addGauge } from '../_lib/addGauge';
 import { addProcessGauges } from '../_lib/addProcessGauges';
 
-/** What a gateway tells of its state when metrics are read. */
+/** Sources of a gateway's gauges, read when the metrics are collected. */
 export interface GatewayGauges {
   readonly countRunning: () => number;
   readonly countServers: () => number;
   readonly countDroppedLines: () => number;
   readonly readConfigurationVersion: () => number;
-  /** By table of the store: how long ago it surely had no newer change, in milliseconds. */
+  /** Time since the store was known to have no newer change, by table, in milliseconds. */
   readonly readTableAges: () => ReadonlyMap<string, number>;
-  /** Whether this VM follows the store itself, not another VM. */
+  /** Whether this VM follows the store directly, not through another VM. */
   readonly isReader: () => boolean;
   readonly isReady: () => boolean;
 }
 
-/** Metrics of one gateway, in a registry of its own. */
+/** Metrics of one gateway, with their own registry. */
 export interface GatewayMetrics extends ForwardingMeter {
   readonly contentType: string;
   addGauges(gauges: GatewayGauges): void;
-  /** Gives all metrics in the Prometheus text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string>;
 }
 
 const MS_PER_S = 1000;
 
-/** From a lookup's milliseconds to a long stream's end. */
+/** From the milliseconds of a lookup to the end of a long stream. */
 const DURATION_BUCKETS_S = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12, 25];
 
-/** Around the pauses that readers notice. */
+/** Around the pauses that readers of a stream notice. */
 const PAUSE_BUCKETS_S = [0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.7, 1, 2, 5];
 
 /** Creates the metrics of one gateway. */
--- a/src/adapters/metrics/createKeeperMetrics/index.ts
+++ b/src/adapters/metrics/createKeeperMetrics/index.ts
@@ -2,21 +2,21 @@
 import { addGauge } from '../_lib/addGauge';
 import { addProcessGauges } from '../_lib/addProcessGauges';
 
-/** What a keeper tells of its state when metrics are read. */
+/** Sources of a keeper's gauges, read when the metrics are collected. */
 export interface KeeperGauges {
   readonly isHolder: () => boolean;
   readonly countWaitingEngines: () => number;
   readonly readConfigurationVersion: () => number;
 }
 
-/** Metrics of one keeper, in a registry of its own. */
+/** Metrics of one keeper, with their own registry. */
 export interface KeeperMetrics {
   readonly contentType: string;
-  /** Counts one order that was sent. */
+  /** Counts a sent order. */
   recordOrder(): void;
-  /** Sets where the gauges read from; until then they are absent. */
+  /** Adds the gauges with their sources. */
   addGauges(gauges: KeeperGauges): void;
-  /** Gives all metrics in the Prometheus text format. */
+  /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string>;
 }
 
--- a/src/adapters/objects/createS3ObjectStore/index.ts
+++ b/src/adapters/objects/createS3ObjectStore/index.ts
@@ -7,20 +7,20 @@
   type PlatformSettings,
 } from '../../platform-http';
 
-/** Settings of the object store's client. */
+/** Settings of the object store client. */
 export interface S3ObjectSettings extends PlatformSettings {
   readonly bucket: string;
 }
 
-/** Statuses that say that the request had no effect, by S3's list of error codes. */
-const REFUSED_STATUSES: ReadonlySet<number> = new Set([429, 503]);
+/** Statuses after which, by S3's list of error codes, the request had no effect. */
+const RETRYABLE_STATUSES: ReadonlySet<number> = new Set([429, 503]);
 
 const CONFLICT_STATUSES: ReadonlySet<number> = new Set([409, 412]);
 
 function convertObjectError(status: number, write: boolean): StoreError {
   const reason = `status ${status}`;
   if (CONFLICT_STATUSES.has(status)) return { kind: 'condition-failed', current: null };
-  if (REFUSED_STATUSES.has(status) || (status >= 500 && !write)) {
+  if (RETRYABLE_STATUSES.has(status) || (status >= 500 && !write)) {
     return { kind: 'unavailable', reason, retryAfterMs: DEFAULT_RETRY_AFTER_MS };
   }
   return { kind: status >= 500 ? 'ambiguous' : 'invalid', reason };
@@ -29,7 +29,7 @@
 const checkStatus = (status: number, write: boolean): Result<void, StoreError> =>
   status >= 200 && status < 300 ? ok(undefined) : err(convertObjectError(status, write));
 
-/** Creates a client of an object store that speaks the S3 protocol, with path-style addresses. */
+/** Creates a client of an object store with the S3 protocol and path-style URLs. */
 export function createS3ObjectStore(
   settings: S3ObjectSettings,
   dependencies: PlatformDependencies,
--- a/src/adapters/objects/createS3ObjectStore/test.ts
+++ b/src/adapters/objects/createS3ObjectStore/test.ts
@@ -4,7 +4,7 @@
 import { createPlatformDispatcher } from '../../platform-http';
 import { createSystemClock } from '../../system';
 
-test('writes once, reads back, and tells lost answers', async (t) => {
+test('an object is written once and read back, and a lost answer is ambiguous', async (t) => {
   const objects = await createStandInObjects();
   t.teardown(objects.close);
   const connect = () => {
@@ -35,7 +35,8 @@
   );
   t.true((await store.writeObject(key, content, { onlyIfAbsent: false })).isOk());
   t.deepEqual((await store.readObject(key))._unsafeUnwrap(), content);
-  // Only a new connection is refused; on a kept one that was just closed a write may have left.
+  // Only a new connection is refused; on a keep-alive one that was just closed, a write may have
+  // been sent.
   await objects.setFaults({ outage: 'refuse' });
   const refused = await connect().writeObject(key, content, onlyIfAbsent);
   t.is(refused._unsafeUnwrapErr().kind, 'unavailable');
--- a/src/adapters/system/createSystemClock/index.ts
+++ b/src/adapters/system/createSystemClock/index.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../../../application/ports';
 
-/** Creates a clock on the machine's own time. */
+/** Creates a clock on the system time. */
 export function createSystemClock(): Clock {
   return {
     readWallMs: () => Date.now(),
--- a/src/adapters/system/createSystemRandomness/index.ts
+++ b/src/adapters/system/createSystemRandomness/index.ts
@@ -1,7 +1,7 @@
 import { randomBytes } from 'node:crypto';
 import type { Randomness } from '../../../application/ports';
 
-/** Creates randomness from the operating system; `readHex` is unguessable. */
+/** Creates a source of randomness; `readHex` is cryptographically secure. */
 export function createSystemRandomness(): Randomness {
   return {
     readFraction: () => Math.random(),
--- a/src/adapters/table/_lib/convertCondition/index.ts
+++ b/src/adapters/table/_lib/convertCondition/index.ts
@@ -1,6 +1,6 @@
 import type { WriteCondition } from '../../../../application/ports';
 
-/** Parts of a request that state a condition. */
+/** Fields of a DynamoDB request that express a condition. */
 export interface ConditionParts {
   readonly ConditionExpression?: string;
   readonly ExpressionAttributeValues?: Readonly<Record<string, { readonly N: string }>>;
@@ -26,7 +26,7 @@
   }),
 };
 
-/** Converts a condition to the parts of a request; a failed one gives the current row back. */
+/** Converts a condition to fields of a request; if it fails, DynamoDB returns the current item. */
 export function convertCondition(condition: WriteCondition): ConditionParts {
   const convert = CONVERTERS[condition.kind] as (given: WriteCondition) => ConditionParts;
   return convert(condition);
--- a/src/adapters/table/_lib/convertItem/index.ts
+++ b/src/adapters/table/_lib/convertItem/index.ts
@@ -1,7 +1,7 @@
 import { z } from 'zod';
 import type { TableItem } from '../../../../application/ports';
 
-/** An item as the DynamoDB JSON protocol carries it. */
+/** Schema of an item in the DynamoDB JSON protocol. */
 export const WireItem = z.object({
   pk: z.object({ S: z.string() }),
   sk: z.object({ S: z.string() }),
@@ -10,10 +10,10 @@
   exp: z.object({ N: z.string() }).optional(),
 });
 
-/** An item as the DynamoDB JSON protocol carries it. */
+/** An item in the DynamoDB JSON protocol. */
 export type WireItem = z.infer<typeof WireItem>;
 
-/** Converts a row to its form on the wire; `exp` is left out of rows that never expire. */
+/** Converts an item to its wire format, without `exp` if the item never expires. */
 export function convertToWireItem(item: TableItem): WireItem {
   const wire = {
     pk: { S: item.partition },
@@ -24,7 +24,7 @@
   return item.expiresAtS === 0 ? wire : { ...wire, exp: { N: String(item.expiresAtS) } };
 }
 
-/** Converts a row from its form on the wire. */
+/** Converts an item from its wire format. */
 export function convertFromWireItem(wire: WireItem): TableItem {
   return {
     partition: wire.pk.S,
--- a/src/adapters/table/_lib/convertTableError/index.ts
+++ b/src/adapters/table/_lib/convertTableError/index.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_RETRY_AFTER_MS } from '../../../platform-http';
 import { convertFromWireItem, WireItem } from '../convertItem';
 
-/** The error's type stands in `__type`, its name after the last `#`. */
+/** Body of a DynamoDB error; the error's name follows the last `#` of `__type`. */
 const ErrorBody = z
   .object({ __type: z.string(), Item: WireItem.optional() })
   .transform((body) => ({ name: body.__type.split('#').at(-1) ?? '', item: body.Item }));
@@ -16,8 +16,8 @@
   retryAfterMs: DEFAULT_RETRY_AFTER_MS,
 });
 
-/** Errors that DynamoDB documents as having had no effect. */
-const CONVERTERS: ReadonlyMap<string, (body: ErrorBody) => StoreError> = new Map([
+/** Converters by name, for errors that by DynamoDB's documentation had no effect. */
+const CONVERTERS_BY_NAME: ReadonlyMap<string, (body: ErrorBody) => StoreError> = new Map([
   [
     'ConditionalCheckFailedException',
     ({ item }: ErrorBody): StoreError => ({
@@ -39,13 +39,13 @@
 }
 
 /**
- * Converts an answer other than 200. A status of 500 and above does not tell whether a write took
- * effect, but for 503 (refused before it began).
+ * Converts an answer with a status other than 200. After a status of 500 and above a write may have
+ * taken effect, except after 503, which refuses it before it begins.
  */
 export function convertTableError(status: number, text: string, write: boolean): StoreError {
   const body = parseErrorBody(text);
   const name = body?.name ?? '';
-  const convert = CONVERTERS.get(name);
+  const convert = CONVERTERS_BY_NAME.get(name);
   if (body !== null && convert !== undefined) return convert(body);
   const reason = `status ${status} ${name}`.trim();
   if (status < 500) return { kind: 'invalid', reason };
--- a/src/adapters/table/createDynamoTableStore/index.ts
+++ b/src/adapters/table/createDynamoTableStore/index.ts
@@ -10,7 +10,7 @@
 import { convertFromWireItem, convertToWireItem, WireItem } from '../_lib/convertItem';
 import { convertTableError } from '../_lib/convertTableError';
 
-/** Settings of the table's client. */
+/** Settings of the table client. */
 export interface DynamoTableSettings extends PlatformSettings {
   readonly tableName: string;
 }
@@ -27,13 +27,13 @@
   try {
     return ok(schema.parse(JSON.parse(text)));
   } catch {
-    return err({ kind: 'invalid', reason: 'the table gave a malformed answer' });
+    return err({ kind: 'invalid', reason: 'malformed answer of the table' });
   }
 }
 
 /**
- * Creates a client of a table that speaks the DynamoDB JSON protocol. Each call is sent once and
- * has a deadline; reads are consistent.
+ * Creates a client of a table with the DynamoDB JSON protocol. Each call has a deadline and is sent
+ * once, without retries; reads are strongly consistent.
  */
 export function createDynamoTableStore(
   settings: DynamoTableSettings,
--- a/src/adapters/table/createDynamoTableStore/test.ts
+++ b/src/adapters/table/createDynamoTableStore/test.ts
@@ -40,7 +40,7 @@
   expiresAtS: 7,
 });
 
-test('writes under conditions, reads and lists consistently', async (t) => {
+test('items are written under conditions, read and listed consistently', async (t) => {
   const { store, close } = await startTable();
   t.teardown(close);
   t.is((await store.readItem('p', 's'))._unsafeUnwrap(), null);
@@ -62,10 +62,11 @@
   t.is((await store.readItem('p', 's'))._unsafeUnwrap(), null);
 });
 
-test('tells a lost answer from a refused connection', async (t) => {
-  // Symptom: a claim is said to have failed, yet its row stands; or a refused call is taken for a
-  // write that may have run. Sequence: the table applies a write and the connection breaks; later
-  // nobody listens. Cause: both look like a failed call unless one knows whether bytes left.
+test('a lost answer is ambiguous, and a refused connection is unavailable', async (t) => {
+  // Guards against a claim that is reported as failed although its row was written, and a refused
+  // call that is reported as a write that may have run. Both look like a failed call unless the
+  // client records whether the request was sent: the table applies a write and the connection
+  // breaks; later no server listens.
   const { table, store, close } = await startTable();
   t.teardown(close);
   await table.setFaults({ loseAnswers: 1 });
@@ -80,7 +81,8 @@
   await table.setFaults({ outage: 'error' });
   t.is((await store.writeItem(buildItem(3), { kind: 'any' }))._unsafeUnwrapErr().kind, 'ambiguous');
   t.is((await store.readItem('p', 's'))._unsafeUnwrapErr().kind, 'unavailable');
-  // Only a new connection is refused; on a kept one that was just closed a write may have left.
+  // Only a new connection is refused; on a keep-alive one that was just closed, a write may have
+  // been sent.
   const anew = connectTo(table, createSystemClock(), 20_000);
   t.teardown(anew.disconnect);
   await table.setFaults({ outage: 'refuse' });
@@ -91,9 +93,9 @@
 });
 
 test('a write whose deadline passes in the queue is never sent', async (t) => {
-  // Symptom: a caller is told `not-run`, and its claim appears in the table a moment later.
-  // Sequence: all connections wait on a silent table; the deadline of a write in the queue
-  // passes; a connection becomes free. Cause: the client sends what it still has queued.
+  // Guards against a caller that is told `not-run` while its claim appears in the table a moment
+  // later. All connections wait for an unresponsive table, the deadline of a queued write passes,
+  // and once a connection is free the client sends the queued write.
   const clock = createFakeClock();
   const { table, store, close } = await startTable(clock, 300);
   t.teardown(close);
@@ -106,7 +108,7 @@
   clock.advance(300);
   const kinds = (await Promise.all(held)).map((result) => result._unsafeUnwrapErr().kind);
   t.deepEqual(kinds, [...Array(16).fill('ambiguous'), 'unavailable']);
-  // The next call goes out on the same connections, behind whatever was queued.
+  // The next call uses the same connections, after any queued calls.
   t.is((await store.readItem('p', 'row-16'))._unsafeUnwrap(), null);
   t.is(table.readCounts().writes, 16);
 });
--- a/src/adapters/vm-list/createHttpVmList/index.ts
+++ b/src/adapters/vm-list/createHttpVmList/index.ts
@@ -8,11 +8,11 @@
   type PlatformDependencies,
 } from '../../platform-http';
 
-/** Settings of the VM list's client. */
+/** Settings of the VM list client. */
 export interface VmListSettings {
   /** Base URL, `http://ip:port`. */
   readonly endpoint: string;
-  /** Time for a whole call, milliseconds. */
+  /** Deadline of a whole call, in milliseconds. */
   readonly deadlineMs?: number;
 }
 
@@ -40,7 +40,7 @@
   try {
     return ok(VmsAnswer.parse(JSON.parse(new TextDecoder().decode(content))).vms);
   } catch {
-    return err({ kind: 'invalid', reason: 'the VM list gave a malformed answer' });
+    return err({ kind: 'invalid', reason: 'malformed answer of the VM list' });
   }
 }
 
--- a/src/adapters/vm-list/createHttpVmList/test.ts
+++ b/src/adapters/vm-list/createHttpVmList/test.ts
@@ -4,7 +4,7 @@
 import { createPlatformDispatcher } from '../../platform-http';
 import { createSystemClock } from '../../system';
 
-test('lists VMs as the control interface of the stand-ins sets them', async (t) => {
+test('VMs are listed as set through the control API of the stand-ins', async (t) => {
   const platform = await createStandInPlatform();
   const dispatcher = createPlatformDispatcher();
   t.teardown(async () => {
--- a/src/programs/gateway/_lib/createGatewayLog/index.ts
+++ b/src/programs/gateway/_lib/createGatewayLog/index.ts
@@ -41,7 +41,7 @@
 export const createGatewayLog = async (vm: string): Promise<GatewayLog> => {
   const lines = createLineQueue({
     maxCharacters: MAX_WAITING_CHARACTERS,
-    buildDropLine: (dropped) => `${JSON.stringify({ message: 'log lines dropped', dropped })}\n`,
+    formatDropNotice: (dropped) => `${JSON.stringify({ message: 'log lines dropped', dropped })}\n`,
     write: writeOutput,
   });
   const logger = await createRoarrLogger('jackdaw-gateway');
