--- a/src/adapters/http/_lib/handleGeneration/index.ts
+++ b/src/adapters/http/_lib/handleGeneration/index.ts
@@ -48,7 +48,7 @@
 };
 
 /** Builds the properties that all chunks of the answer to a request share. */
-export const buildShape = (request: GenerationRequest): DeliverySource['shape'] => {
+export const buildAnswerShape = (request: GenerationRequest): DeliverySource['shape'] => {
   const options = request.body.stream_options as { include_usage?: boolean } | null | undefined;
   return {
     endpoint: request.endpoint,
@@ -74,7 +74,7 @@
   if (request.isErr()) return sendError(context, request.error);
   return runDelivery(context, dependencies, {
     openFeed: (signal) => dependencies.generations.startGeneration(request.value, signal),
-    shape: buildShape(request.value),
+    shape: buildAnswerShape(request.value),
     stream: request.value.stream,
     idempotent: request.value.idempotent,
     runStateIfRefused: RunState.NotRun,
--- a/src/adapters/http/_lib/handleResume/index.ts
+++ b/src/adapters/http/_lib/handleResume/index.ts
@@ -12,7 +12,7 @@
 import type { CallerContext, CallerDependencies, CallerError } from '../../types';
 import { checkCursor } from '../checkCursor';
 import { checkNewWork } from '../checkNewWork';
-import { buildShape, checkGenerationRequest } from '../handleGeneration';
+import { buildAnswerShape, checkGenerationRequest } from '../handleGeneration';
 import { parseJson } from '../parseJson';
 import { readBody } from '../readBody';
 import { runDelivery, type DeliverySource } from '../runDelivery';
@@ -95,7 +95,7 @@
   );
 
 const buildResumeShape = (content: ResumeContent, cursor: Cursor): DeliverySource['shape'] => {
-  if (content.request !== null) return buildShape(content.request);
+  if (content.request !== null) return buildAnswerShape(content.request);
   const { endpoint } = content;
   return { endpoint, model: cursor.service, includeUsage: false, promptCharacters: 0 };
 };
--- a/src/adapters/log/createLineQueue/index.ts
+++ b/src/adapters/log/createLineQueue/index.ts
@@ -2,8 +2,8 @@
 export interface LineQueue {
   push(line: string): void;
   /** Resolves when all accepted lines are written. */
-  waitForEmpty(): Promise<void>;
-  countDropped(): number;
+  waitUntilEmpty(): Promise<void>;
+  countDroppedLines(): number;
 }
 
 /** Output and limits of a line queue. */
@@ -29,7 +29,7 @@
   write,
 }: LineQueueOptions): LineQueue => {
   let waiting: string[] = [];
-  let characters = 0;
+  let queuedCharacters = 0;
   let dropped = 0;
   let reportedDrops = 0;
   let isWriting = false;
@@ -47,7 +47,7 @@
     }
     const text = waiting.join('');
     waiting = [];
-    characters = 0;
+    queuedCharacters = 0;
     isWriting = true;
     write(text, () => {
       isWriting = false;
@@ -57,11 +57,11 @@
 
   return {
     push: (line) => {
-      if (characters + line.length > maxCharacters) {
+      if (queuedCharacters + line.length > maxCharacters) {
         dropped += 1;
         return;
       }
-      characters += line.length;
+      queuedCharacters += line.length;
       waiting.push(`${line}\n`);
       if (isWriting || waiting.length > 1) return;
       // Lines of one turn of the event loop are written together.
@@ -69,11 +69,11 @@
         if (!isWriting) flush();
       });
     },
-    waitForEmpty: () =>
+    waitUntilEmpty: () =>
       new Promise((resolve) => {
         if (waiting.length === 0 && !isWriting) resolve();
         else waiters.push(resolve);
       }),
-    countDropped: () => dropped,
+    countDroppedLines: () => dropped,
   };
 };
--- a/src/adapters/log/createLineQueue/test.ts
+++ b/src/adapters/log/createLineQueue/test.ts
@@ -20,11 +20,11 @@
   });
   t.deepEqual(written, ['first\n']);
   ['aaaa', 'bbbb', 'cccc', 'dddd'].forEach(queue.push);
-  t.is(queue.countDropped(), 2);
+  t.is(queue.countDroppedLines(), 2);
   release();
   t.deepEqual(written, ['first\n', 'aaaa\nbbbb\ndropped 2\n']);
   release();
-  await queue.waitForEmpty();
+  await queue.waitUntilEmpty();
   t.is(written.length, 2);
 });
 
@@ -39,6 +39,6 @@
     },
   });
   ['a', 'b', 'c'].forEach(queue.push);
-  await queue.waitForEmpty();
+  await queue.waitUntilEmpty();
   t.deepEqual(written, ['a\nb\nc\n']);
 });
--- a/src/adapters/metrics/createEntryMetrics/index.ts
+++ b/src/adapters/metrics/createEntryMetrics/index.ts
@@ -5,8 +5,8 @@
 /** Sources of an entry's gauges, read when the metrics are collected. */
 export interface EntryGauges {
   readonly countRunningGenerations: () => number;
-  readonly countRunningWork: () => number;
-  readonly countWaiting: () => number;
+  readonly countRunningRequests: () => number;
+  readonly countWaitingDemands: () => number;
   readonly readConfigurationVersion: () => number;
   readonly isReady: () => boolean;
 }
@@ -91,9 +91,9 @@
       add(
         'jackdaw_running_requests',
         'Requests that a shutdown would wait for.',
-        gauges.countRunningWork,
+        gauges.countRunningRequests,
       );
-      add('jackdaw_waiting_demands', 'Demands that wait for a slot.', gauges.countWaiting);
+      add('jackdaw_waiting_demands', 'Demands that wait for a slot.', gauges.countWaitingDemands);
       add(
         'jackdaw_configuration_version',
         'Version of the configuration in force; 0 is none.',
--- a/src/adapters/metrics/createGatewayMetrics/index.ts
+++ b/src/adapters/metrics/createGatewayMetrics/index.ts
@@ -5,12 +5,12 @@
 
 /** Sources of a gateway's gauges, read when the metrics are collected. */
 export interface GatewayGauges {
-  readonly countRunning: () => number;
-  readonly countServers: () => number;
+  readonly countRunningRequests: () => number;
+  readonly countServingServers: () => number;
   readonly countDroppedLines: () => number;
   readonly readConfigurationVersion: () => number;
   /** Time since the store was known to have no newer change, by table, in milliseconds. */
-  readonly readTableAges: () => ReadonlyMap<string, number>;
+  readonly readTableAgesMs: () => ReadonlyMap<string, number>;
   /** Whether this VM follows the store directly, not through another VM. */
   readonly isReader: () => boolean;
   readonly isReady: () => boolean;
@@ -65,12 +65,17 @@
     },
     recordResume: (pauseMs, source) => pauses.observe({ source }, pauseMs / MS_PER_S),
     addGauges: (gauges) => {
-      addGauge(registry, 'jackdaw_running_requests', 'Requests on their way.', gauges.countRunning);
+      addGauge(
+        registry,
+        'jackdaw_running_requests',
+        'Requests on their way.',
+        gauges.countRunningRequests,
+      );
       addGauge(
         registry,
         'jackdaw_serving_servers',
         'Backend servers that may take new work.',
-        gauges.countServers,
+        gauges.countServingServers,
       );
       addGauge(
         registry,
@@ -90,7 +95,7 @@
         labelNames: ['table'],
         registers,
         collect: () =>
-          gauges.readTableAges().forEach((ageMs, table) => ages.set({ table }, ageMs / MS_PER_S)),
+          gauges.readTableAgesMs().forEach((ageMs, table) => ages.set({ table }, ageMs / MS_PER_S)),
       });
       addGauge(
         registry,
--- a/src/adapters/metrics/createKeeperMetrics/index.ts
+++ b/src/adapters/metrics/createKeeperMetrics/index.ts
@@ -4,7 +4,7 @@
 
 /** Sources of a keeper's gauges, read when the metrics are collected. */
 export interface KeeperGauges {
-  readonly isHolder: () => boolean;
+  readonly isLeaseHolder: () => boolean;
   readonly countWaitingEngines: () => number;
   readonly readConfigurationVersion: () => number;
 }
@@ -34,7 +34,7 @@
     recordOrder: () => orders.inc(),
     addGauges: (gauges) => {
       addGauge(registry, 'jackdaw_keeper_lease_held', '1 if this keeper may order engines.', () =>
-        Number(gauges.isHolder()),
+        Number(gauges.isLeaseHolder()),
       );
       addGauge(
         registry,
--- a/src/adapters/table/_lib/convertCondition/index.ts
+++ b/src/adapters/table/_lib/convertCondition/index.ts
@@ -1,7 +1,7 @@
 import type { WriteCondition } from '../../../../application/ports';
 
 /** Fields of a DynamoDB request that express a condition. */
-export interface ConditionParts {
+export interface ConditionFields {
   readonly ConditionExpression?: string;
   readonly ExpressionAttributeValues?: Readonly<Record<string, { readonly N: string }>>;
   readonly ReturnValuesOnConditionCheckFailure?: 'ALL_OLD';
@@ -10,7 +10,7 @@
 type Converters = {
   readonly [K in WriteCondition['kind']]: (
     condition: Extract<WriteCondition, { kind: K }>,
-  ) => ConditionParts;
+  ) => ConditionFields;
 };
 
 const CONVERTERS: Converters = {
@@ -27,7 +27,7 @@
 };
 
 /** Converts a condition to fields of a request; if it fails, DynamoDB returns the current item. */
-export function convertCondition(condition: WriteCondition): ConditionParts {
-  const convert = CONVERTERS[condition.kind] as (given: WriteCondition) => ConditionParts;
+export function convertCondition(condition: WriteCondition): ConditionFields {
+  const convert = CONVERTERS[condition.kind] as (given: WriteCondition) => ConditionFields;
   return convert(condition);
 }
--- a/src/adapters/toml/mergeTomlSources/index.ts
+++ b/src/adapters/toml/mergeTomlSources/index.ts
@@ -76,7 +76,7 @@
   return [{ kind: ProblemKind.Invalid, file: source.file, line, key: OVERRIDE_KEY, reason }];
 }
 
-function addSource(merged: MergedToml, source: TomlSource): MergedToml {
+function mergeSource(merged: MergedToml, source: TomlSource): MergedToml {
   const { [OVERRIDE_KEY]: override, ...table } = source.table;
   const conflicts = override === true ? [] : listConflicts(merged.table, table, []);
   const problems = conflicts.map((path) => buildConflictProblem(merged, source, path));
@@ -95,5 +95,5 @@
  * @returns the merged table, and a problem with both locations for each key that is set twice
  */
 export function mergeTomlSources(sources: readonly TomlSource[]): MergedToml {
-  return sources.reduce(addSource, EMPTY_MERGE);
+  return sources.reduce(mergeSource, EMPTY_MERGE);
 }
--- a/src/adapters/toml/readConfigurationFolder/index.ts
+++ b/src/adapters/toml/readConfigurationFolder/index.ts
@@ -48,7 +48,7 @@
   return { ...fault, path: ['engine_targets', group?.[0] ?? '', 'backend_servers'] };
 }
 
-function checkMerged(merged: MergedToml, folder: string): Result<Configuration, Problems> {
+function validateMerged(merged: MergedToml, folder: string): Result<Configuration, Problems> {
   const parsed = configurationSchema.safeParse(merged.table);
   if (!parsed.success) {
     const problems = listSchemaProblems(parsed.error, merged.table, merged.origins, folder);
@@ -82,5 +82,5 @@
   const parsed: Result<TomlSource[], ConfigurationProblem[]> = Result.combineWithAllErrors(sources);
   return parsed
     .mapErr((problems): Problems => problems)
-    .andThen((readable) => checkMerged(mergeTomlSources(readable), folder));
+    .andThen((readable) => validateMerged(mergeTomlSources(readable), folder));
 }
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -70,8 +70,8 @@
 const addGauges = ({ metrics, shutdown }: EntryBase, parts: EntryParts): void =>
   metrics.addGauges({
     countRunningGenerations: parts.generations.countRunning,
-    countRunningWork: shutdown.countRunning,
-    countWaiting: parts.router.countWaiting,
+    countRunningRequests: shutdown.countRunning,
+    countWaitingDemands: parts.router.countWaiting,
     readConfigurationVersion: parts.configuration.readVersion,
     isReady: () =>
       !shutdown.isDraining() && parts.configuration.readCurrent() !== null && !parts.isCutOff(),
--- a/src/programs/gateway/runGatewayCli/index.ts
+++ b/src/programs/gateway/runGatewayCli/index.ts
@@ -28,7 +28,7 @@
     const { lines, log } = await createGatewayLog(settings.value.vm);
     const started = await startGateway(settings.value, {
       log,
-      countDroppedLines: lines.countDropped,
+      countDroppedLines: lines.countDroppedLines,
     });
     if (started.isErr()) {
       this.context.stderr.write(`${started.error.address}: ${started.error.reason}\n`);
@@ -50,7 +50,7 @@
     watch.stop();
     await started.value.drain();
     await started.value.stop();
-    await lines.waitForEmpty();
+    await lines.waitUntilEmpty();
     return SERVICE_EXIT_CODES.done;
   }
 }
--- a/src/programs/gateway/startGateway/index.ts
+++ b/src/programs/gateway/startGateway/index.ts
@@ -92,11 +92,11 @@
   }
   tables.addListener((table) => server.applyLimits(table.limits));
   parts.metrics.addGauges({
-    countRunning: forwarder.countRunning,
-    countServers: parts.directory.countServing,
+    countRunningRequests: forwarder.countRunning,
+    countServingServers: parts.directory.countServing,
     countDroppedLines: overrides.countDroppedLines ?? (() => 0),
     readConfigurationVersion: () => tables.readCurrent()?.version ?? 0,
-    readTableAges: () =>
+    readTableAgesMs: () =>
       new Map(Object.entries(followers).map(([table, one]) => [table, one.readAgeMs()])),
     isReader: parts.sharing.isReader,
     isReady,
--- a/src/programs/keeper/startKeeper/index.ts
+++ b/src/programs/keeper/startKeeper/index.ts
@@ -53,7 +53,7 @@
     maxLoads: settings.maxConcurrentLoads,
   });
   metrics.addGauges({
-    isHolder,
+    isLeaseHolder: isHolder,
     countWaitingEngines: () => keeper.readPlan()?.waiting.length ?? 0,
     readConfigurationVersion: configuration.readVersion,
   });
