--- a/src/adapters/connect/_lib/convertRollouts/index.ts
+++ b/src/adapters/connect/_lib/convertRollouts/index.ts
@@ -25,8 +25,10 @@
   state,
   to,
 }: RolloutVerdictMessage): RolloutVerdict | null => {
-  const known = STATES_BY_NAME.get(state);
-  return known ? { service, to, sequence: Number(sequence), state: known, isStored } : null;
+  const knownState = STATES_BY_NAME.get(state);
+  return knownState
+    ? { service, to, sequence: Number(sequence), state: knownState, isStored }
+    : null;
 };
 
 /** Converts a trial report to its protobuf message. */
--- a/src/adapters/connect/_lib/createUnaryCaller/index.ts
+++ b/src/adapters/connect/_lib/createUnaryCaller/index.ts
@@ -39,8 +39,8 @@
   const pools = new Map<string, Pool>();
 
   const getPool = (address: string): Pool => {
-    const known = pools.get(address);
-    if (known) return known;
+    const existingPool = pools.get(address);
+    if (existingPool) return existingPool;
     const pool = new Pool(`http://${address}`, {
       headersTimeout: 0,
       bodyTimeout: 0,
--- a/src/adapters/connect/createPeerClient/_lib/openGeneration/index.ts
+++ b/src/adapters/connect/createPeerClient/_lib/openGeneration/index.ts
@@ -38,8 +38,11 @@
 ): GenerationEvent | null => {
   if (event.case === 'end') {
     const { code, message, status, runState, retryAfterMs } = event.value;
-    const known = isRunState(runState) ? runState : RunState.Unknown;
-    return { kind: 'failed', error: { code, message, status, runState: known, retryAfterMs } };
+    const knownRunState = isRunState(runState) ? runState : RunState.Unknown;
+    return {
+      kind: 'failed',
+      error: { code, message, status, runState: knownRunState, retryAfterMs },
+    };
   }
   if (event.case !== 'tokens') return null;
   const { offset, tokenIds, text, finishReason, cursorOffset, ...rest } = event.value;
--- a/src/adapters/connect/createPeerClient/index.ts
+++ b/src/adapters/connect/createPeerClient/index.ts
@@ -58,8 +58,8 @@
 export const createPeerClient = (deps: PeerClientDependencies): PeerClient => {
   const connections = new Map<string, Connection>();
   const getConnection = (peerAddress: string): Connection => {
-    const known = connections.get(peerAddress);
-    if (known !== undefined) return known;
+    const existingConnection = connections.get(peerAddress);
+    if (existingConnection !== undefined) return existingConnection;
     const opened = openConnection(peerAddress);
     connections.set(peerAddress, opened);
     return opened;
--- a/src/adapters/http/_lib/sendEventStream/index.ts
+++ b/src/adapters/http/_lib/sendEventStream/index.ts
@@ -64,7 +64,7 @@
   let cancelTimer: () => void = () => undefined;
   const sendHeartbeat = (): void => {
     const now = outgoing.socket?.bytesWritten ?? 0;
-    // Sends none to a caller that does not read: comments would pile up behind the tokens.
+    // A caller that does not read gets no comment: comments would pile up behind the tokens.
     if (now === written && !outgoing.writableNeedDrain) outgoing.write(':\n\n');
     written = outgoing.socket?.bytesWritten ?? 0;
     cancelTimer = clock.startTimer(HEARTBEAT_INTERVAL_MS, sendHeartbeat);
--- a/src/adapters/http/createCallerApp/index.ts
+++ b/src/adapters/http/createCallerApp/index.ts
@@ -60,8 +60,11 @@
 export const createCallerApp = (dependencies: CallerDependencies): Hono<CallerEnvironment> => {
   const app = new Hono<CallerEnvironment>();
   app.use(async (context, next) => {
-    const given = parseRequestId(context.req.header('Jackdaw-Request-Id'));
-    context.set('requestId', given ?? `req_${dependencies.randomness.readHex(REQUEST_ID_BYTES)}`);
+    const callerRequestId = parseRequestId(context.req.header('Jackdaw-Request-Id'));
+    context.set(
+      'requestId',
+      callerRequestId ?? `req_${dependencies.randomness.readHex(REQUEST_ID_BYTES)}`,
+    );
     recordAnswerOnClose(context, dependencies);
     // Without this header, clients and load balancers would reuse their connections to an entry
     // that is shutting down.
--- a/src/adapters/objects/createS3ObjectStore/index.ts
+++ b/src/adapters/objects/createS3ObjectStore/index.ts
@@ -39,18 +39,18 @@
     `/${[settings.bucket, ...key.split('/')].map(encodeURIComponent).join('/')}`;
   return {
     readObject: async (key) => {
-      const sent = await client.sendRequest({
+      const response = await client.sendRequest({
         method: 'GET',
         path: buildPath(key),
         service: 's3',
         write: false,
       });
-      return sent.andThen(({ status, content }) =>
+      return response.andThen(({ status, content }) =>
         status === 404 ? ok(null) : checkStatus(status, false).map(() => content),
       );
     },
     writeObject: async (key, content, { onlyIfAbsent }) => {
-      const sent = await client.sendRequest({
+      const response = await client.sendRequest({
         method: 'PUT',
         path: buildPath(key),
         headers: onlyIfAbsent ? { 'if-none-match': '*' } : {},
@@ -58,7 +58,7 @@
         service: 's3',
         write: true,
       });
-      return sent.andThen(({ status }) => checkStatus(status, true));
+      return response.andThen(({ status }) => checkStatus(status, true));
     },
   };
 }
--- a/src/adapters/platform-http/createPlatformClient/index.ts
+++ b/src/adapters/platform-http/createPlatformClient/index.ts
@@ -26,7 +26,7 @@
    * @returns the answer of any status, or an error: `ambiguous` for a write that may have been
    * sent, else `unavailable`
    */
-  sendRequest(sent: PlatformRequest): Promise<Result<PlatformAnswer, StoreError>>;
+  sendRequest(request: PlatformRequest): Promise<Result<PlatformAnswer, StoreError>>;
 }
 
 type Headers = Readonly<Record<string, string>>;
@@ -35,16 +35,20 @@
 const formatSignatureTime = (wallMs: number): string =>
   new Date(wallMs).toISOString().replace(/[:-]|\.\d{3}/g, '');
 
-function signHeaders(settings: PlatformSettings, sent: PlatformRequest, wallMs: number): Headers {
-  if (sent.service === null) return sent.headers ?? {};
+function signHeaders(
+  settings: PlatformSettings,
+  request: PlatformRequest,
+  wallMs: number,
+): Headers {
+  if (request.service === null) return request.headers ?? {};
   const { headers } = aws4.sign(
     {
-      method: sent.method,
+      method: request.method,
       host: new URL(settings.endpoint).host,
-      path: sent.path,
-      headers: { ...sent.headers, 'X-Amz-Date': formatSignatureTime(wallMs) },
-      body: typeof sent.body === 'string' ? sent.body : Buffer.from(sent.body ?? ''),
-      service: sent.service,
+      path: request.path,
+      headers: { ...request.headers, 'X-Amz-Date': formatSignatureTime(wallMs) },
+      body: typeof request.body === 'string' ? request.body : Buffer.from(request.body ?? ''),
+      service: request.service,
       region: settings.region,
     },
     settings,
@@ -59,15 +63,15 @@
 ): PlatformClient {
   const { clock, dispatcher } = dependencies;
   return {
-    sendRequest: async (sent) => {
+    sendRequest: async (request) => {
       const collector = createAnswerCollector();
       const deadlineMs = settings.deadlineMs ?? DEFAULT_DEADLINE_MS;
       const cancelDeadline = startDeadline(clock, deadlineMs, () => {
         collector.abort(new Error('deadline passed'));
       });
       try {
-        const headers = signHeaders(settings, sent, clock.readWallMs());
-        const { path, method, body } = sent;
+        const headers = signHeaders(settings, request, clock.readWallMs());
+        const { path, method, body } = request;
         dispatcher.dispatch(
           { origin: settings.endpoint, path, method, headers, body },
           collector.handler,
@@ -75,7 +79,7 @@
         return ok(await collector.answer);
       } catch (error) {
         const reason = error instanceof Error ? error.message : 'the call failed';
-        return collector.isSent() && sent.write
+        return collector.isSent() && request.write
           ? err({ kind: 'ambiguous', reason })
           : err({ kind: 'unavailable', reason, retryAfterMs: DEFAULT_RETRY_AFTER_MS });
       } finally {
--- a/src/adapters/table/createDynamoTableStore/index.ts
+++ b/src/adapters/table/createDynamoTableStore/index.ts
@@ -46,7 +46,7 @@
     schema: z.ZodType<T>,
   ): Promise<Result<T, StoreError>> => {
     const write = WRITES.has(operation);
-    const sent = await client.sendRequest({
+    const response = await client.sendRequest({
       method: 'POST',
       path: '/',
       headers: {
@@ -57,7 +57,7 @@
       service: 'dynamodb',
       write,
     });
-    return sent.andThen(({ status, content }) => {
+    return response.andThen(({ status, content }) => {
       const text = new TextDecoder().decode(content);
       return status === 200
         ? parseAnswer(text, schema)
--- a/src/adapters/table/createDynamoTableStore/test.ts
+++ b/src/adapters/table/createDynamoTableStore/test.ts
@@ -83,13 +83,13 @@
   t.is((await store.readItem('p', 's'))._unsafeUnwrapErr().kind, 'unavailable');
   // Only a new connection is refused; on a keep-alive one that was just closed, a write may have
   // been sent.
-  const anew = connectTo(table, createSystemClock(), 20_000);
-  t.teardown(anew.disconnect);
+  const secondClient = connectTo(table, createSystemClock(), 20_000);
+  t.teardown(secondClient.disconnect);
   await table.setFaults({ outage: 'refuse' });
-  const refused = await anew.store.writeItem(buildItem(3), { kind: 'any' });
+  const refused = await secondClient.store.writeItem(buildItem(3), { kind: 'any' });
   t.is(refused._unsafeUnwrapErr().kind, 'unavailable');
   await table.setFaults({ outage: 'none' });
-  t.deepEqual((await anew.store.readItem('p', 's'))._unsafeUnwrap(), buildItem(1));
+  t.deepEqual((await secondClient.store.readItem('p', 's'))._unsafeUnwrap(), buildItem(1));
 });
 
 test('a write whose deadline passes in the queue is never sent', async (t) => {
@@ -100,13 +100,13 @@
   const { table, store, close } = await startTable(clock, 300);
   t.teardown(close);
   await table.setFaults({ outage: 'hang' });
-  const held = Array.from({ length: 17 }, (_, n) =>
+  const queuedWrites = Array.from({ length: 17 }, (_, n) =>
     store.writeItem(buildItem(1, `row-${n}`), { kind: 'absent' }),
   );
   while (table.readCounts().writes < 16) await new Promise(setImmediate);
   await table.setFaults({ outage: 'none' });
   clock.advance(300);
-  const kinds = (await Promise.all(held)).map((result) => result._unsafeUnwrapErr().kind);
+  const kinds = (await Promise.all(queuedWrites)).map((result) => result._unsafeUnwrapErr().kind);
   t.deepEqual(kinds, [...Array(16).fill('ambiguous'), 'unavailable']);
   // The next call uses the same connections, after any queued calls.
   t.is((await store.readItem('p', 'row-16'))._unsafeUnwrap(), null);
--- a/src/adapters/toml/mergeTomlSources/index.ts
+++ b/src/adapters/toml/mergeTomlSources/index.ts
@@ -29,9 +29,9 @@
     if (!Object.hasOwn(before, key)) {
       return [];
     }
-    const earlier = before[key];
-    if (isTomlTable(earlier) && isTomlTable(value)) {
-      return listConflicts(earlier, value, [...path, key]);
+    const existingValue = before[key];
+    if (isTomlTable(existingValue) && isTomlTable(value)) {
+      return listConflicts(existingValue, value, [...path, key]);
     }
     return [[...path, key]];
   });
--- a/src/adapters/vm-list/createHttpVmList/index.ts
+++ b/src/adapters/vm-list/createHttpVmList/index.ts
@@ -54,13 +54,13 @@
   const client = createPlatformClient({ ...NO_CREDENTIALS, ...settings }, dependencies);
   return {
     listVms: async () => {
-      const sent = await client.sendRequest({
+      const response = await client.sendRequest({
         method: 'GET',
         path: '/vms',
         service: null,
         write: false,
       });
-      return sent.andThen(({ status, content }) =>
+      return response.andThen(({ status, content }) =>
         status === 200
           ? parseVms(content)
           : err<readonly VmRecord[], StoreError>({
