--- a/src/adapters/connect/createGatewayClient/index.ts
+++ b/src/adapters/connect/createGatewayClient/index.ts
@@ -46,8 +46,8 @@
 const RETRY_TIMEOUT_MS = 100;
 
 /**
- * After a timeout the report goes to the next gateway in line. A bad version must be detected within
- * one or two seconds.
+ * After a timeout the report goes to the next gateway in line. A bad version must be detected
+ * within one or two seconds.
  */
 const REPORT_TIMEOUT_MS = 300;
 
--- a/src/adapters/http/_lib/handleService/index.ts
+++ b/src/adapters/http/_lib/handleService/index.ts
@@ -78,8 +78,8 @@
     'Jackdaw-Run-State': runState,
   });
   startStallTimeout(outgoing);
-  // If the answer breaks off, `pipeline` destroys the connection, so that the caller does not take a
-  // truncated answer for a complete one.
+  // If the answer breaks off, `pipeline` destroys the connection, so that the caller does not take
+  // a truncated answer for a complete one.
   await pipeline(Readable.from(response.body, { objectMode: false }), outgoing).catch(
     () => undefined,
   );
--- a/src/adapters/http/_lib/watchResponse/index.ts
+++ b/src/adapters/http/_lib/watchResponse/index.ts
@@ -5,8 +5,8 @@
 const STALL_TIMEOUT_MS = 60_000;
 
 /**
- * Closes the connection of a caller that reads nothing for a minute: its answer would otherwise stay
- * in memory forever. The generation continues, and the caller can resume with its cursor.
+ * Closes the connection of a caller that reads nothing for a minute: its answer would otherwise
+ * stay in memory forever. The generation continues, and the caller can resume with its cursor.
  */
 export const startStallTimeout = (outgoing: ServerResponse): void => {
   outgoing.setTimeout(STALL_TIMEOUT_MS, () => outgoing.destroy());
--- a/src/adapters/http/createHttpPlainClient/index.ts
+++ b/src/adapters/http/createHttpPlainClient/index.ts
@@ -51,8 +51,8 @@
   };
   const pooled = new Agent({ ...options, pipelining: 1 });
   // If the server closes a keep-alive connection just as a call is sent, the error does not tell
-  // whether the call ran. A call that must not be repeated gets a new connection, where a failure to
-  // connect proves that nothing was sent.
+  // whether the call ran. A call that must not be repeated gets a new connection, where a failure
+  // to connect proves that nothing was sent.
   const unpooled = new Agent({ ...options, pipelining: 0 });
 
   const sendCall: PlainClient['sendCall'] = async (server, call, signal) => {
--- a/src/adapters/log/createLineQueue/test.ts
+++ b/src/adapters/log/createLineQueue/test.ts
@@ -1,8 +1,8 @@
 import test from 'ava';
 import { createLineQueue } from '.';
 
-// Guards against a VM whose requests all stall: the reader of standard output stops reading, and the
-// process blocks on a write to the full pipe.
+// Guards against a VM whose requests all stall: the reader of standard output stops reading, and
+// the process blocks on a write to the full pipe.
 test('with a blocked output, lines are queued up to the limit, then dropped and counted', async (t) => {
   const written: string[] = [];
   let release = (): void => undefined;
--- a/src/adapters/toml/listTomlKeyLines/index.ts
+++ b/src/adapters/toml/listTomlKeyLines/index.ts
@@ -16,7 +16,7 @@
 const SEGMENT = /"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+/g;
 const DOTTED_KEY =
   /^(?:"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+)(?:\s*\.\s*(?:"(?:[^"\\]|\\.)*"|'[^']*'|[A-Za-z0-9_-]+))*/;
-// A token of a value: the opening of a multi-line string, a string, a comment, a bracket or a brace.
+// A token of a value: the opening of a multi-line string, a string, a comment, or a bracket.
 const VALUE_STEP = /"""|'''|"(?:[^"\\]|\\.)*"|'[^']*'|#.*|[[\]{}]/g;
 const DEPTH_CHANGES = new Map([
   ['[', 1],
--- a/src/adapters/toml/readConfigurationFolder/index.ts
+++ b/src/adapters/toml/readConfigurationFolder/index.ts
@@ -31,8 +31,8 @@
 }
 
 /**
- * Converts the path of an engine target's fault, which names a backend server, to the named group in
- * which the operator listed the server.
+ * Converts the path of an engine target's fault, which names a backend server, to the named group
+ * in which the operator listed the server.
  */
 function convertFault(
   fault: ConfigurationFault,
--- a/src/adapters/toml/readTomlSource/index.ts
+++ b/src/adapters/toml/readTomlSource/index.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * Builds the problem of a syntax error. Keeps only the first line of the parser's message, since the
- * others quote the source, which may contain secrets.
+ * Builds the problem of a syntax error. Keeps only the first line of the parser's message, since
+ * the others quote the source, which may contain secrets.
  */
 function buildSyntaxProblem(file: string, error: unknown): ConfigurationProblem {
   const line = error instanceof TomlError ? error.line : 0;
