--- a/src/adapters/metrics/createEntryMetrics/index.ts
+++ b/src/adapters/metrics/createEntryMetrics/index.ts
@@ -24,7 +24,7 @@
   recordTokens(count: number): void;
   /** Counts one decision of the decision log. */
   recordDecision(kind: string): void;
-  /** Adds the gauges with their sources. */
+  /** Adds the gauges with their sources; until then the gauges are absent. */
   addGauges(gauges: EntryGauges): void;
   /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string>;
--- a/src/adapters/metrics/createKeeperMetrics/index.ts
+++ b/src/adapters/metrics/createKeeperMetrics/index.ts
@@ -14,7 +14,7 @@
   readonly contentType: string;
   /** Counts a sent order. */
   recordOrder(): void;
-  /** Adds the gauges with their sources. */
+  /** Adds the gauges with their sources; until then the gauges are absent. */
   addGauges(gauges: KeeperGauges): void;
   /** Renders all metrics in the Prometheus text format. */
   render(): Promise<string>;
