--- a/src/adapters/connect/createGatewayClient/index.ts
+++ b/src/adapters/connect/createGatewayClient/index.ts
@@ -1,5 +1,5 @@
 import { setTimeout as wait } from 'node:timers/promises';
-import type { PlacedPrompt } from '../../../application/forwarding';
+import type { SentPrompt } from '../../../application/forwarding';
 import type { GossipCalls } from '../../../application/gossip';
 import type { PermitRequest } from '../../../application/limits';
 import type { TrialReport } from '../../../application/rollouts';
@@ -17,9 +17,9 @@
   /** Asks a gateway for one retry of its budget; false also if the gateway times out. */
   borrowRetry(address: string, service: string): Promise<boolean>;
   /** Tells a gateway about a prompt that was sent to a server; best effort, no retry. */
-  tellPrompt(address: string, prompt: PlacedPrompt): void;
+  tellPrompt(address: string, prompt: SentPrompt): void;
   /** Reserves a place for a prompt; null if the gateway times out. */
-  reservePrompt(address: string, prompt: PlacedPrompt): Promise<number | null>;
+  reservePrompt(address: string, prompt: SentPrompt): Promise<number | null>;
   /** Asks a gateway for a permit; null if the gateway times out. */
   acquirePermit(address: string, request: PermitRequest): Promise<PermitDecision | null>;
   /** Returns an unused permit; best effort, no retry. */
--- a/src/adapters/http/_lib/createCallerReply/index.ts
+++ b/src/adapters/http/_lib/createCallerReply/index.ts
@@ -58,18 +58,18 @@
   };
 
   return {
-    left: leaveController.signal,
+    callerLeft: leaveController.signal,
     isOpen,
-    hasBegun: () => response.headersSent,
+    hasSentHead: () => response.headersSent,
     sendRefusal,
-    sendWhole: (head, body) => {
+    sendResponse: (head, body) => {
       if (!isOpen()) return;
       const hasLength =
         head.isFramed && !STATUSES_WITHOUT_BODY.has(head.status) && response.req.method !== 'HEAD';
       writeAnswerHead(head, hasLength ? ['content-length', String(body.length)] : []);
       response.end(body);
     },
-    begin: (head) => {
+    sendHead: (head) => {
       if (isOpen()) writeAnswerHead(head, []);
     },
     write: (bytes) => !isOpen() || response.write(bytes),
@@ -90,7 +90,7 @@
     end: () => {
       if (isOpen()) response.end();
     },
-    breakOff: () => {
+    destroy: () => {
       response.destroy();
     },
   };
--- a/src/application/_lib/createPaceHistory/index.ts
+++ b/src/application/_lib/createLatencyHistory/index.ts
@@ -9,12 +9,12 @@
 import { updateMovingAverage, updateUndisturbedEstimate } from '../../../domain/load';
 
 /** How fast the engines of each service answered lately, as this VM saw it. */
-export interface PaceHistory {
+export interface LatencyHistory {
   recordFirstToken(service: string, sample: FirstTokenSample): void;
   /** The same for a prompt that found a server with nothing else to read: it shows the pace. */
-  recordReading(service: string, sample: FirstTokenSample): void;
+  recordPrefill(service: string, sample: FirstTokenSample): void;
   /** A stream took this long from its first event to its end. */
-  recordRun(service: string, runMs: number): void;
+  recordRunDuration(service: string, runMs: number): void;
   /** Paces of the engines when nothing disturbs them; 0 while none was seen. */
   readEnginePaces(service: string): EnginePaces;
   /** Newest first-token times. */
@@ -37,7 +37,7 @@
  *
  * @returns History.
  */
-export const createPaceHistory = (): PaceHistory => {
+export const createLatencyHistory = (): LatencyHistory => {
   const samples = new Map<string, FirstTokenSample[]>();
   const gaps = new Map<string, GapStatistics>();
   const paces = new Map<string, EnginePaces>();
@@ -49,13 +49,13 @@
       if (kept.length > KEPT_SAMPLES) kept.shift();
       samples.set(service, kept);
     },
-    recordReading: (service, sample) => {
+    recordPrefill: (service, sample) => {
       const before = readPaces(service);
       const perToken = sample.firstTokenMs / Math.max(1, sample.promptCharacters);
       const prefillMsPerToken = updateUndisturbedEstimate(before.prefillMsPerToken, perToken);
       paces.set(service, { ...before, prefillMsPerToken: prefillMsPerToken });
     },
-    recordRun: (service, runMs) => {
+    recordRunDuration: (service, runMs) => {
       const before = readPaces(service);
       paces.set(service, {
         ...before,
--- a/src/application/claims/_lib/runClaimSteps/index.ts
+++ b/src/application/claims/_lib/runClaimSteps/index.ts
@@ -8,10 +8,10 @@
 export const CLAIM_DEADLINE_MS = 1000;
 
 /** How a change of a claim ended. */
-export type ClaimEnd = Extract<ClaimStep, { kind: 'done' | 'lost' }>;
+export type FinalClaimStep = Extract<ClaimStep, { kind: 'done' | 'lost' }>;
 
 /** The store gave no verdict. */
-export interface UnfinishedClaim {
+export interface UnresolvedClaim {
   readonly error: StoreError;
   /** Whether one of the writes may still take effect. */
   readonly pendingWrite: boolean;
@@ -31,13 +31,13 @@
   table: ClaimTable,
   clock: Clock,
   { row, expectedRevision, chooseStep }: ClaimChangePlan,
-): Promise<Result<ClaimEnd, UnfinishedClaim>> {
+): Promise<Result<FinalClaimStep, UnresolvedClaim>> {
   const untilMs = clock.readMonotonicMs() + CLAIM_DEADLINE_MS;
   let sent = row;
   let pendingWrite = false;
 
   const runStep = async (
-    step: Exclude<ClaimStep, ClaimEnd>,
+    step: Exclude<ClaimStep, FinalClaimStep>,
   ): Promise<Result<ClaimReply, StoreError>> => {
     if (step.kind === 'read') {
       const read = await table.readRow(sent.workspace, sent.keyDigest);
--- a/src/application/claims/createClaims/index.ts
+++ b/src/application/claims/createClaims/index.ts
@@ -17,7 +17,7 @@
 import { createAbandonedClaims } from '../_lib/createAbandonedClaims';
 import { createClaimTable } from '../_lib/createClaimTable';
 import { createUpdateQueue } from '../_lib/createUpdateQueue';
-import { runClaimSteps, type ClaimEnd } from '../_lib/runClaimSteps';
+import { runClaimSteps, type FinalClaimStep } from '../_lib/runClaimSteps';
 
 /** What the claims need. */
 export interface ClaimsDependencies {
@@ -41,7 +41,7 @@
 const buildAnswerKey = (row: ClaimRow): string =>
   `answers/${row.workspace}/${row.keyDigest}/${row.claimId}`;
 
-const convertEnd = (end: ClaimEnd): Result<ClaimRow, ClaimError> =>
+const convertEnd = (end: FinalClaimStep): Result<ClaimRow, ClaimError> =>
   end.kind === 'done' ? ok(end.row) : err({ kind: 'lost', row: end.row });
 
 /** Creates the claims of this VM over the platform's table and object store. */
--- a/src/application/forwarding/_lib/buildServerRecord/index.ts
+++ b/src/application/forwarding/_lib/buildServerRecord/index.ts
@@ -1,9 +1,9 @@
 import type { ServerEntry, ServerLoad } from '../../../../domain/forwarding';
 
 /** A prompt that another VM sent to a server. */
-export interface ToldPrompt {
+export interface PeerPrompt {
   readonly tokens: number;
-  readonly toldAtMs: number;
+  readonly receivedAtMs: number;
 }
 
 /** What this VM holds of one server. */
@@ -12,7 +12,7 @@
   running: number;
   prefillTokens: number;
   /** Prompts that other VMs sent there a moment ago. */
-  told: readonly ToldPrompt[];
+  peerPrompts: readonly PeerPrompt[];
   copies: number;
   load: ServerLoad | null;
   loadAtMs: number;
@@ -20,9 +20,9 @@
   /** When it last answered this VM under its id. */
   aliveAtMs: number;
   /** Suspicions in a row, without an answer in between. */
-  suspicions: number;
+  consecutiveSuspicions: number;
   /** Requests under way that were sent after a suspicion, and have shown nothing yet. */
-  trials: number;
+  probeRequests: number;
   /** When it counts as gone; infinite while its entry is there. */
   goneAtMs: number;
   /** True: it was met at the address of a server that ended, and has no entry yet. */
@@ -30,9 +30,9 @@
   /** Until then it wants no request of this VM. */
   pausedUntilMs: number;
   /** Until then its rate limit leaves nothing to this VM. */
-  limitedUntilMs: number;
+  rateLimitedUntilMs: number;
   /** Called when the server is surely not the one any more that the work was sent to. */
-  readonly voidHandlers: Set<() => void>;
+  readonly lossHandlers: Set<() => void>;
 }
 
 /** Builds the record of a server that is new here. */
@@ -40,17 +40,17 @@
   entry,
   running: 0,
   prefillTokens: 0,
-  told: [],
+  peerPrompts: [],
   copies: 0,
   load: null,
   loadAtMs: 0,
   suspectedUntilMs: 0,
   aliveAtMs: -Infinity,
-  suspicions: 0,
-  trials: 0,
+  consecutiveSuspicions: 0,
+  probeRequests: 0,
   goneAtMs: Infinity,
   isInferred: false,
   pausedUntilMs: -Infinity,
-  limitedUntilMs: -Infinity,
-  voidHandlers: new Set(),
+  rateLimitedUntilMs: -Infinity,
+  lossHandlers: new Set(),
 });
--- a/src/application/forwarding/_lib/buildServerStatus/index.ts
+++ b/src/application/forwarding/_lib/buildServerStatus/index.ts
@@ -15,6 +15,6 @@
     copies: record.copies,
     reported: isFresh ? load.running + load.waiting : 0,
     // One request shows whether it is sound again: the others wait for that elsewhere.
-    isSuspected: record.suspectedUntilMs > nowMs || record.trials > 0,
+    isSuspected: record.suspectedUntilMs > nowMs || record.probeRequests > 0,
   };
 };
--- a/src/application/forwarding/_lib/checkStreamStart/index.ts
+++ b/src/application/forwarding/_lib/checkStreamStart/index.ts
@@ -4,14 +4,14 @@
   hasTimeForPrefill,
   type StreamAdmission,
 } from '../../../../domain/forwarding';
-import type { Refusal, StreamRun, StreamServers } from '../../types';
+import type { Refusal, StreamRun, StreamPlacement } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
-import { recordDecision } from '../recordDecision';
+import { logDecision } from '../logDecision';
 
 /** Decides whether a new stream is begun; returns why it is refused, or null. */
-export const checkStreamStart = (run: StreamRun, servers: StreamServers): Refusal | null => {
+export const checkStreamStart = (run: StreamRun, servers: StreamPlacement): Refusal | null => {
   const { context, dependencies, overload } = run;
-  const { hasPrompt, isFree, predictedMs } = servers;
+  const { isPromptCached, isFree, predictedMs } = servers;
   const { latencyGoalMs } = context.route;
   const leftMs = context.deadlineAtMs - dependencies.clock.readMonotonicMs();
   const draw = dependencies.randomness.readFraction();
@@ -19,9 +19,9 @@
   const decide = (): StreamAdmission => {
     // Who has part of an answer waits for the rest of it: late is better than refused.
     const hasBegun = context.request.lastEventId !== null;
-    if (predictedMs === null || hasPrompt || hasBegun) {
+    if (predictedMs === null || isPromptCached || hasBegun) {
       const prefillMs = estimateRunPrefill(run).ownMs;
-      const hasTime = hasPrompt || hasTimeForPrefill({ leftMs, latencyGoalMs, prefillMs });
+      const hasTime = isPromptCached || hasTimeForPrefill({ leftMs, latencyGoalMs, prefillMs });
       if (hasTime) return { kind: 'send' };
       const reason = 'less time is left than the prompt takes to read';
       const returnMs = computeRetryAfterMs({ waitMs: 0, outageMs: overloadMs, leftMs, draw });
@@ -38,10 +38,10 @@
     });
   };
   const decision = decide();
-  overload.recordChoice(context.service, decision.kind === 'send');
+  overload.recordAdmission(context.service, decision.kind === 'send');
   if (decision.kind === 'send') return null;
   const { reason, returnMs } = decision;
-  recordDecision(
+  logDecision(
     dependencies,
     context,
     'stream refused',
--- a/src/application/forwarding/_lib/checkStreamStart/test.ts
+++ b/src/application/forwarding/_lib/checkStreamStart/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { buildServerStatus, createFakeClock, QUIET_LOG } from '../../../../../standins/fakes';
 import type { StreamRun } from '../../types';
-import { createOverloadWatch } from '../createOverloadWatch';
+import { createOverloadTracker } from '../createOverloadTracker';
 import { checkStreamStart } from '.';
 
 /** A stream that is to be begun, its caller holding events up to `lastEventId`. */
@@ -17,17 +17,17 @@
       isReturning: false,
     },
     paces: { listFirstTokens: () => [] },
-    overload: createOverloadWatch(clock),
+    overload: createOverloadTracker(clock),
   } as unknown as StreamRun;
 };
 
 const SERVERS = {
   server: buildServerStatus('i-1', 'z1').entry,
   copy: null,
-  hasPrompt: false,
+  isPromptCached: false,
   isFree: false,
   estimate: {},
-  expectedMs: 0,
+  expectedFirstEventMs: 0,
   backup: null,
   predictedMs: 6000,
 };
--- a/src/application/forwarding/_lib/chooseStreamServers/index.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/index.ts
@@ -5,8 +5,8 @@
   type ServerEntry,
   type ServerStatus,
 } from '../../../../domain/forwarding';
-import type { HeldCopy, StreamRun, StreamServers } from '../../types';
-import { askServers, type AnsweringServer } from '../askServers';
+import type { HeldCopy, StreamRun, StreamPlacement } from '../../types';
+import { queryServers, type RespondingServer } from '../queryServers';
 import { findPromptHolder } from '../findPromptHolder';
 import { keepsBackups } from '../keepsBackups';
 import { pickServer } from '../pickServer';
@@ -30,14 +30,14 @@
 
 /** A server that stopped a run itself was not at fault: it is no less fit than before. */
 const findCopyServer = ({ context, copy, dependencies }: StreamRun): ServerEntry | null => {
-  if (!copy?.hasBegun) return null;
+  if (!copy?.hasData) return null;
   const { directory } = dependencies;
   const servers = copy.holders
     .map(directory.findServing)
     .filter((entry) => entry !== null)
     .filter(context.servers.isAllowed)
-    .filter(({ id }) => !directory.isLimited(id));
-  return servers.find(({ id }) => directory.isTrusted(id)) ?? servers[0] ?? null;
+    .filter(({ id }) => !directory.isRateLimited(id));
+  return servers.find(({ id }) => directory.isHealthy(id)) ?? servers[0] ?? null;
 };
 
 /** Builds a choice for which nobody was asked; the copy goes to another zone. */
@@ -46,7 +46,7 @@
   server: ServerEntry,
   copy: HeldCopy | null,
   excludedIds: ReadonlySet<string>,
-): StreamServers => {
+): StreamPlacement => {
   const { randomness } = run.dependencies;
   const backup = keepsBackups(run, server)
     ? chooseLeastLoadedServer(run.context.servers.listHolders(server), {
@@ -60,11 +60,11 @@
   return {
     server,
     copy,
-    hasPrompt: isCopied,
+    isPromptCached: isCopied,
     backup: backup?.entry ?? null,
     isFree: false,
     estimate: {},
-    expectedMs: 0,
+    expectedFirstEventMs: 0,
     predictedMs: null,
   };
 };
@@ -73,7 +73,10 @@
  * Chooses by what is known from before. A VM that is slow or cut off for a moment gets no answer in
  * time from anyone: refusing then would be a refusal while servers are free.
  */
-const chooseUnasked = (run: StreamRun, excludedIds: ReadonlySet<string>): StreamServers | null => {
+const chooseUnasked = (
+  run: StreamRun,
+  excludedIds: ReadonlySet<string>,
+): StreamPlacement | null => {
   const { availabilityZone, randomness } = run.dependencies;
   const status = chooseLeastLoadedServer(run.context.servers.list(), {
     excludedIds,
@@ -87,16 +90,16 @@
 /** Takes a place for the prompt where VMs agree on places; picks anew where others were sooner. */
 const reserveServer = async (
   run: StreamRun,
-  answered: readonly AnsweringServer[],
-  first: StreamServers,
-): Promise<StreamServers> => {
+  answered: readonly RespondingServer[],
+  first: StreamPlacement,
+): Promise<StreamPlacement> => {
   const { directory, reservePrompt } = run.dependencies;
   const promptTokens = countPromptTokens(run.context.request);
   let picked = first;
   for (let tries = 0; tries < MAX_RESERVED; tries += 1) {
     const othersTokens = await reservePrompt(picked.server.id, promptTokens);
     if (othersTokens === 0) return picked;
-    directory.recordToldPrompt(picked.server.id, othersTokens);
+    directory.recordPeerPrompt(picked.server.id, othersTokens);
     const next = pickServer(run, answered, null) ?? picked;
     if (next.server.id === picked.server.id) return next;
     picked = next;
@@ -122,27 +125,27 @@
  * A server that holds a copy goes before all others: reading a long prompt anew takes longer than
  * a reader is ready to wait for the next event.
  */
-export const chooseStreamServers = async (
+export const chooseStreamPlacement = async (
   run: StreamRun,
   excludedIds: ReadonlySet<string>,
-): Promise<StreamServers | null> => {
+): Promise<StreamPlacement | null> => {
   const copyServer = findCopyServer(run);
   if (copyServer) return buildUnasked(run, copyServer, run.copy, excludedIds);
   const asked = new Set<string>();
-  const answered: AnsweringServer[] = [];
-  let picked: StreamServers | null = null;
+  const answered: RespondingServer[] = [];
+  let picked: StreamPlacement | null = null;
   const hasEvents = run.readState().offset > 0;
   const rounds = hasEvents ? 1 : MAX_ROUNDS;
   const count = hasEvents ? ASKED_FOR_HELD : ASKED;
   for (let round = 0; round < rounds && !picked?.isFree; round += 1) {
     const candidates = listCandidates(run, new Set([...excludedIds, ...asked]), count);
     candidates.forEach(({ entry }) => asked.add(entry.id));
-    const answers = await askServers(run, candidates);
+    const answers = await queryServers(run, candidates);
     answered.push(...answers);
     // Those that answered are asked what they hold: one that fell silent would hold this up.
     const holding = hasEvents ? await findPromptHolder(run, answers) : null;
     picked = pickServer(run, answered, holding);
   }
   if (!picked) return chooseUnasked(run, excludedIds);
-  return picked.hasPrompt ? picked : reserveServer(run, answered, picked);
+  return picked.isPromptCached ? picked : reserveServer(run, answered, picked);
 };
--- a/src/application/forwarding/_lib/chooseStreamServers/test.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/test.ts
@@ -7,7 +7,7 @@
 } from '../../../../../standins/fakes';
 import { createModelDirectory, MODEL_SERVICE } from '../../../../../standins/model';
 import type { StreamRun } from '../../types';
-import { chooseStreamServers } from '.';
+import { chooseStreamPlacement } from '.';
 
 const IDS = Array.from({ length: 12 }, (_, index) => `i-${index}`);
 
@@ -58,15 +58,15 @@
 test('whichever of twelve servers still holds the prompt is found for a caller that comes back', async (t) => {
   for (const holder of IDS) {
     const { run } = build(holder, 5);
-    const chosen = await chooseStreamServers(run, new Set());
+    const chosen = await chooseStreamPlacement(run, new Set());
     t.is(chosen?.server.id, holder);
-    t.true(chosen?.hasPrompt);
-    t.is(chosen?.expectedMs, 0);
+    t.true(chosen?.isPromptCached);
+    t.is(chosen?.expectedFirstEventMs, 0);
   }
 });
 
 test('a new prompt asks four servers', async (t) => {
   const { asked, run } = build('i-3', 0);
-  t.false((await chooseStreamServers(run, new Set()))?.hasPrompt);
+  t.false((await chooseStreamPlacement(run, new Set()))?.isPromptCached);
   t.is(asked.length, 4);
 });
--- a/src/application/forwarding/_lib/closeStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/closeStreamAttempt/index.ts
@@ -5,8 +5,8 @@
   const open = run.attempts.get(attempt);
   if (!open) return;
   run.attempts.delete(attempt);
-  open.stopWatch();
-  open.stopCopies();
+  open.stopSilenceWatch();
+  open.stopCopyWatch();
   open.abort.abort();
   open.work.release();
 };
--- a/src/application/forwarding/_lib/createCallCrashes/index.ts
+++ b/src/application/forwarding/_lib/createCallCrashTracker/index.ts
@@ -7,23 +7,23 @@
 import type { ForwardContext, ForwardingDependencies } from '../../types';
 
 /** What is known of one call, and of those like it, and the servers that ended. */
-export interface CallCrashes {
+export interface CallCrashTracker {
   readFingerprint(): string;
   /** How much longer the call is in quarantine; 0 if it is not. */
   readQuarantineMs(): number;
   /** True: as many connections ended under this call as servers may end under a request. */
-  hasCrashedOften(): boolean;
+  hasReachedCrashLimit(): boolean;
   /** The server's connection ended without an answer. */
   recordCrash(server: ServerEntry): void;
   /** The server answered, whatever it said. */
-  recordAnswer(server: ServerEntry): void;
+  recordResponse(server: ServerEntry): void;
 }
 
 /** Creates what is known of one call; its fingerprint is only computed where it is of use. */
-export const createCallCrashes = (
+export const createCallCrashTracker = (
   { crashes, crashProbe }: Pick<ForwardingDependencies, 'crashes' | 'crashProbe'>,
   { holder, request }: Pick<ForwardContext, 'holder' | 'request'>,
-): CallCrashes => {
+): CallCrashTracker => {
   let fingerprint: string | null = null;
   /** Connections that ended under this call. */
   let broken = 0;
@@ -34,13 +34,13 @@
   return {
     readFingerprint,
     readQuarantineMs: () => (crashes.isEmpty() ? 0 : crashes.readQuarantineMs(readFingerprint())),
-    hasCrashedOften: () => broken >= MAX_CRASHES,
+    hasReachedCrashLimit: () => broken >= MAX_CRASHES,
     recordCrash: (server) => {
       broken += 1;
       const { requestId } = request;
       crashProbe.startProbe({ fingerprint: readFingerprint(), requestId }, server);
     },
-    recordAnswer: (server) => {
+    recordResponse: (server) => {
       if (crashes.isEmpty() || !crashes.isSuspected(readFingerprint())) return;
       crashes.recordOutcome({
         fingerprint: readFingerprint(),
--- a/src/application/forwarding/_lib/createGoneEntries/index.ts
+++ b/src/application/forwarding/_lib/createEntryTombstones/index.ts
@@ -4,7 +4,7 @@
 type Entry = Pick<ServerEntry, 'bornMs' | 'id' | 'sequence'>;
 
 /** The last entries of servers that went, a bounded number of them. */
-export interface GoneEntries {
+export interface EntryTombstones {
   add(entry: Entry): void;
   /** True for an entry that was there before its server went; false if the server wrote it since. */
   has(entry: Entry): boolean;
@@ -14,7 +14,7 @@
 const MAX_ENTRIES = 1000;
 
 /** Creates the memory of entries that went; it is empty. */
-export const createGoneEntries = (): GoneEntries => {
+export const createEntryTombstones = (): EntryTombstones => {
   const lastOf = createBoundedMap<Entry>(MAX_ENTRIES);
   return {
     add: ({ bornMs, id, sequence }) => lastOf.set(id, { bornMs, id, sequence }),
--- a/src/application/forwarding/_lib/createOverloadWatch/index.ts
+++ b/src/application/forwarding/_lib/createOverloadTracker/index.ts
@@ -1,9 +1,9 @@
 import type { Clock } from '../../../ports';
 
 /** Knows since when streams of each service can't be begun in time. */
-export interface OverloadWatch {
+export interface OverloadTracker {
   /** Takes whether a new stream of the service could begin within its goal. */
-  recordChoice(service: string, isInTime: boolean): void;
+  recordAdmission(service: string, isInTime: boolean): void;
   /** For how long it has been so that some can't, in milliseconds; 0 if all can. */
   readOverloadMs(service: string): number;
 }
@@ -17,14 +17,14 @@
 }
 
 /** Creates a watch that knows of no overload. */
-export const createOverloadWatch = (clock: Pick<Clock, 'readMonotonicMs'>): OverloadWatch => {
+export const createOverloadTracker = (clock: Pick<Clock, 'readMonotonicMs'>): OverloadTracker => {
   const overloads = new Map<string, Overload>();
   const find = (service: string): Overload | null => {
     const known = overloads.get(service);
     return known && clock.readMonotonicMs() - known.lastMs < OVER_MS ? known : null;
   };
   return {
-    recordChoice: (service, isInTime) => {
+    recordAdmission: (service, isInTime) => {
       if (isInTime) return;
       const nowMs = clock.readMonotonicMs();
       overloads.set(service, { sinceMs: find(service)?.sinceMs ?? nowMs, lastMs: nowMs });
--- a/src/application/forwarding/_lib/createOverloadWatch/test.ts
+++ b/src/application/forwarding/_lib/createOverloadTracker/test.ts
@@ -1,15 +1,15 @@
 import test from 'ava';
 import { createFakeClock } from '../../../../../standins/fakes';
-import { createOverloadWatch } from '.';
+import { createOverloadTracker } from '.';
 
 test('an overload lasts from the first stream that is late until none was for a while', (t) => {
   const clock = createFakeClock();
-  const watch = createOverloadWatch(clock);
-  watch.recordChoice('s', true);
+  const watch = createOverloadTracker(clock);
+  watch.recordAdmission('s', true);
   t.is(watch.readOverloadMs('s'), 0);
-  watch.recordChoice('s', false);
+  watch.recordAdmission('s', false);
   clock.advance(1000);
-  watch.recordChoice('s', false);
+  watch.recordAdmission('s', false);
   clock.advance(1000);
   t.is(watch.readOverloadMs('s'), 2000);
   t.is(watch.readOverloadMs('other'), 0);
--- a/src/application/forwarding/_lib/createServerRecords/index.ts
+++ b/src/application/forwarding/_lib/createServerRecords/index.ts
@@ -2,7 +2,7 @@
 import { compareIncarnations, type ServerEntry } from '../../../../domain/forwarding';
 import type { Clock, EventLog, SharedRow } from '../../../ports';
 import type { RowsOrigin } from '../../../rows';
-import { createGoneEntries } from '../createGoneEntries';
+import { createEntryTombstones } from '../createEntryTombstones';
 import { createIncarnationSet } from '../createIncarnationSet';
 import { buildServerRecord, type ServerRecord } from '../buildServerRecord';
 
@@ -21,15 +21,15 @@
   list(): readonly ServerRecord[];
   applyRows(rows: readonly SharedRow[], info: RowsOrigin): void;
   /** Ends a server that surely is not there any more: what runs there is lost. */
-  end(id: string): void;
+  endServer(id: string): void;
   /** Forgets a server of which nothing is known to say that it ended. */
-  drop(id: string): void;
+  forgetServer(id: string): void;
   /** Adds a server that has no entry yet; false if it is known, or has ended. */
   addInferred(entry: ServerEntry, source: string): boolean;
   /** The server said in an answer that it takes no new work. */
   recordLeaving(id: string): void;
   /** The server said when it was born; null if it did not. */
-  recordBorn(id: string, bornMs: number | null): void;
+  recordStartTime(id: string, bornMs: number | null): void;
 }
 
 /**
@@ -49,7 +49,7 @@
   /** Servers that surely ended: late entries do not bring them back. */
   const ended = createIncarnationSet();
   /** Servers whose entries went: a copy of the store does not bring them back. */
-  const gone = createGoneEntries();
+  const gone = createEntryTombstones();
   /**
    * Servers that said in an answer that they leave: entries that were written before do not count.
    */
@@ -73,7 +73,7 @@
   const endRecord = (id: string, record: ServerRecord): void => {
     ended.add(record.entry);
     removeRecord(id, record);
-    [...record.voidHandlers].forEach((handleVoid) => handleVoid());
+    [...record.lossHandlers].forEach((handleVoid) => handleVoid());
   };
 
   const removeEntry = (id: string, info: RowsOrigin): void => {
@@ -112,7 +112,7 @@
     });
     records.set(entry.id, buildServerRecord(entry));
     handleGone(entry.id);
-    [...before.voidHandlers].forEach((handleVoid) => handleVoid());
+    [...before.lossHandlers].forEach((handleVoid) => handleVoid());
   };
 
   const markLeaving = (entry: ServerEntry): ServerEntry =>
@@ -179,11 +179,11 @@
       rows.forEach(({ key, value }) =>
         value === null ? removeEntry(key, info) : applyValue(key, value, info),
       ),
-    end: (id) => {
+    endServer: (id) => {
       const record = records.get(id);
       if (record) endRecord(id, record);
     },
-    drop: (id) => {
+    forgetServer: (id) => {
       records.delete(id);
       handleGone(id);
     },
@@ -195,7 +195,7 @@
       log.info('server said that it leaves', { server: id, isLeaving: record.entry.isLeaving });
       record.entry = markLeaving(record.entry);
     },
-    recordBorn: (id, bornMs) => {
+    recordStartTime: (id, bornMs) => {
       const known = records.get(id);
       if (!known || bornMs === null) return;
       const entry = { ...known.entry, bornMs };
--- a/src/application/forwarding/_lib/createServerRecords/test.ts
+++ b/src/application/forwarding/_lib/createServerRecords/test.ts
@@ -14,16 +14,16 @@
   let voids = 0;
   const work = directory.startWork('a', {
     prefillTokens: 8000,
-    handleVoid: () => {
+    handleLoss: () => {
       voids += 1;
     },
   });
   directory.addCopy('a');
   directory.recordSuspicion('a', 'silent');
-  directory.recordBorn('a', 1000);
+  directory.recordStartTime('a', 1000);
   directory.applyRows([buildRow('a', 'x:1 ready 900')], STORE);
   t.is(voids, 0);
-  directory.recordBorn('a', 2000);
+  directory.recordStartTime('a', 2000);
   t.is(voids, 1);
   t.deepEqual(gone, ['a']);
   const [status] = directory.listServing('s');
@@ -77,12 +77,12 @@
   const { clock, directory } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.recordSuccess('a');
-  t.is(directory.listUncertain().length, 0);
+  t.is(directory.listUnverified().length, 0);
   directory.recordSuspicion('a', 'broken');
   clock.advance(1900);
-  t.is(directory.listUncertain().length, 1);
+  t.is(directory.listUnverified().length, 1);
   clock.advance(100);
-  t.is(directory.listUncertain().length, 0);
+  t.is(directory.listUnverified().length, 0);
 });
 
 test('nothing is concluded of an address that may be of another service by now', (t) => {
@@ -103,12 +103,12 @@
   directory.recordReplaced('a', 'b');
   clock.advance(2500);
   t.deepEqual(
-    directory.listUncertain().map(({ id }) => id),
+    directory.listUnverified().map(({ id }) => id),
     ['b'],
   );
   clock.advance(3500);
   t.deepEqual(listIds(), []);
-  t.is(directory.countInferred(), 0);
+  t.is(directory.pruneInferred(), 0);
   directory.applyRows([buildRow('b', 'x:1')], STORE);
   t.deepEqual(listIds(), ['b']);
 });
@@ -122,7 +122,7 @@
   let voids = 0;
   directory.startWork('a', {
     prefillTokens: 0,
-    handleVoid: () => {
+    handleLoss: () => {
       voids += 1;
     },
   });
@@ -142,6 +142,6 @@
   t.deepEqual(listIds(), []);
   directory.applyRows([buildRow('a', 'x:1 ready 1000')], STORE);
   t.deepEqual(listIds(), []);
-  directory.recordBorn('a', 2000);
+  directory.recordStartTime('a', 2000);
   t.deepEqual(listIds(), ['a']);
 });
--- a/src/application/forwarding/_lib/findPromptHolder/index.ts
+++ b/src/application/forwarding/_lib/findPromptHolder/index.ts
@@ -1,5 +1,5 @@
 import type { StreamRun } from '../../types';
-import type { AnsweringServer } from '../askServers';
+import type { RespondingServer } from '../queryServers';
 
 /** Part of a prompt that must be there for a server to go before less busy ones. */
 const MIN_HELD_PART = 0.5;
@@ -12,8 +12,8 @@
  */
 export const findPromptHolder = async (
   run: StreamRun,
-  candidates: readonly AnsweringServer[],
-): Promise<AnsweringServer | null> => {
+  candidates: readonly RespondingServer[],
+): Promise<RespondingServer | null> => {
   const last = run.context.request.promptParts.at(-1);
   if (!last) return null;
   const { client } = run.dependencies;
@@ -24,7 +24,7 @@
     })),
   );
   const best = held.reduce((most, one) => (one.tokens > most.tokens ? one : most), {
-    status: null as AnsweringServer | null,
+    status: null as RespondingServer | null,
     tokens: last.tokens * MIN_HELD_PART,
   });
   return best.status;
--- a/src/application/forwarding/_lib/forwardCall/index.ts
+++ b/src/application/forwarding/_lib/forwardCall/index.ts
@@ -1,10 +1,10 @@
 import { chooseLeastLoadedServer, RouteKind } from '../../../../domain/forwarding';
 import type { ForwardContext, ForwardingDependencies, Refusal } from '../../types';
 import { buildQuarantineRefusal } from '../buildQuarantineRefusal';
-import { createCallCrashes } from '../createCallCrashes';
-import { passOverLimited } from '../passOverLimited';
-import { recordDecision } from '../recordDecision';
-import { sendCallAttempt, type WholeAnswer } from '../sendCallAttempt';
+import { createCallCrashTracker } from '../createCallCrashTracker';
+import { skipRateLimited } from '../skipRateLimited';
+import { logDecision } from '../logDecision';
+import { sendCallAttempt, type BufferedResponse } from '../sendCallAttempt';
 
 /** An attempt of a repeatable call is given up after this many latency goals. */
 const ATTEMPT_GOALS = 1.5;
@@ -28,15 +28,15 @@
   return Math.min(goalMs, leftMs * ATTEMPT_PART);
 };
 
-const sendAnswer = ({ reply }: ForwardContext, { body, head }: WholeAnswer): void =>
-  reply.sendWhole(head, body);
+const sendAnswer = ({ reply }: ForwardContext, { body, head }: BufferedResponse): void =>
+  reply.sendResponse(head, body);
 
 const refuse = (
   dependencies: ForwardingDependencies,
   context: ForwardContext,
   refusal: Refusal,
 ): string => {
-  recordDecision(dependencies, context, 'call refused', { ...refusal });
+  logDecision(dependencies, context, 'call refused', { ...refusal });
   context.reply.sendRefusal(refusal);
   return refusal.kind;
 };
@@ -49,8 +49,8 @@
   const { deadlineAtMs, reply, route, servers, service } = context;
   const isRepeatable = route.kind === RouteKind.Repeatable;
   const excludedIds = new Set<string>();
-  const crashes = createCallCrashes(dependencies, context);
-  let failedAnswer: WholeAnswer | null = null;
+  const crashes = createCallCrashTracker(dependencies, context);
+  let failedAnswer: BufferedResponse | null = null;
   let runs = 0;
   let refusals = 0;
   let arrivals = 0;
@@ -63,7 +63,7 @@
       const kind = runs === 0 && attempt === 1 ? 'not-run' : 'deadline-passed';
       return refuse(dependencies, context, { kind, reason: lastReason, retryAfterMs: 0 });
     }
-    if (crashes.hasCrashedOften() || crashes.readQuarantineMs() > 0) break;
+    if (crashes.hasReachedCrashLimit() || crashes.readQuarantineMs() > 0) break;
     const status = chooseLeastLoadedServer(servers.list(), {
       excludedIds,
       avoidedZone: null,
@@ -73,7 +73,7 @@
     if (!status) break;
     const permit = await permits.acquirePermit(status.entry.id);
     if (typeof permit === 'number') {
-      passOverLimited(dependencies, context, status.entry, permit);
+      skipRateLimited(dependencies, context, status.entry, permit);
       excludedIds.add(status.entry.id);
       lastReason = LIMIT_REASON;
       continue;
@@ -93,7 +93,7 @@
     }
     const isLast = runs + 1 >= route.maxAttempts;
     const attemptMs = computeAttemptMs(context, remainingMs, isLast);
-    recordDecision(
+    logDecision(
       dependencies,
       context,
       'call sent',
@@ -116,7 +116,7 @@
     const tookMs = clock.readMonotonicMs() - sentAtMs;
     if (end.kind !== 'not-run') {
       const isFailure = end.kind === 'failed';
-      servers.recordOutcome(status.entry, { isFailure, took: isFailure ? null : tookMs });
+      servers.recordOutcome(status.entry, { isFailure, duration: isFailure ? null : tookMs });
     }
     if (end.kind !== 'not-run' || end.hasArrived) arrivals += 1;
     else {
@@ -124,12 +124,12 @@
       if (isRepeat) retries.releaseRetry(service);
     }
     if (end.kind === 'answered') {
-      crashes.recordAnswer(status.entry);
-      sendAnswer(context, end.answer);
+      crashes.recordResponse(status.entry);
+      sendAnswer(context, end.response);
       return 'answered';
     }
     lastReason = end.reason;
-    recordDecision(
+    logDecision(
       dependencies,
       context,
       'call attempt failed',
@@ -149,8 +149,8 @@
     } else {
       runs += 1;
       failedAnswer = end.answer ?? failedAnswer;
-      if (end.hasBroken) crashes.recordCrash(status.entry);
-      else if (end.answer) crashes.recordAnswer(status.entry);
+      if (end.hasLostConnection) crashes.recordCrash(status.entry);
+      else if (end.answer) crashes.recordResponse(status.entry);
       if (!isRepeatable || runs >= route.maxAttempts) break;
     }
   }
@@ -169,7 +169,7 @@
   return refuse(dependencies, context, {
     kind: runs === 0 ? 'not-run' : kindOfLoss,
     reason: lastReason,
-    retryAfterMs: runs === 0 ? Math.max(RETRY_AFTER_MS, directory.readPauseMs(service)) : 0,
+    retryAfterMs: runs === 0 ? Math.max(RETRY_AFTER_MS, directory.readShortestPauseMs(service)) : 0,
   });
 };
 
@@ -183,7 +183,7 @@
   context: ForwardContext,
 ): Promise<string> => {
   const outcome = await sendToServers(dependencies, context);
-  recordDecision(dependencies, context, 'call ended', {
+  logDecision(dependencies, context, 'call ended', {
     outcome,
     goalMs: context.route.latencyGoalMs,
   });
--- a/src/application/forwarding/_lib/forwardStream/index.ts
+++ b/src/application/forwarding/_lib/forwardStream/index.ts
@@ -12,8 +12,8 @@
 import type { ForwardContext, ForwardingDependencies, Refusal, StreamRun } from '../../types';
 import { closeStreamAttempt } from '../closeStreamAttempt';
 import { openStreamAttempt } from '../openStreamAttempt';
-import { recordAnswer } from '../recordAnswer';
-import { recordDecision } from '../recordDecision';
+import { recordStreamSuccess } from '../recordStreamSuccess';
+import { logDecision } from '../logDecision';
 import { refuseQuarantined } from '../refuseQuarantined';
 
 /** How a stream's position and its engines differ from those that number tokens. */
@@ -75,12 +75,12 @@
       isEnded: () => isEnded,
       refuse: (refusal) => refuse(refusal),
       copy: null,
-      prompts: 0,
-      arrivals: 0,
-      hasRetry: false,
+      prefillAttempts: 0,
+      arrivedAttempts: 0,
+      hasReservedRetry: false,
       lastEventAtMs: null,
       longestPauseMs: 0,
-      failure: null,
+      failedResponse: null,
     };
 
     const end = (outcome: string): void => {
@@ -93,13 +93,13 @@
       run.copy?.release();
       if (outcome === 'answered' && firstEventMs !== null) {
         const tookMs = clock.readMonotonicMs() - request.arrivedAtMs;
-        paces.recordRun(context.service, tookMs - firstEventMs);
+        paces.recordRunDuration(context.service, tookMs - firstEventMs);
       }
-      recordDecision(dependencies, context, 'stream ended', {
+      logDecision(dependencies, context, 'stream ended', {
         outcome,
         offset: state.offset,
         attempts: state.newestAttempt,
-        prompts: run.prompts,
+        prompts: run.prefillAttempts,
         firstEventMs: Math.round(firstEventMs ?? -1),
         longestPauseMs: Math.round(run.longestPauseMs),
       });
@@ -107,22 +107,22 @@
     };
 
     refuse = (refusal) => {
-      if (reply.hasBegun()) reply.breakOff();
+      if (reply.hasSentHead()) reply.destroy();
       else reply.sendRefusal(refusal);
       end(refusal.kind);
     };
 
     const fail = (failure: GenerationFailure): void => {
       if (!reply.isOpen()) return end('left');
-      recordDecision(dependencies, context, 'stream failed', {
+      logDecision(dependencies, context, 'stream failed', {
         code: failure.code,
         reason: failure.message,
         runState: failure.runState,
         offset: state.offset,
       });
-      if (reply.hasBegun()) reply.breakOff();
-      else if (run.failure) {
-        reply.sendWhole(run.failure.head, run.failure.body);
+      if (reply.hasSentHead()) reply.destroy();
+      else if (run.failedResponse) {
+        reply.sendResponse(run.failedResponse.head, run.failedResponse.body);
       } else reply.sendRefusal(buildRefusal(failure));
       return end(failure.code);
     };
@@ -165,7 +165,7 @@
         cancelRetry = clock.startTimer(effect.delayMs, () => queue.push({ kind: 'retry-due' }));
       } else if (effect.kind === 'finish') {
         reply.end();
-        recordAnswer(run);
+        recordStreamSuccess(run);
         end('answered');
       } else if (effect.kind === 'fail') fail(effect.failure);
     };
@@ -179,7 +179,7 @@
     cancelDeadline = clock.startTimer(
       Math.max(0, context.deadlineAtMs - clock.readMonotonicMs()),
       () => {
-        if (reply.hasBegun()) reply.breakOff();
+        if (reply.hasSentHead()) reply.destroy();
         else {
           reply.sendRefusal({
             kind: 'deadline-passed',
@@ -190,11 +190,11 @@
         end('deadline-passed');
       },
     );
-    reply.left.addEventListener('abort', () => end('left'), { once: true });
+    reply.callerLeft.addEventListener('abort', () => end('left'), { once: true });
     if (refuseQuarantined(run)) return;
     // Once an answer has begun it can't be refused; what is on its way may still end well.
     cancelListener = crashes.addListener(run.fingerprint, () => {
-      if (!reply.hasBegun()) refuseQuarantined(run);
+      if (!reply.hasSentHead()) refuseQuarantined(run);
     });
     queue.push({ kind: 'caller-attached' });
     queue.push({ kind: 'started' });
--- a/src/application/forwarding/_lib/recordDecision/index.ts
+++ b/src/application/forwarding/_lib/logDecision/index.ts
@@ -3,7 +3,7 @@
 import type { ForwardContext, ForwardingDependencies } from '../../types';
 
 /** Writes the line of one decision on a request: its inputs, their versions and the outcome. */
-export const recordDecision = (
+export const logDecision = (
   { clock, log }: ForwardingDependencies,
   context: ForwardContext,
   decision: string,
--- a/src/application/forwarding/_lib/moveRun/index.ts
+++ b/src/application/forwarding/_lib/migrateRun/index.ts
@@ -7,7 +7,7 @@
 } from '../../../../domain/forwarding';
 import type { CopyError, KvCopy } from '../../../ports';
 import type { HeldCopy, StreamAttempt, StreamRun } from '../../types';
-import { recordDecision } from '../recordDecision';
+import { logDecision } from '../logDecision';
 
 /**
  * Time for the rest of a copy once the run has stopped. It takes 10 ms, and up to 390 ms behind
@@ -65,7 +65,7 @@
  *
  * @returns whether the run was stopped
  */
-export const moveRun = async (run: StreamRun, attempt: StreamAttempt): Promise<boolean> => {
+export const migrateRun = async (run: StreamRun, attempt: StreamAttempt): Promise<boolean> => {
   const { client, clock, directory, retries } = run.dependencies;
   const { request } = run.context;
   const holder = chooseHolder(run, attempt.server);
@@ -79,7 +79,7 @@
   let stoppedAtMs = Infinity;
   const record = (outcome: string): void => {
     const nowMs = clock.readMonotonicMs();
-    recordDecision(
+    logDecision(
       run.dependencies,
       run.context,
       'run moved',
@@ -106,7 +106,7 @@
     client.dropCopy(attempt.server, first.value.handle);
     return false;
   }
-  Object.assign(attempt, { isMoving: true });
+  Object.assign(attempt, { isMigrating: true });
   stoppedAtMs = clock.readMonotonicMs();
   const last = await copyRest(run, attempt, holder, first.value);
   if (!isCurrent()) {
@@ -125,11 +125,11 @@
     ? [holder.id, attempt.server.id]
     : [attempt.server.id];
   Object.assign(run, {
-    hasRetry: true,
+    hasReservedRetry: true,
     copy: {
       ...copy,
       holders,
-      hasBegun: true,
+      hasData: true,
       release: directory.addCopy(holders[0]),
     },
   });
--- a/src/application/forwarding/_lib/openStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/openStreamAttempt/index.ts
@@ -1,29 +1,33 @@
 import { countPromptTokens, type AnswerHead } from '../../../../domain/forwarding';
 import type { ReaderId } from '../../../../domain/generation';
 import type { AttemptAnswer } from '../../../ports';
-import type { HeldCopy, StreamAttempt, StreamRun, StreamServers } from '../../types';
+import type { HeldCopy, StreamAttempt, StreamRun, StreamPlacement } from '../../types';
 import { closeStreamAttempt } from '../closeStreamAttempt';
-import { prepareStreamAttempt, type OpenAttempt } from '../prepareStreamAttempt';
+import { prepareStreamAttempt, type OpenAttemptEffect } from '../prepareStreamAttempt';
 import { readStreamEvents } from '../readStreamEvents';
-import { readWholeBody } from '../readWholeBody';
-import { recordAnswerHead } from '../recordAnswerHead';
+import { readBody } from '../readBody';
+import { recordResponseHead } from '../recordResponseHead';
 import { recordAttemptFailure } from '../recordAttemptFailure';
-import { recordDecision } from '../recordDecision';
+import { logDecision } from '../logDecision';
 import { releaseCopy } from '../releaseCopy';
 import { startCopyWatch } from '../startCopyWatch';
 import { startSilenceWatch } from '../startSilenceWatch';
-import { updateCopy } from '../updateCopy';
+import { replaceCopy } from '../replaceCopy';
 
 const OK_STATUS = 200;
 const SERVER_ERROR_STATUS = 500;
 
 /** Counts the prompt tokens that the server has to read before others. */
-const countTokensToRead = (run: StreamRun, { copy, hasPrompt }: StreamServers): number =>
-  copy || hasPrompt ? 0 : countPromptTokens(run.context.request);
+const countTokensToRead = (run: StreamRun, { copy, isPromptCached }: StreamPlacement): number =>
+  copy || isPromptCached ? 0 : countPromptTokens(run.context.request);
 
-const buildAttempt = (run: StreamRun, servers: StreamServers, reader: ReaderId): StreamAttempt => {
+const buildAttempt = (
+  run: StreamRun,
+  servers: StreamPlacement,
+  reader: ReaderId,
+): StreamAttempt => {
   const { clock, directory } = run.dependencies;
-  const { expectedMs, isFree, server } = servers;
+  const { expectedFirstEventMs, isFree, server } = servers;
   const nowMs = clock.readMonotonicMs();
   return {
     abort: new AbortController(),
@@ -31,18 +35,18 @@
     work: directory.startWork(server.id, {
       prefillTokens: countTokensToRead(run, servers),
       // It knows nothing of this run any more, whatever its connection still shows.
-      handleVoid: () => run.dispatch({ kind: 'silent', reader, confirmed: true }),
+      handleLoss: () => run.dispatch({ kind: 'silent', reader, confirmed: true }),
     }),
     sentAtMs: nowMs,
     headAtMs: null,
     lastActivityMs: nowMs,
     gaps: run.paces.readInitialGaps(run.context.service),
-    hasDelivered: false,
-    wasFree: isFree,
-    expectedMs,
-    stopWatch: () => undefined,
-    stopCopies: () => undefined,
-    isMoving: false,
+    hasDeliveredEvent: false,
+    wasServerIdle: isFree,
+    expectedFirstEventMs: expectedFirstEventMs,
+    stopSilenceWatch: () => undefined,
+    stopCopyWatch: () => undefined,
+    isMigrating: false,
   };
 };
 
@@ -56,13 +60,13 @@
   if (head.isNotExecuted) {
     // The rest of the answer is read, so that its connection ends by itself.
     releaseCopy(run, copy, attempt.server.id);
-    await readWholeBody(body);
+    await readBody(body);
     run.dispatch({ kind: 'not-started', reader, refused: false });
     return;
   }
-  run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
-  const read = head.isVerified ? await readWholeBody(body) : null;
-  if (read?.isOk()) Object.assign(run, { failure: { head, body: read.value } });
+  run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
+  const read = head.isVerified ? await readBody(body) : null;
+  if (read?.isOk()) Object.assign(run, { failedResponse: { head, body: read.value } });
   if (read?.isOk() && head.status < SERVER_ERROR_STATUS) {
     run.dispatch({ kind: 'rejected', reader, status: head.status, message: 'by the server' });
     return;
@@ -72,24 +76,27 @@
 
 const beginReply = (run: StreamRun, head: AnswerHead): void => {
   const { reply } = run.context;
-  if (!reply.hasBegun() && reply.isOpen()) reply.begin(head);
+  if (!reply.hasSentHead() && reply.isOpen()) reply.sendHead(head);
 };
 
 /** Sends one attempt of a stream and reads what comes of it. */
-export const openStreamAttempt = async (run: StreamRun, opening: OpenAttempt): Promise<void> => {
+export const openStreamAttempt = async (
+  run: StreamRun,
+  opening: OpenAttemptEffect,
+): Promise<void> => {
   const { client, clock, directory, retries } = run.dependencies;
   const { context } = run;
   const prepared = await prepareStreamAttempt(run, opening);
   if (!prepared) return undefined;
   const { reader } = opening;
-  const { isRepeat, permit, servers } = prepared;
-  const { backup, copy, server } = servers;
-  const attempt = buildAttempt(run, servers, reader);
+  const { isRepeat, permit, placement } = prepared;
+  const { backup, copy, server } = placement;
+  const attempt = buildAttempt(run, placement, reader);
   run.attempts.set(reader.attempt, attempt);
-  updateCopy(run, backup);
+  replaceCopy(run, backup);
   const { offset } = run.readState();
   const remainingMs = context.deadlineAtMs - clock.readMonotonicMs();
-  recordDecision(
+  logDecision(
     run.dependencies,
     context,
     'stream sent',
@@ -100,18 +107,18 @@
       fromCopy: copy !== null,
       backup: backup?.id ?? '',
       leftMs: Math.round(remainingMs),
-      ...servers.estimate,
-      isFree: servers.isFree,
-      predictedMs: Math.round(servers.predictedMs ?? -1),
+      ...placement.estimate,
+      isFree: placement.isFree,
+      predictedMs: Math.round(placement.predictedMs ?? -1),
     },
     server,
   );
-  const tokensToRead = countTokensToRead(run, servers);
+  const tokensToRead = countTokensToRead(run, placement);
   if (tokensToRead > 0) run.dependencies.tellPrompt(server.id, tokensToRead);
   context.servers.recordSent(server);
   run.dispatch({ kind: 'sending', reader, backendServer: server.id });
-  attempt.stopWatch = startSilenceWatch(run, attempt, reader);
-  attempt.stopCopies = startCopyWatch(run, attempt, reader);
+  attempt.stopSilenceWatch = startSilenceWatch(run, attempt, reader);
+  attempt.stopCopyWatch = startCopyWatch(run, attempt, reader);
   const sent = await client.sendAttempt(
     {
       server,
@@ -127,12 +134,12 @@
     attempt.abort.signal,
   );
   const hasArrived = sent.isOk() || sent.error.kind !== 'not-started';
-  if (hasArrived) Object.assign(run, { arrivals: run.arrivals + 1 });
+  if (hasArrived) Object.assign(run, { arrivedAttempts: run.arrivedAttempts + 1 });
   const isCurrent = run.attempts.get(reader.attempt) === attempt;
   if (!isCurrent) return closeStreamAttempt(run, reader.attempt);
   if (sent.isErr()) {
     recordAttemptFailure(directory, server.id, sent.error);
-    recordDecision(
+    logDecision(
       run.dependencies,
       context,
       'stream attempt failed',
@@ -141,7 +148,7 @@
     );
     const isRefused = sent.error.kind === 'not-started';
     if (sent.error.kind === 'broken') {
-      context.servers.recordOutcome(server, { isFailure: true, took: null });
+      context.servers.recordOutcome(server, { isFailure: true, duration: null });
     }
     if (isRefused) {
       releaseCopy(run, copy, server.id);
@@ -153,9 +160,9 @@
     );
   }
   const { head } = sent.value;
-  recordAnswerHead(run.dependencies, server, head, attempt);
+  recordResponseHead(run.dependencies, server, head, attempt);
   if (head.status !== OK_STATUS || !head.isVerified) {
-    recordDecision(
+    logDecision(
       run.dependencies,
       context,
       'stream attempt failed',
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -8,8 +8,8 @@
   type ServerByReportOptions,
   type ReportedServer,
 } from '../../../../domain/forwarding';
-import type { StreamRun, StreamServers } from '../../types';
-import type { AnsweringServer } from '../askServers';
+import type { StreamRun, StreamPlacement } from '../../types';
+import type { RespondingServer } from '../queryServers';
 import { keepsBackups } from '../keepsBackups';
 
 /** What a request needs of a server. */
@@ -23,9 +23,9 @@
   readonly predictedMs: number;
 }
 
-const addUnread = (run: StreamRun, one: AnsweringServer): ReportedServer => ({
+const addUnread = (run: StreamRun, one: RespondingServer): ReportedServer => ({
   ...one,
-  pendingPrefillTokens: run.dependencies.directory.countUnreadTokens(one.entry.id),
+  pendingPrefillTokens: run.dependencies.directory.countPendingPrefillTokens(one.entry.id),
 });
 
 /** True: it has no prompt to read before a new one. */
@@ -41,7 +41,7 @@
   run: StreamRun,
   chosen: ReportedServer,
   options: BuildOptions,
-): StreamServers => {
+): StreamPlacement => {
   const { hasPrompt, needs, predictedMs, reported } = options;
   const isPaceKnown = run.paces.readEnginePaces(run.context.service).prefillMsPerToken > 0;
   const readingMs = isPaceKnown ? predictedMs : run.context.route.latencyGoalMs;
@@ -54,7 +54,7 @@
   return {
     server: chosen.entry,
     copy: null,
-    hasPrompt,
+    isPromptCached: hasPrompt,
     isFree: isIdle(chosen) && hasRoom(chosen, needs),
     estimate: {
       promptTokens: needs.promptTokens,
@@ -64,7 +64,7 @@
     },
     predictedMs,
     // A prompt that is held needs no reading: its silence is no work.
-    expectedMs: hasPrompt ? 0 : readingMs,
+    expectedFirstEventMs: hasPrompt ? 0 : readingMs,
     backup: keepsBackups(run, chosen.entry) ? (backup?.entry ?? null) : null,
   };
 };
@@ -78,9 +78,9 @@
  */
 export const pickServer = (
   run: StreamRun,
-  answered: readonly AnsweringServer[],
-  holding: AnsweringServer | null,
-): StreamServers | null => {
+  answered: readonly RespondingServer[],
+  holding: RespondingServer | null,
+): StreamPlacement | null => {
   const needs: ReportedNeeds = {
     neededKvTokens: countNeededKvTokens(run.context.request),
     promptTokens: countPromptTokens(run.context.request),
--- a/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
+++ b/src/application/forwarding/_lib/prepareStreamAttempt/index.ts
@@ -1,19 +1,19 @@
 import type { GenerationEffect, ReaderId } from '../../../../domain/generation';
 import { RefusalCode } from '../../../../domain/types';
 import type { Permit } from '../../../limits';
-import type { StreamRun, StreamServers } from '../../types';
+import type { StreamRun, StreamPlacement } from '../../types';
 import { checkStreamStart } from '../checkStreamStart';
-import { chooseStreamServers } from '../chooseStreamServers';
-import { passOverLimited } from '../passOverLimited';
-import { recordDecision } from '../recordDecision';
+import { chooseStreamPlacement } from '../chooseStreamPlacement';
+import { skipRateLimited } from '../skipRateLimited';
+import { logDecision } from '../logDecision';
 import { refuseQuarantined } from '../refuseQuarantined';
 
 /** The order to open an attempt. */
-export type OpenAttempt = Extract<GenerationEffect, { kind: 'open-attempt' }>;
+export type OpenAttemptEffect = Extract<GenerationEffect, { kind: 'open-attempt' }>;
 
 /** An attempt that may be sent. */
 export interface PreparedAttempt {
-  readonly servers: StreamServers;
+  readonly placement: StreamPlacement;
   readonly permit: Permit;
   /** True: it uses one of the service's repeats. */
   readonly isRepeat: boolean;
@@ -26,10 +26,10 @@
 const MAX_LIMITED = 6;
 
 /** A caller who waits here is served by whichever server is there first; a new one comes back later. */
-const computeRetryMs = ({ arrivals, context, dependencies }: StreamRun): number =>
-  arrivals > 0
+const computeRetryMs = ({ arrivedAttempts, context, dependencies }: StreamRun): number =>
+  arrivedAttempts > 0
     ? RETRY_AFTER_MS
-    : Math.max(RETRY_AFTER_MS, dependencies.directory.readPauseMs(context.service));
+    : Math.max(RETRY_AFTER_MS, dependencies.directory.readShortestPauseMs(context.service));
 
 const refuse = (run: StreamRun, reader: ReaderId, message: string): void =>
   run.dispatch({
@@ -42,16 +42,16 @@
 const choosePermitted = async (
   run: StreamRun,
   excludedIds: ReadonlySet<string>,
-): Promise<Pick<PreparedAttempt, 'permit' | 'servers'> | null> => {
+): Promise<Pick<PreparedAttempt, 'permit' | 'placement'> | null> => {
   const { permits } = run.dependencies;
   const limitedIds = new Set<string>();
   while (limitedIds.size < MAX_LIMITED) {
-    const servers = await chooseStreamServers(run, new Set([...excludedIds, ...limitedIds]));
+    const servers = await chooseStreamPlacement(run, new Set([...excludedIds, ...limitedIds]));
     if (!servers) return null;
     const { id } = servers.server;
     const permit = await permits.acquirePermit(id);
-    if (typeof permit !== 'number') return { servers, permit };
-    passOverLimited(run.dependencies, run.context, servers.server, permit);
+    if (typeof permit !== 'number') return { placement: servers, permit };
+    skipRateLimited(run.dependencies, run.context, servers.server, permit);
     limitedIds.add(id);
   }
   return null;
@@ -65,7 +65,7 @@
  */
 export const prepareStreamAttempt = async (
   run: StreamRun,
-  { excludedServers, reader }: OpenAttempt,
+  { excludedServers, reader }: OpenAttemptEffect,
 ): Promise<PreparedAttempt | null> => {
   const { lender, retries } = run.dependencies;
   const { context } = run;
@@ -75,22 +75,22 @@
     !run.isEnded() && run.readState().attempts.some(({ attempt }) => attempt === reader.attempt);
   if (!isWanted()) {
     chosen?.permit.release();
-    recordDecision(run.dependencies, context, 'stream not sent', { attempt: reader.attempt });
+    logDecision(run.dependencies, context, 'stream not sent', { attempt: reader.attempt });
     return null;
   }
   if (!chosen) {
     refuse(run, reader, 'no server takes work');
     return null;
   }
-  const { permit, servers } = chosen;
-  const refusal = run.arrivals === 0 ? checkStreamStart(run, servers) : null;
+  const { permit, placement } = chosen;
+  const refusal = run.arrivedAttempts === 0 ? checkStreamStart(run, placement) : null;
   if (refusal) {
     permit.release();
     run.refuse(refusal);
     return null;
   }
-  const isRepeat = run.arrivals > 0;
-  if (isRepeat && !run.hasRetry && !(await lender.acquireRetry(context.service))) {
+  const isRepeat = run.arrivedAttempts > 0;
+  if (isRepeat && !run.hasReservedRetry && !(await lender.acquireRetry(context.service))) {
     permit.release();
     refuse(run, reader, 'no retry left');
     return null;
@@ -100,13 +100,13 @@
     if (isRepeat) retries.releaseRetry(context.service);
     return null;
   }
-  Object.assign(run, { hasRetry: false });
-  if (servers.copy) return { servers, permit, isRepeat };
-  if (run.prompts >= context.route.maxAttempts) {
+  Object.assign(run, { hasReservedRetry: false });
+  if (placement.copy) return { placement, permit, isRepeat };
+  if (run.prefillAttempts >= context.route.maxAttempts) {
     permit.release();
     refuse(run, reader, 'the request went to as many servers as it may');
     return null;
   }
-  Object.assign(run, { prompts: run.prompts + 1 });
-  return { servers, permit, isRepeat };
+  Object.assign(run, { prefillAttempts: run.prefillAttempts + 1 });
+  return { placement, permit, isRepeat };
 };
--- a/src/application/forwarding/_lib/askServers/index.ts
+++ b/src/application/forwarding/_lib/queryServers/index.ts
@@ -2,7 +2,7 @@
 import type { StreamRun } from '../../types';
 
 /** A server that was asked, and what it said of itself; what is on its way is added at the choice. */
-export type AnsweringServer = Omit<ReportedServer, 'pendingPrefillTokens'>;
+export type RespondingServer = Omit<ReportedServer, 'pendingPrefillTokens'>;
 
 /**
  * Time that the others get once a server has answered: sound ones take some milliseconds, and those
@@ -16,13 +16,13 @@
  *
  * @returns those that answered at once; at least one, unless all fail
  */
-export const askServers = (
+export const queryServers = (
   run: StreamRun,
   candidates: readonly ServerStatus[],
-): Promise<readonly AnsweringServer[]> =>
+): Promise<readonly RespondingServer[]> =>
   new Promise((resolve) => {
     const { client, clock, directory, limits } = run.dependencies;
-    const answers: AnsweringServer[] = [];
+    const answers: RespondingServer[] = [];
     let left = candidates.length;
     let cancelTimer: (() => void) | null = null;
     const end = (): void => {
@@ -35,9 +35,9 @@
       const report = await client.readReport(entry);
       left -= 1;
       if (report) {
-        directory.recordBorn(entry.id, report.bornMs);
+        directory.recordStartTime(entry.id, report.bornMs);
         const { limitPerS } = report;
-        if (limitPerS !== null) limits.recordStatement(entry.id, { limitPerS, sentAtMs });
+        if (limitPerS !== null) limits.recordAdvertisedLimit(entry.id, { limitPerS, sentAtMs });
         if (report.isLeaving) directory.recordLeaving(entry.id);
         else answers.push({ entry, report, copies });
       } else directory.recordSuspicion(entry.id, 'silent');
--- a/src/application/forwarding/_lib/readWholeBody/index.ts
+++ b/src/application/forwarding/_lib/readBody/index.ts
@@ -4,9 +4,7 @@
 const MAX_BODY_BYTES = 8 * 1024 * 1024;
 
 /** Reads an answer's body to its end; an error says why it isn't whole. */
-export const readWholeBody = async (
-  body: AsyncIterable<Buffer>,
-): Promise<Result<Buffer, string>> => {
+export const readBody = async (body: AsyncIterable<Buffer>): Promise<Result<Buffer, string>> => {
   const chunks: Buffer[] = [];
   let bytes = 0;
   try {
--- a/src/application/forwarding/_lib/readStreamEvents/index.ts
+++ b/src/application/forwarding/_lib/readStreamEvents/index.ts
@@ -9,9 +9,9 @@
 const recordFirstEvent = (run: StreamRun, attempt: StreamAttempt, nowMs: number): void => {
   const { request, servers } = run.context;
   const tokens = countPromptTokens(request);
-  const saysPace = attempt.wasFree && request.lastEventId === null && tokens > 0;
+  const saysPace = attempt.wasServerIdle && request.lastEventId === null && tokens > 0;
   const took = saysPace ? (nowMs - attempt.sentAtMs) / tokens : null;
-  servers.recordOutcome(attempt.server, { isFailure: false, took });
+  servers.recordOutcome(attempt.server, { isFailure: false, duration: took });
 };
 
 const recordActivity = (run: StreamRun, attempt: StreamAttempt, reader: ReaderId): void => {
@@ -21,20 +21,20 @@
   run.dependencies.directory.recordAlive(attempt.server.id);
   const gapMs = nowMs - attempt.lastActivityMs;
   Object.assign(attempt, { lastActivityMs: nowMs });
-  if (attempt.hasDelivered) {
+  if (attempt.hasDeliveredEvent) {
     Object.assign(attempt, { gaps: updateGapStatistics(attempt.gaps, gapMs) });
     run.paces.recordGap(service, gapMs);
     return;
   }
-  attempt.stopWatch();
-  Object.assign(attempt, { hasDelivered: true });
-  if (run.copy) Object.assign(run, { copy: { ...run.copy, hasBegun: true } });
+  attempt.stopSilenceWatch();
+  Object.assign(attempt, { hasDeliveredEvent: true });
+  if (run.copy) Object.assign(run, { copy: { ...run.copy, hasData: true } });
   // The limit is another one from here on, and a far shorter one.
-  Object.assign(attempt, { stopWatch: startSilenceWatch(run, attempt, reader) });
+  Object.assign(attempt, { stopSilenceWatch: startSilenceWatch(run, attempt, reader) });
   attempt.work.recordFirstEvent();
   recordFirstEvent(run, attempt, nowMs);
   // Only a whole prompt says how long one takes: that of a caller who comes back may be cached.
-  const isWhole = run.prompts === 1 && request.lastEventId === null;
+  const isWhole = run.prefillAttempts === 1 && request.lastEventId === null;
   if (run.attempts.size === 1 && isWhole && run.lastEventAtMs === null) {
     const sample = {
       firstTokenMs: nowMs - attempt.sentAtMs,
@@ -43,7 +43,7 @@
     run.paces.recordFirstToken(service, sample);
     // One that waited for others says little of the pace: a VM that had seen only such a one took
     // every engine for three times too slow, and refused what free ones could have begun.
-    if (attempt.wasFree) run.paces.recordReading(service, sample);
+    if (attempt.wasServerIdle) run.paces.recordPrefill(service, sample);
   }
 };
 
@@ -84,10 +84,10 @@
   } catch (error) {
     const reason = error instanceof Error ? error.message : 'the stream broke off';
     // What was asked to stop is no evidence; nor does it tell the end of the move, which dispatches.
-    if (attempt.isMoving) return;
+    if (attempt.isMigrating) return;
     if (isCurrent()) {
       run.dependencies.directory.recordSuspicion(attempt.server.id, 'broken');
-      run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
+      run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
       recordCrash(run, attempt);
     }
     run.dependencies.log.info('stream broke off', {
@@ -95,7 +95,7 @@
       server: attempt.server.id,
       fingerprint: run.fingerprint,
       offset: run.readState().offset,
-      hadEvents: attempt.hasDelivered,
+      hadEvents: attempt.hasDeliveredEvent,
       ranMs: Math.round(
         run.dependencies.clock.readMonotonicMs() - (attempt.headAtMs ?? attempt.sentAtMs),
       ),
@@ -105,7 +105,7 @@
     run.dispatch({ kind: 'broken', reader });
     return;
   }
-  if (attempt.isMoving) return;
+  if (attempt.isMigrating) return;
   if (rest.length > 0) {
     run.dispatch({ kind: 'broken', reader });
     return;
--- a/src/application/forwarding/_lib/recordAnswerHead/index.ts
+++ b/src/application/forwarding/_lib/recordResponseHead/index.ts
@@ -2,7 +2,7 @@
 import type { ForwardingDependencies } from '../../types';
 
 /** Takes what an answer's head says of its server; another server at its address speaks for itself. */
-export const recordAnswerHead = (
+export const recordResponseHead = (
   { directory, limits }: Pick<ForwardingDependencies, 'directory' | 'limits'>,
   server: ServerEntry,
   head: AnswerHead,
@@ -17,6 +17,6 @@
   if (head.pauseMs > 0) directory.recordPause(server.id, head.pauseMs);
   const { limitPerS } = head;
   if (head.isVerified || limitPerS !== null) {
-    limits.recordStatement(server.id, { limitPerS, sentAtMs });
+    limits.recordAdvertisedLimit(server.id, { limitPerS, sentAtMs });
   }
 };
--- a/src/application/forwarding/_lib/recordAnswer/index.ts
+++ b/src/application/forwarding/_lib/recordStreamSuccess/index.ts
@@ -2,7 +2,12 @@
 import type { StreamRun } from '../../types';
 
 /** Takes a stream's end as proof that its request does not end the servers that run it. */
-export const recordAnswer = ({ attempts, context, dependencies, fingerprint }: StreamRun): void => {
+export const recordStreamSuccess = ({
+  attempts,
+  context,
+  dependencies,
+  fingerprint,
+}: StreamRun): void => {
   const newest = [...attempts.values()].at(-1);
   if (!newest || !dependencies.crashes.isSuspected(fingerprint)) return;
   dependencies.crashes.recordOutcome({
--- a/src/application/forwarding/_lib/refuseQuarantined/index.ts
+++ b/src/application/forwarding/_lib/refuseQuarantined/index.ts
@@ -1,6 +1,6 @@
 import type { StreamRun } from '../../types';
 import { buildQuarantineRefusal } from '../buildQuarantineRefusal';
-import { recordDecision } from '../recordDecision';
+import { logDecision } from '../logDecision';
 
 /** Ends a stream whose request is in quarantine; false if it is not. */
 export const refuseQuarantined = (run: StreamRun): boolean => {
@@ -8,8 +8,8 @@
   const quarantineMs = dependencies.crashes.readQuarantineMs(fingerprint);
   if (quarantineMs === 0) return false;
   // One that is on its way may still run.
-  const hasArrived = run.arrivals > 0 || run.readState().mayHaveStarted;
-  recordDecision(dependencies, context, 'request in quarantine', {
+  const hasArrived = run.arrivedAttempts > 0 || run.readState().mayHaveStarted;
+  logDecision(dependencies, context, 'request in quarantine', {
     fingerprint,
     quarantineMs: Math.round(quarantineMs),
     hasArrived,
--- a/src/application/forwarding/_lib/sendCallAttempt/index.ts
+++ b/src/application/forwarding/_lib/sendCallAttempt/index.ts
@@ -1,28 +1,28 @@
 import type { AnswerHead, ServerEntry } from '../../../../domain/forwarding';
 import type { AttemptError } from '../../../ports';
 import type { ForwardContext, ForwardingDependencies } from '../../types';
-import { readWholeBody } from '../readWholeBody';
-import { recordAnswerHead } from '../recordAnswerHead';
+import { readBody } from '../readBody';
+import { recordResponseHead } from '../recordResponseHead';
 import { recordAttemptFailure } from '../recordAttemptFailure';
 
 /** A server's answer, whole. */
-export interface WholeAnswer {
+export interface BufferedResponse {
   readonly head: AnswerHead;
   readonly body: Buffer;
 }
 
 /** How one attempt ended. */
-export type CallAttemptEnd =
-  | { readonly kind: 'answered'; readonly answer: WholeAnswer }
+export type CallAttemptResult =
+  | { readonly kind: 'answered'; readonly response: BufferedResponse }
   /** The server did not run it. */
   | { readonly kind: 'not-run'; readonly reason: string; readonly hasArrived: boolean }
   /** It may have run. */
   | {
       readonly kind: 'failed';
       readonly reason: string;
-      readonly answer: WholeAnswer | null;
+      readonly answer: BufferedResponse | null;
       /** True: its connection ended, so that its server may have ended. */
-      readonly hasBroken: boolean;
+      readonly hasLostConnection: boolean;
     }
   | { readonly kind: 'left' };
 
@@ -30,14 +30,14 @@
 
 const NO_ANSWER = { kind: 'failed', answer: null } as const;
 
-const convertError = (error: AttemptError, isTimeout: boolean): CallAttemptEnd => {
+const convertError = (error: AttemptError, isTimeout: boolean): CallAttemptResult => {
   if (error.kind === 'not-started') {
     return { kind: 'not-run', reason: error.reason, hasArrived: false };
   }
   if (error.kind === 'cancelled' && !isTimeout) return { kind: 'left' };
   return error.kind === 'broken'
-    ? { ...NO_ANSWER, reason: error.reason, hasBroken: true }
-    : { ...NO_ANSWER, reason: 'no answer in time', hasBroken: false };
+    ? { ...NO_ANSWER, reason: error.reason, hasLostConnection: true }
+    : { ...NO_ANSWER, reason: 'no answer in time', hasLostConnection: false };
 };
 
 /**
@@ -51,7 +51,7 @@
   context: ForwardContext,
   server: ServerEntry,
   options: { readonly leftMs: number; readonly attemptMs: number },
-): Promise<CallAttemptEnd> => {
+): Promise<CallAttemptResult> => {
   const { client, clock, directory } = dependencies;
   const { holder, reply, request } = context;
   const timeout = new AbortController();
@@ -71,32 +71,32 @@
         copy: null,
         newConnection: false,
       },
-      AbortSignal.any([reply.left, timeout.signal]),
+      AbortSignal.any([reply.callerLeft, timeout.signal]),
     );
     if (sent.isErr()) {
       recordAttemptFailure(directory, server.id, sent.error);
       return convertError(sent.error, timeout.signal.aborted);
     }
     const { body, head } = sent.value;
-    recordAnswerHead(dependencies, server, head, { sentAtMs });
+    recordResponseHead(dependencies, server, head, { sentAtMs });
     if (!head.isVerified && !head.isNotExecuted) {
       // The answer that is due may still follow on this connection: it is not used again.
       timeout.abort();
-      return { ...NO_ANSWER, reason: 'the answer is of another request', hasBroken: false };
+      return { ...NO_ANSWER, reason: 'the answer is of another request', hasLostConnection: false };
     }
-    const read = await readWholeBody(body);
-    if (reply.left.aborted) return { kind: 'left' };
+    const read = await readBody(body);
+    if (reply.callerLeft.aborted) return { kind: 'left' };
     if (head.isNotExecuted) {
       return { kind: 'not-run', reason: `status ${head.status}`, hasArrived: true };
     }
     if (read.isErr())
-      return { ...NO_ANSWER, reason: read.error, hasBroken: !timeout.signal.aborted };
+      return { ...NO_ANSWER, reason: read.error, hasLostConnection: !timeout.signal.aborted };
     const answer = { head, body: read.value };
     if (head.status >= SERVER_ERROR_STATUS) {
-      return { kind: 'failed', reason: `status ${head.status}`, answer, hasBroken: false };
+      return { kind: 'failed', reason: `status ${head.status}`, answer, hasLostConnection: false };
     }
     directory.recordSuccess(server.id);
-    return { kind: 'answered', answer };
+    return { kind: 'answered', response: answer };
   } finally {
     cancelTimer();
     work.release();
--- a/src/application/forwarding/_lib/passOverLimited/index.ts
+++ b/src/application/forwarding/_lib/skipRateLimited/index.ts
@@ -1,19 +1,19 @@
 import type { ServerEntry } from '../../../../domain/forwarding';
 import type { ForwardContext, ForwardingDependencies } from '../../types';
-import { recordDecision } from '../recordDecision';
+import { logDecision } from '../logDecision';
 
 /**
  * Passes over a server whose rate limit leaves nothing to this VM.
  *
  * @param waitMs - time until it makes sense to ask for it again
  */
-export const passOverLimited = (
+export const skipRateLimited = (
   dependencies: ForwardingDependencies,
   context: ForwardContext,
   server: ServerEntry,
   waitMs: number,
 ): void => {
   const limitPerS = dependencies.limits.readLimitPerS(server.id) ?? 0;
-  recordDecision(dependencies, context, 'server limit reached', { limitPerS, waitMs }, server);
-  dependencies.directory.recordLimited(server.id, waitMs);
+  logDecision(dependencies, context, 'server limit reached', { limitPerS, waitMs }, server);
+  dependencies.directory.recordRateLimited(server.id, waitMs);
 };
--- a/src/application/forwarding/_lib/startCopyWatch/index.ts
+++ b/src/application/forwarding/_lib/startCopyWatch/index.ts
@@ -1,8 +1,8 @@
 import type { ReaderId } from '../../../../domain/generation';
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
-import { hasTrustedCopy } from '../hasTrustedCopy';
-import { moveRun } from '../moveRun';
+import { hasHealthyCopy } from '../hasHealthyCopy';
+import { migrateRun } from '../migrateRun';
 
 /** How often it is looked whether a run still has its copy. */
 const LOOK_MS = 300;
@@ -28,8 +28,9 @@
     // What tries a new version goes on at the established one by its prompt: memory is not shared.
     if (run.context.servers.isTrial(attempt.server)) return LOOK_MS;
     const traits = tables.readCurrent()?.services.get(service)?.engine;
-    if (!traits?.supportsKvCopy || !attempt.hasDelivered || hasTrustedCopy(run)) return LOOK_MS;
-    const isStoppedThere = await moveRun(run, attempt);
+    if (!traits?.supportsKvCopy || !attempt.hasDeliveredEvent || hasHealthyCopy(run))
+      return LOOK_MS;
+    const isStoppedThere = await migrateRun(run, attempt);
     // The server closes the stream as well; its last events may arrive before that.
     if (isStoppedThere) run.dispatch({ kind: 'broken', reader });
     return RETRY_MS;
--- a/src/application/forwarding/_lib/startServerWork/index.ts
+++ b/src/application/forwarding/_lib/startServerWork/index.ts
@@ -12,24 +12,24 @@
   /** Tokens of the prompt that it has to read. */
   readonly prefillTokens: number;
   /** Called once it is known that the server is not the one any more that this was sent to. */
-  readonly handleVoid?: () => void;
+  readonly handleLoss?: () => void;
 }
 
 /** Counts work at a server; null is one that is not known any more. */
 export const startServerWork = (
   record: ServerRecord | null,
-  { handleVoid = () => undefined, prefillTokens }: ServerWorkOptions,
+  { handleLoss = () => undefined, prefillTokens }: ServerWorkOptions,
 ): ServerWork => {
   let unread = prefillTokens;
   let isRunning = true;
-  const isTrial = record !== null && record.suspicions > 0;
+  const isTrial = record !== null && record.consecutiveSuspicions > 0;
   if (record) {
     Object.assign(record, {
-      trials: record.trials + (isTrial ? 1 : 0),
+      probeRequests: record.probeRequests + (isTrial ? 1 : 0),
       running: record.running + 1,
       prefillTokens: record.prefillTokens + unread,
     });
-    record.voidHandlers.add(handleVoid);
+    record.lossHandlers.add(handleLoss);
   }
   const recordFirstEvent = (): void => {
     if (record) Object.assign(record, { prefillTokens: record.prefillTokens - unread });
@@ -42,10 +42,10 @@
       isRunning = false;
       recordFirstEvent();
       if (!record) return;
-      record.voidHandlers.delete(handleVoid);
+      record.lossHandlers.delete(handleLoss);
       Object.assign(record, {
         running: record.running - 1,
-        trials: isTrial ? Math.max(0, record.trials - 1) : record.trials,
+        probeRequests: isTrial ? Math.max(0, record.probeRequests - 1) : record.probeRequests,
       });
     },
   };
--- a/src/application/forwarding/_lib/startSilenceWatch/index.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/index.ts
@@ -9,8 +9,8 @@
 import { startLoop } from '../../../time';
 import type { StreamAttempt, StreamRun } from '../../types';
 import { estimateRunPrefill } from '../estimateRunPrefill';
-import { hasTrustedCopy } from '../hasTrustedCopy';
-import { recordDecision } from '../recordDecision';
+import { hasHealthyCopy } from '../hasHealthyCopy';
+import { logDecision } from '../logDecision';
 
 /** Part of the longest good pause after which a server is asked whether it lives. */
 const ASK_PART = 0.35;
@@ -36,25 +36,25 @@
 
 const computeGiveUpMs = (
   run: StreamRun,
-  { expectedMs, hasDelivered }: StreamAttempt,
+  { expectedFirstEventMs, hasDeliveredEvent }: StreamAttempt,
   report: ServerReport | null,
 ): number => {
   const { request, route, service } = run.context;
   const samples = run.paces.listFirstTokens(service);
   const slowest = computePrefillLimits(samples, countPromptTokens(request), { isServerDead: true });
   return computeEventTimeoutMs({
-    hasDelivered,
-    hasCopy: hasTrustedCopy(run),
+    hasDelivered: hasDeliveredEvent,
+    hasCopy: hasHealthyCopy(run),
     isQueued: (report?.waiting ?? 0) > 0,
     gapGoalMs: route.gapGoalMs,
     latencyGoalMs: route.latencyGoalMs,
     slowestPrefillMs: slowest.confirmMs,
-    expectedFirstEventMs: expectedMs,
+    expectedFirstEventMs: expectedFirstEventMs,
   });
 };
 
 const computeAskMs = (run: StreamRun, attempt: StreamAttempt): number => {
-  if (!attempt.hasDelivered) return ASK_IN_PREFILL_MS;
+  if (!attempt.hasDeliveredEvent) return ASK_IN_PREFILL_MS;
   const { suspectMs } = computeSilenceLimits(attempt.gaps, { isServerDead: false });
   return Math.min(suspectMs, run.context.route.gapGoalMs * ASK_PART);
 };
@@ -81,7 +81,7 @@
 
   const giveUp = (cause: string, report: ServerReport | null): void => {
     const silentMs = Math.round(readSilentMs());
-    recordDecision(
+    logDecision(
       run.dependencies,
       run.context,
       'server silent',
@@ -95,7 +95,7 @@
       },
       attempt.server,
     );
-    run.context.servers.recordOutcome(attempt.server, { isFailure: true, took: null });
+    run.context.servers.recordOutcome(attempt.server, { isFailure: true, duration: null });
     run.dispatch({ kind: 'silent', reader, confirmed: true });
   };
 
@@ -108,7 +108,7 @@
     const askedMs = clock.readMonotonicMs();
     const report = await client.readReport(attempt.server);
     const tookMs = clock.readMonotonicMs() - askedMs;
-    directory.recordBorn(attempt.server.id, report?.bornMs ?? null);
+    directory.recordStartTime(attempt.server.id, report?.bornMs ?? null);
     if (isStopped) return null;
     if (attempt.lastActivityMs !== askedAtMs) {
       misses = 0;
@@ -118,7 +118,7 @@
     const isLost =
       report !== null &&
       isRunLost(report, run.context.request.requestId, {
-        hasArrived: attempt.hasDelivered,
+        hasArrived: attempt.hasDeliveredEvent,
         queueEmptyMs: Math.max(0, clock.readMonotonicMs() - unqueuedAtMs),
         prefill: estimateRunPrefill(run),
       });
@@ -130,10 +130,11 @@
     wasLost = isLost;
     misses = report ? 0 : misses + 1;
     const isStalled = !report && tookMs > STALLED_MS;
-    const isMissed = misses > (attempt.hasDelivered && hasTrustedCopy(run) ? 0 : 1) && !isStalled;
+    const isMissed =
+      misses > (attempt.hasDeliveredEvent && hasHealthyCopy(run) ? 0 : 1) && !isStalled;
     if (!isMissed && readSilentMs() < computeGiveUpMs(run, attempt, report)) {
       if (!report) return ASK_MISSED_MS;
-      return attempt.hasDelivered || isLost ? ASK_AGAIN_MS : ASK_IN_PREFILL_MS;
+      return attempt.hasDeliveredEvent || isLost ? ASK_AGAIN_MS : ASK_IN_PREFILL_MS;
     }
     giveUp(report ? 'no event' : 'no answer', report);
     return null;
--- a/src/application/forwarding/_lib/startSilenceWatch/test.ts
+++ b/src/application/forwarding/_lib/startSilenceWatch/test.ts
@@ -17,8 +17,8 @@
     server: { id: 'i-1', availabilityZone: 'z1' },
     lastActivityMs: 0,
     gaps: NO_GAPS,
-    hasDelivered: false,
-    expectedMs: 0,
+    hasDeliveredEvent: false,
+    expectedFirstEventMs: 0,
   } as unknown as StreamAttempt;
   const run = {
     context: {
@@ -33,7 +33,7 @@
     dispatch: (input: GenerationInput) => inputs.push(input),
     dependencies: {
       clock,
-      directory: { recordBorn: () => undefined },
+      directory: { recordStartTime: () => undefined },
       log: QUIET_LOG,
       client: {
         readReport: () => {
--- a/src/application/forwarding/createCrashHistory/index.ts
+++ b/src/application/forwarding/createCrashHistory/index.ts
@@ -13,7 +13,7 @@
   /** True: this incarnation of a server answered this VM after that time, so that it did not end. */
   readonly hasAnsweredSince: (server: string, atMs: number) => boolean;
   /** Tells other VMs of an outcome that showed here. */
-  readonly tellOutcome: (outcome: SharedOutcome) => void;
+  readonly publishOutcome: (outcome: SharedOutcome) => void;
   /** Called where the crash that puts a request into quarantine showed here. */
   readonly handleQuarantine: (fingerprint: string) => void;
 }
@@ -45,7 +45,7 @@
 const QUARANTINE_MS = 600_000;
 
 /** Outcomes are forgotten after this time: a request that crashes again meanwhile is back at once. */
-export const CRASHES_KEPT_MS = 3_600_000;
+export const CRASH_RETENTION_MS = 3_600_000;
 
 /** Requests and outcomes of each that are remembered. */
 const MAX_REQUESTS = 1000;
@@ -71,7 +71,7 @@
   handleQuarantine,
   hasAnsweredSince,
   log,
-  tellOutcome,
+  publishOutcome,
 }: CrashHistoryDependencies): CrashHistory => {
   /** By fingerprint; the one that was heard of last comes last. */
   const outcomesOf = new Map<string, readonly RunOutcome[]>();
@@ -94,7 +94,7 @@
   };
 
   const dropOld = (): void => {
-    const sinceMs = clock.readMonotonicMs() - CRASHES_KEPT_MS;
+    const sinceMs = clock.readMonotonicMs() - CRASH_RETENTION_MS;
     outcomesOf.forEach((outcomes, fingerprint) => {
       const kept = outcomes.filter(({ atMs }) => atMs > sinceMs);
       if (kept.length === 0) outcomesOf.delete(fingerprint);
@@ -145,11 +145,11 @@
   return {
     recordOutcome: (outcome) => {
       if (take({ ...outcome, atMs: clock.readMonotonicMs() }, 'own')) {
-        tellOutcome({ ...outcome, ageMs: 0 });
+        publishOutcome({ ...outcome, ageMs: 0 });
       }
     },
     mergeOutcome: ({ ageMs, ...outcome }) => {
-      if (ageMs >= CRASHES_KEPT_MS) return false;
+      if (ageMs >= CRASH_RETENTION_MS) return false;
       return take({ ...outcome, atMs: clock.readMonotonicMs() - ageMs }, 'told');
     },
     isEmpty: () => outcomesOf.size === 0,
--- a/src/application/forwarding/createCrashHistory/test.ts
+++ b/src/application/forwarding/createCrashHistory/test.ts
@@ -12,7 +12,7 @@
     clock,
     log: QUIET_LOG,
     hasAnsweredSince: (server) => alive.has(server),
-    tellOutcome: (outcome) => told.push(outcome),
+    publishOutcome: (outcome) => told.push(outcome),
     handleQuarantine: (fingerprint) => quarantined.push(fingerprint),
   });
   const crash = (server: string, requestId = 'r-1', fingerprint = 'f'): void =>
--- a/src/application/forwarding/createForwarder/index.ts
+++ b/src/application/forwarding/createForwarder/index.ts
@@ -8,8 +8,8 @@
   RouteKind,
   type ForwardedRequest,
 } from '../../../domain/forwarding';
-import { createPaceHistory } from '../../_lib/createPaceHistory';
-import { createOverloadWatch } from '../_lib/createOverloadWatch';
+import { createLatencyHistory } from '../../_lib/createLatencyHistory';
+import { createOverloadTracker } from '../_lib/createOverloadTracker';
 import { forwardCall } from '../_lib/forwardCall';
 import { forwardStream } from '../_lib/forwardStream';
 import type { CallerReply, ForwardContext, ForwardingDependencies, Refusal } from '../types';
@@ -43,7 +43,7 @@
 /** Creates the forwarder of this VM. */
 export const createForwarder = (dependencies: ForwardingDependencies): Forwarder => {
   const { clock, log, meter, randomness, retries, rollouts, tables } = dependencies;
-  const shared = { paces: createPaceHistory(), overload: createOverloadWatch(clock) };
+  const shared = { paces: createLatencyHistory(), overload: createOverloadTracker(clock) };
   const startedAtMs = clock.readMonotonicMs();
   /** By route: the longest time that a caller waited. */
   const longestWaitMs = new Map<string, number>();
@@ -132,7 +132,7 @@
       } catch (error) {
         const reason = error instanceof Error ? error.message : 'unknown';
         log.error('request failed unexpectedly', { requestId: request.requestId, reason });
-        if (reply.hasBegun()) reply.breakOff();
+        if (reply.hasSentHead()) reply.destroy();
         else reply.sendRefusal({ kind: 'lost', reason: 'internal error', retryAfterMs: 0 });
       } finally {
         running -= 1;
--- a/src/application/forwarding/createIdentityWatch/index.ts
+++ b/src/application/forwarding/createIdentityWatch/index.ts
@@ -51,7 +51,7 @@
   const ask = async (): Promise<void> => {
     const services = tables.readCurrent()?.services;
     await Promise.all(
-      directory.listUncertain().map(async (server) => {
+      directory.listUnverified().map(async (server) => {
         const healthPath = services?.get(server.service)?.healthPath;
         if (healthPath === undefined) return;
         const identity = await client.readIdentity(server, healthPath);
@@ -77,8 +77,8 @@
         firstDelayMs: ASK_MS,
         runStep: async () => {
           await ask();
-          if (directory.listUncertain().length > 0) return ASK_MS;
-          if (directory.countInferred() > 0) return ASK_INFERRED_MS;
+          if (directory.listUnverified().length > 0) return ASK_MS;
+          if (directory.pruneInferred() > 0) return ASK_INFERRED_MS;
           stopLoop = null;
           return null;
         },
--- a/src/application/forwarding/createPromptPlaces/index.ts
+++ b/src/application/forwarding/createPromptReservations/index.ts
@@ -1,32 +1,32 @@
 import { chooseOwners } from '../../../domain/membership';
 
 /** Another VM. */
-export interface PlacePeer {
+export interface ReservationPeer {
   readonly vm: string;
   readonly address: string;
 }
 
 /** A prompt that is sent to a server. */
-export interface PlacedPrompt {
+export interface SentPrompt {
   readonly server: string;
   readonly tokens: number;
 }
 
 /** What agreeing on places needs. */
-export interface PromptPlacesDependencies {
+export interface PromptReservationsDependencies {
   /** Name of this VM. */
   readonly self: string;
-  readonly listPeers: () => readonly PlacePeer[];
-  readonly tellPeer: (address: string, prompt: PlacedPrompt) => void;
+  readonly listPeers: () => readonly ReservationPeer[];
+  readonly tellPeer: (address: string, prompt: SentPrompt) => void;
   /** Takes a place at the VM that keeps the server's; null if it does not answer in time. */
-  readonly askPeer: (address: string, prompt: PlacedPrompt) => Promise<number | null>;
+  readonly askPeer: (address: string, prompt: SentPrompt) => Promise<number | null>;
   /** What is known here of a server's unread prompts, and takes note of another one. */
-  readonly countUnreadTokens: (server: string) => number;
-  readonly recordToldPrompt: (server: string, tokens: number) => void;
+  readonly countPendingPrefillTokens: (server: string) => number;
+  readonly recordPeerPrompt: (server: string, tokens: number) => void;
 }
 
 /** Lets VMs know of each other's prompts before any report shows them. */
-export interface PromptPlaces {
+export interface PromptReservations {
   /** Tells all other VMs of a prompt that was sent; in a large fleet nobody. */
   tellPrompt(server: string, tokens: number): void;
   /** Takes a place in a large fleet; returns the tokens of those that were sooner, else 0. */
@@ -50,17 +50,17 @@
  * prompt, whatever the size. VMs that disagree on who keeps them, or one that does not answer, only
  * bring the old state back.
  */
-export const createPromptPlaces = ({
+export const createPromptReservations = ({
   askPeer,
-  countUnreadTokens,
+  countPendingPrefillTokens,
   listPeers,
-  recordToldPrompt,
+  recordPeerPrompt,
   self,
   tellPeer,
-}: PromptPlacesDependencies): PromptPlaces => {
+}: PromptReservationsDependencies): PromptReservations => {
   const handleReservation = (server: string, tokens: number): number => {
-    const othersTokens = countUnreadTokens(server);
-    recordToldPrompt(server, tokens);
+    const othersTokens = countPendingPrefillTokens(server);
+    recordPeerPrompt(server, tokens);
     return othersTokens;
   };
   return {
--- a/src/application/forwarding/createPromptPlaces/test.ts
+++ b/src/application/forwarding/createPromptReservations/test.ts
@@ -1,17 +1,17 @@
 import test from 'ava';
-import { createPromptPlaces, type PromptPlaces } from '.';
+import { createPromptReservations, type PromptReservations } from '.';
 
 /** A fleet whose VMs call each other directly; `isDown` tells which do not answer. */
 const buildFleet = (vms: number, isDown: (address: string) => boolean = () => false) => {
   const names = Array.from({ length: vms }, (_, index) => `vm-${index}`);
-  const fleet = new Map<string, PromptPlaces>();
+  const fleet = new Map<string, PromptReservations>();
   const told: string[] = [];
   let calls = 0;
   names.forEach((self) => {
     const unread = new Map<string, number>();
     fleet.set(
       self,
-      createPromptPlaces({
+      createPromptReservations({
         self,
         listPeers: () => names.filter((name) => name !== self).map((vm) => ({ vm, address: vm })),
         tellPeer: (address, { server, tokens }) => {
@@ -24,13 +24,14 @@
             ? null
             : (fleet.get(address)?.handleReservation(server, tokens) ?? null);
         },
-        countUnreadTokens: (server) => unread.get(server) ?? 0,
-        recordToldPrompt: (server, tokens) =>
+        countPendingPrefillTokens: (server) => unread.get(server) ?? 0,
+        recordPeerPrompt: (server, tokens) =>
           unread.set(server, (unread.get(server) ?? 0) + tokens),
       }),
     );
   });
-  const find = (index: number): PromptPlaces => fleet.get(`vm-${index}`) as PromptPlaces;
+  const find = (index: number): PromptReservations =>
+    fleet.get(`vm-${index}`) as PromptReservations;
   return { countCalls: () => calls, find, told };
 };
 
--- a/src/application/forwarding/createQuarantineRows/index.ts
+++ b/src/application/forwarding/createQuarantineRows/index.ts
@@ -11,7 +11,7 @@
   readonly clock: Clock;
   readonly log: EventLog;
   /** Rows of requests that crashed nothing for this long are removed. */
-  readonly keptMs: number;
+  readonly retentionMs: number;
 }
 
 /** Keeps quarantines in the shared store, for processes that all end at the same moment. */
@@ -39,7 +39,7 @@
 export const createQuarantineRows = ({
   clock,
   crashes,
-  keptMs,
+  retentionMs,
   log,
   store,
   table,
@@ -82,7 +82,7 @@
     }
     const { lastCrashAtMs, servers } = read.value;
     const ageMs = Math.max(0, clock.readWallMs() - lastCrashAtMs);
-    if (ageMs >= keptMs) return false;
+    if (ageMs >= retentionMs) return false;
     servers.forEach((server) =>
       crashes.mergeOutcome({
         fingerprint: key,
--- a/src/application/forwarding/createQuarantineRows/test.ts
+++ b/src/application/forwarding/createQuarantineRows/test.ts
@@ -23,7 +23,7 @@
     },
     clock,
     log: QUIET_LOG,
-    keptMs: KEPT_MS,
+    retentionMs: KEPT_MS,
   });
   const readKeys = async (): Promise<readonly string[]> => {
     const read = store.readRows('t');
--- a/src/application/forwarding/createRetryAllowance/index.ts
+++ b/src/application/forwarding/createRetryBudget/index.ts
@@ -1,22 +1,22 @@
 import type { Clock } from '../../ports';
 
 /** Bounds of the sends beyond the first of each request, over all VMs. */
-export interface RetryBounds {
+export interface RetryBudgetBounds {
   readonly retryRatio: number;
   readonly retryWindowMs: number;
   readonly retryExtra: number;
 }
 
 /** What an allowance needs. */
-export interface RetryAllowanceDependencies {
-  readonly bounds: RetryBounds;
+export interface RetryBudgetDependencies {
+  readonly bounds: RetryBudgetBounds;
   readonly clock: Clock;
   /** VMs that share the bounds. */
   readonly countVms: () => number;
 }
 
 /** Says which sends beyond the first of each request may be made. */
-export interface RetryAllowance {
+export interface RetryBudget {
   recordRequest(service: string): void;
   /**
    * Takes one send beyond the first, if it is within the bounds.
@@ -53,11 +53,11 @@
  * Creates the allowance of this VM: its part of the bounds that all VMs keep together, in a window
  * that slides.
  */
-export const createRetryAllowance = ({
+export const createRetryBudget = ({
   bounds,
   clock,
   countVms,
-}: RetryAllowanceDependencies): RetryAllowance => {
+}: RetryBudgetDependencies): RetryBudget => {
   const stepMs = bounds.retryWindowMs / STEPS;
   const byService = new Map<string, Counts>();
   let step = Math.floor(clock.readMonotonicMs() / stepMs);
--- a/src/application/forwarding/createRetryAllowance/test.ts
+++ b/src/application/forwarding/createRetryBudget/test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { createFakeClock } from '../../../../standins/fakes';
-import { createRetryAllowance } from '.';
+import { createRetryBudget } from '.';
 
 const BOUNDS = { retryRatio: 0.5, retryWindowMs: 10_000, retryExtra: 10 };
 
@@ -12,7 +12,7 @@
 
 test('retries are bounded by the requests of the window and a part of the free ones', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryAllowance({ bounds: BOUNDS, clock, countVms: () => 2 });
+  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 2 });
   for (let index = 0; index < 20; index += 1) allowance.recordRequest('s');
   // 0.9 of 0.5 x 20 + 10 / 2.
   t.is(
@@ -30,13 +30,13 @@
 // Cause: each takes the whole of the free retries for itself.
 test('the free retries are shared by the VMs that are known', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryAllowance({ bounds: BOUNDS, clock, countVms: () => 10 });
+  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 10 });
   t.false(allowance.acquireRetry('s'));
 });
 
 test('the window slides: old requests and retries are forgotten', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryAllowance({ bounds: BOUNDS, clock, countVms: () => 1 });
+  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
   t.is(
     acquireAll(() => allowance.acquireRetry('s')),
     9,
@@ -55,7 +55,7 @@
 // Cause: planned repeats use up what lost runs need.
 test('a kind of repeat may be held to a part, and one that reached no server is given back', (t) => {
   const clock = createFakeClock();
-  const allowance = createRetryAllowance({ bounds: BOUNDS, clock, countVms: () => 1 });
+  const allowance = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
   t.is(
     acquireAll(() => allowance.acquireRetry('s', { part: 0.5 })),
     4,
--- a/src/application/forwarding/createRetryLender/index.ts
+++ b/src/application/forwarding/createRetryLender/index.ts
@@ -1,12 +1,12 @@
 import type { EventLog } from '../../ports';
-import type { RetryAllowance } from '../createRetryAllowance';
+import type { RetryBudget } from '../createRetryBudget';
 
 /** What a lender needs. */
 export interface RetryLenderDependencies {
-  readonly retries: RetryAllowance;
+  readonly retries: RetryBudget;
   readonly log: EventLog;
   /** Addresses of some other VMs, drawn at random. */
-  readonly drawPeers: (count: number) => readonly string[];
+  readonly pickPeers: (count: number) => readonly string[];
   /** Asks a VM for one of its repeats; false also if it does not answer in time. */
   readonly askPeer: (address: string, service: string) => Promise<boolean>;
 }
@@ -41,14 +41,14 @@
  */
 export const createRetryLender = ({
   askPeer,
-  drawPeers,
+  pickPeers,
   log,
   retries,
 }: RetryLenderDependencies): RetryLender => ({
   acquireRetry: async (service) => {
     if (retries.acquireRetry(service)) return true;
     let asked = 0;
-    for (const address of drawPeers(ASKED_PEERS)) {
+    for (const address of pickPeers(ASKED_PEERS)) {
       asked += 1;
       if (await askPeer(address, service)) {
         log.info('repeat borrowed', { service, peer: address, asked });
--- a/src/application/forwarding/createRetryLender/test.ts
+++ b/src/application/forwarding/createRetryLender/test.ts
@@ -1,6 +1,6 @@
 import test from 'ava';
 import { createFakeClock, createSeededRandomness, QUIET_LOG } from '../../../../standins/fakes';
-import { createRetryAllowance } from '../createRetryAllowance';
+import { createRetryBudget } from '../createRetryBudget';
 import { createRetryLender, type RetryLender } from '.';
 
 const BOUNDS = { retryRatio: 0.8, retryWindowMs: 10_000, retryExtra: 150 };
@@ -12,13 +12,13 @@
   const lenders = new Map<string, RetryLender>();
   const names = Array.from({ length: count }, (_, index) => `vm-${index}`);
   names.forEach((vm) => {
-    const retries = createRetryAllowance({ bounds: BOUNDS, clock, countVms: () => count });
+    const retries = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => count });
     for (let index = 0; index < requestsEach; index += 1) retries.recordRequest('s');
     const others = names.filter((name) => name !== vm);
     const lender = createRetryLender({
       retries,
       log: QUIET_LOG,
-      drawPeers: (wanted) =>
+      pickPeers: (wanted) =>
         Array.from(
           { length: wanted },
           () => others[Math.floor(randomness.readFraction() * others.length)] ?? '',
--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -1,5 +1,5 @@
 import { formatIncarnation, isAddressReserved, type ServerEntry } from '../../../domain/forwarding';
-import type { ServerRecord, ToldPrompt } from '../_lib/buildServerRecord';
+import type { ServerRecord, PeerPrompt } from '../_lib/buildServerRecord';
 import { buildServerStatus } from '../_lib/buildServerStatus';
 import { createServerRecords, type ServerRecordsDependencies } from '../_lib/createServerRecords';
 import { startServerWork } from '../_lib/startServerWork';
@@ -54,12 +54,12 @@
   const isServing = (record: ServerRecord): boolean =>
     isThere(record) && record.pausedUntilMs <= clock.readMonotonicMs();
 
-  const isLimited = ({ limitedUntilMs }: ServerRecord): boolean =>
-    limitedUntilMs > clock.readMonotonicMs();
+  const isLimited = ({ rateLimitedUntilMs }: ServerRecord): boolean =>
+    rateLimitedUntilMs > clock.readMonotonicMs();
 
-  const listTold = ({ told }: ServerRecord): readonly ToldPrompt[] => {
+  const listTold = ({ peerPrompts }: ServerRecord): readonly PeerPrompt[] => {
     const sinceMs = clock.readMonotonicMs() - TOLD_MS;
-    return told.filter(({ toldAtMs }) => toldAtMs > sinceMs);
+    return peerPrompts.filter(({ receivedAtMs }) => receivedAtMs > sinceMs);
   };
 
   const recordAlive = (id: string): void => {
@@ -81,22 +81,22 @@
       const record = records.find(id);
       return record && isServing(record) ? record.entry : null;
     },
-    isTrusted: (id) => {
+    isHealthy: (id) => {
       const record = records.find(id);
       if (!record) return false;
       return isServing(record) && record.suspectedUntilMs <= clock.readMonotonicMs();
     },
     startWork: (id, options) => startServerWork(records.find(id) ?? null, options),
-    countUnreadTokens: (id) => {
+    countPendingPrefillTokens: (id) => {
       const record = records.find(id);
       if (!record) return 0;
       return record.prefillTokens + listTold(record).reduce((sum, { tokens }) => sum + tokens, 0);
     },
-    recordToldPrompt: (id, tokens) => {
+    recordPeerPrompt: (id, tokens) => {
       const record = records.find(id);
       if (!record) return;
       const toldAtMs = clock.readMonotonicMs();
-      record.told = [...listTold(record), { tokens, toldAtMs }];
+      record.peerPrompts = [...listTold(record), { tokens, receivedAtMs: toldAtMs }];
     },
     addCopy: (id) => {
       const record = records.find(id);
@@ -119,20 +119,23 @@
       record.pausedUntilMs = Math.max(record.pausedUntilMs, untilMs);
       log.info('server paused', { server: id, pauseMs: Math.round(pauseMs) });
     },
-    recordLimited: (id, waitMs) => {
+    recordRateLimited: (id, waitMs) => {
       const record = records.find(id);
-      if (record) record.limitedUntilMs = clock.readMonotonicMs() + waitMs;
+      if (record) record.rateLimitedUntilMs = clock.readMonotonicMs() + waitMs;
     },
-    isLimited: (id) => {
+    isRateLimited: (id) => {
       const record = records.find(id);
       return record !== undefined && isLimited(record);
     },
-    readPauseMs: (service) => {
+    readShortestPauseMs: (service) => {
       const nowMs = clock.readMonotonicMs();
       const pauses = records
         .list()
         .filter((record) => record.entry.service === service && isThere(record))
-        .map(({ limitedUntilMs, pausedUntilMs }) => Math.max(limitedUntilMs, pausedUntilMs) - nowMs)
+        .map(
+          ({ rateLimitedUntilMs, pausedUntilMs }) =>
+            Math.max(rateLimitedUntilMs, pausedUntilMs) - nowMs,
+        )
         .filter((pauseMs) => pauseMs > 0);
       return pauses.length === 0 ? 0 : Math.min(...pauses);
     },
@@ -145,22 +148,26 @@
       // Another VM's path to a server may be cut: what this VM saw itself just now goes first.
       const isToldOnly = cause === 'told';
       if (isToldOnly && nowMs - record.aliveAtMs < OWN_EVIDENCE_MS) return;
-      const holdMs = Math.min(MAX_SUSPICION_MS, FIRST_SUSPICION_MS * 2 ** record.suspicions);
-      record.suspicions += 1;
+      const holdMs = Math.min(
+        MAX_SUSPICION_MS,
+        FIRST_SUSPICION_MS * 2 ** record.consecutiveSuspicions,
+      );
+      record.consecutiveSuspicions += 1;
       record.suspectedUntilMs = nowMs + holdMs;
       log.warn('server suspected', { server: id, cause, holdMs });
       if (!isToldOnly) handleSuspected(id, cause);
     },
     recordSuccess: (id) => {
       const record = records.find(id);
-      if (record) Object.assign(record, { suspicions: 0, suspectedUntilMs: 0, trials: 0 });
+      if (record)
+        Object.assign(record, { consecutiveSuspicions: 0, suspectedUntilMs: 0, probeRequests: 0 });
       recordAlive(id);
     },
     recordAlive,
     recordReplaced: (id, successorId) => {
       const record = records.find(id);
       if (!record) return;
-      records.end(id);
+      records.endServer(id);
       const { aliveAtMs: lastAnswerAtMs, entry } = record;
       const times = {
         lastAnswerAtMs: lastAnswerAtMs,
@@ -178,28 +185,28 @@
           ({ aliveAtMs, entry }) =>
             aliveAtMs > atMs + LAST_WORDS_MS && formatIncarnation(entry) === incarnation,
         ),
-    recordBorn: records.recordBorn,
-    applyInferred: (entry) => {
+    recordStartTime: records.recordStartTime,
+    addInferred: (entry) => {
       records.addInferred(entry, 'told');
     },
-    listUncertain: () => {
+    listUnverified: () => {
       const nowMs = clock.readMonotonicMs();
       return records
         .list()
         .filter(({ pausedUntilMs }) => pausedUntilMs <= nowMs)
-        .filter(({ aliveAtMs, isInferred, suspicions }) =>
+        .filter(({ aliveAtMs, isInferred, consecutiveSuspicions }) =>
           isInferred
             ? nowMs - aliveAtMs > INFERRED_ASK_MS
-            : suspicions > 0 &&
+            : consecutiveSuspicions > 0 &&
               isAddressReserved({ lastAnswerAtMs: aliveAtMs, nowMs, reuseAfterMs }),
         )
         .map(({ entry }) => entry);
     },
-    countInferred: () => {
+    pruneInferred: () => {
       const nowMs = clock.readMonotonicMs();
       const inferred = records.list().filter(({ isInferred }) => isInferred);
       const old = inferred.filter(({ aliveAtMs }) => nowMs - aliveAtMs >= INFERRED_AGE_MS);
-      old.forEach(({ entry }) => records.drop(entry.id));
+      old.forEach(({ entry }) => records.forgetServer(entry.id));
       return inferred.length - old.length;
     },
     countServing: () => records.list().filter(isServing).length,
--- a/src/application/forwarding/createServerDirectory/test.ts
+++ b/src/application/forwarding/createServerDirectory/test.ts
@@ -48,16 +48,16 @@
   const { clock, directory, suspected } = setUp();
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.recordSuspicion('a', 'not-connected');
-  t.false(directory.isTrusted('a'));
+  t.false(directory.isHealthy('a'));
   // Attempts that fail together are one failure.
   directory.recordSuspicion('a', 'broken');
   clock.advance(1000);
-  t.true(directory.isTrusted('a'));
+  t.true(directory.isHealthy('a'));
   directory.recordSuspicion('a', 'silent');
   clock.advance(1500);
-  t.false(directory.isTrusted('a'));
+  t.false(directory.isHealthy('a'));
   directory.recordSuccess('a');
-  t.true(directory.isTrusted('a'));
+  t.true(directory.isHealthy('a'));
   t.deepEqual(suspected, ['a', 'a']);
 });
 
@@ -69,10 +69,10 @@
   directory.applyRows([buildRow('a', 'x:1')], STORE);
   directory.recordSuccess('a');
   directory.recordSuspicion('a', 'told');
-  t.true(directory.isTrusted('a'));
+  t.true(directory.isHealthy('a'));
   clock.advance(500);
   directory.recordSuspicion('a', 'told');
-  t.false(directory.isTrusted('a'));
+  t.false(directory.isHealthy('a'));
   t.deepEqual(suspected, []);
 });
 
--- a/src/application/forwarding/index.ts
+++ b/src/application/forwarding/index.ts
@@ -1,14 +1,14 @@
-export { CRASHES_KEPT_MS, createCrashHistory, type CrashHistory } from './createCrashHistory';
+export { CRASH_RETENTION_MS, createCrashHistory, type CrashHistory } from './createCrashHistory';
 export { createQuarantineRows, type QuarantineRows } from './createQuarantineRows';
 export { createCrashProbe, type CrashProbe } from './createCrashProbe';
 export { createForwarder, type Forwarder } from './createForwarder';
 export {
-  createPromptPlaces,
-  type PlacedPrompt,
-  type PromptPlaces,
-  type PromptPlacesDependencies,
-} from './createPromptPlaces';
-export { createRetryAllowance, type RetryAllowance } from './createRetryAllowance';
+  createPromptReservations,
+  type SentPrompt,
+  type PromptReservations,
+  type PromptReservationsDependencies,
+} from './createPromptReservations';
+export { createRetryBudget, type RetryBudget } from './createRetryBudget';
 export { createRouteTableHolder, type RouteTableHolder } from './createRouteTableHolder';
 export { createIdentityWatch, type IdentityWatch } from './createIdentityWatch';
 export { createRetryLender, type RetryLender } from './createRetryLender';
--- a/src/application/forwarding/types/CallerReply.ts
+++ b/src/application/forwarding/types/CallerReply.ts
@@ -23,18 +23,18 @@
   /** False once the answer has ended, or the caller has left. */
   isOpen(): boolean;
   /** True once the answer's head was sent. */
-  hasBegun(): boolean;
+  hasSentHead(): boolean;
   sendRefusal(refusal: Refusal): void;
   /** Sends a server's answer, read to its end. */
-  sendWhole(head: AnswerHead, body: Buffer): void;
+  sendResponse(head: AnswerHead, body: Buffer): void;
   /** Begins an answer whose body follows in parts. */
-  begin(head: AnswerHead): void;
+  sendHead(head: AnswerHead): void;
   /** Sends a part; false asks to wait before the next one. */
   write(bytes: Buffer): boolean;
   waitForDrain(): Promise<void>;
   end(): void;
   /** Closes the connection, so that the answer doesn't look whole. */
-  breakOff(): void;
+  destroy(): void;
   /** Aborts when the caller leaves before the answer has ended. */
-  readonly left: AbortSignal;
+  readonly callerLeft: AbortSignal;
 }
--- a/src/application/forwarding/types/ForwardContext.ts
+++ b/src/application/forwarding/types/ForwardContext.ts
@@ -1,5 +1,5 @@
 import type { ForwardedRequest, KeyHolder, Route } from '../../../domain/forwarding';
-import type { RequestServers } from '../../rollouts';
+import type { EligibleServers } from '../../rollouts';
 import type { CallerReply } from './CallerReply';
 
 /** One request on its way. */
@@ -13,7 +13,7 @@
   /** True: the caller was refused before, and does not come back a second time. */
   readonly isReturning: boolean;
   /** Servers that it may go to. */
-  readonly servers: RequestServers;
+  readonly servers: EligibleServers;
   readonly reply: CallerReply;
   /** Monotonic time at which the caller, or the route, stops waiting. */
   readonly deadlineAtMs: number;
--- a/src/application/forwarding/types/ForwardingDependencies.ts
+++ b/src/application/forwarding/types/ForwardingDependencies.ts
@@ -1,9 +1,9 @@
 import type { Clock, EventLog, ForwardClient, Randomness } from '../../ports';
-import type { Permits, ServerLimits } from '../../limits';
-import type { Rollouts } from '../../rollouts';
+import type { PermitClient, ServerLimits } from '../../limits';
+import type { RolloutRegistry } from '../../rollouts';
 import type { CrashProbe } from '../createCrashProbe';
 import type { CrashHistory } from '../createCrashHistory';
-import type { RetryAllowance } from '../createRetryAllowance';
+import type { RetryBudget } from '../createRetryBudget';
 import type { RetryLender } from '../createRetryLender';
 import type { RouteTableHolder } from '../createRouteTableHolder';
 import type { ServerDirectory } from './ServerDirectory';
@@ -19,12 +19,12 @@
   readonly crashProbe: CrashProbe;
   readonly directory: ServerDirectory;
   readonly limits: ServerLimits;
-  readonly permits: Pick<Permits, 'acquirePermit'>;
+  readonly permits: Pick<PermitClient, 'acquirePermit'>;
   readonly log: EventLog;
   readonly meter: ForwardingMeter;
   readonly randomness: Randomness;
-  readonly retries: RetryAllowance;
-  readonly rollouts: Pick<Rollouts, 'openRequest'>;
+  readonly retries: RetryBudget;
+  readonly rollouts: Pick<RolloutRegistry, 'openRequest'>;
   readonly lender: RetryLender;
   readonly tables: RouteTableHolder;
   /** Tells other VMs of a prompt that was sent to a server just now. */
--- a/src/application/forwarding/types/ServerDirectory.ts
+++ b/src/application/forwarding/types/ServerDirectory.ts
@@ -12,12 +12,12 @@
   /** A server that may take new work; null if it is leaving or gone. */
   findServing(id: string): ServerEntry | null;
   /** True: it is there, stays, and did not fail lately. */
-  isTrusted(id: string): boolean;
+  isHealthy(id: string): boolean;
   startWork(id: string, options: ServerWorkOptions): ServerWork;
   /** Prompt tokens that are known to have been sent to a server and are still to be read. */
-  countUnreadTokens(id: string): number;
+  countPendingPrefillTokens(id: string): number;
   /** Another VM sent a prompt there. */
-  recordToldPrompt(id: string, tokens: number): void;
+  recordPeerPrompt(id: string, tokens: number): void;
   /** Counts a copy of a run's memory that a server holds; the returned function ends it. */
   addCopy(id: string): () => void;
   recordLoad(id: string, load: ServerLoad): void;
@@ -26,13 +26,13 @@
   /** The server said for how long it wants no request of this VM. */
   recordPause(id: string, pauseMs: number): void;
   /** Its rate limit leaves nothing to this VM for so long: it is not listed meanwhile. */
-  recordLimited(id: string, waitMs: number): void;
-  isLimited(id: string): boolean;
+  recordRateLimited(id: string, waitMs: number): void;
+  isRateLimited(id: string): boolean;
   /**
    * Time until the first server of a service that paused, or reached its limit, takes work; 0 if
    * none did.
    */
-  readPauseMs(service: string): number;
+  readShortestPauseMs(service: string): number;
   recordSuspicion(id: string, cause: SuspicionCause): void;
   /** The server answered a request under its id. */
   recordSuccess(id: string): void;
@@ -43,15 +43,15 @@
   /** True: this incarnation (`formatIncarnation`) answered this VM after that time. */
   hasAnsweredSince(incarnation: string, atMs: number): boolean;
   /** The server said when it was born; null if it did not. */
-  recordBorn(id: string, bornMs: number | null): void;
+  recordStartTime(id: string, bornMs: number | null): void;
   /** Takes a server that another VM met. */
-  applyInferred(entry: ServerEntry): void;
+  addInferred(entry: ServerEntry): void;
   /**
    * Servers whose ids are to be asked for: who is at the address of one that failed just now, and
    * is one without an entry still there?
    */
-  listUncertain(): readonly ServerEntry[];
+  listUnverified(): readonly ServerEntry[];
   /** Servers without an entry; those that have not answered for long are forgotten first. */
-  countInferred(): number;
+  pruneInferred(): number;
   countServing(): number;
 }
--- a/src/application/forwarding/types/StreamRun.ts
+++ b/src/application/forwarding/types/StreamRun.ts
@@ -3,8 +3,8 @@
 import type { AnswerHead, ServerEntry } from '../../../domain/forwarding';
 import type { KvCopy } from '../../ports';
 import type { ServerWork } from '../_lib/startServerWork';
-import type { OverloadWatch } from '../_lib/createOverloadWatch';
-import type { PaceHistory } from '../../_lib/createPaceHistory';
+import type { OverloadTracker } from '../_lib/createOverloadTracker';
+import type { LatencyHistory } from '../../_lib/createLatencyHistory';
 import type { Refusal } from './CallerReply';
 import type { ForwardContext } from './ForwardContext';
 import type { ForwardingDependencies } from './ForwardingDependencies';
@@ -14,7 +14,7 @@
   /** Ids of these servers, the best one first; never empty. */
   readonly holders: readonly [string, ...string[]];
   /** False: nothing of the run was copied yet, as its memory is only sent from its first event on. */
-  readonly hasBegun: boolean;
+  readonly hasData: boolean;
   /** Ends its count at that server. */
   readonly release: () => void;
 }
@@ -29,15 +29,15 @@
   headAtMs: number | null;
   lastActivityMs: number;
   gaps: GapStatistics;
-  hasDelivered: boolean;
+  hasDeliveredEvent: boolean;
   /** True: no other prompt was to be read there before this one. */
-  readonly wasFree: boolean;
+  readonly wasServerIdle: boolean;
   /** Time that the first event is expected to take; 0 if not known. */
-  readonly expectedMs: number;
-  stopWatch: () => void;
-  stopCopies: () => void;
+  readonly expectedFirstEventMs: number;
+  stopSilenceWatch: () => void;
+  stopCopyWatch: () => void;
   /** True: it was asked to stop, so that the run goes on elsewhere. */
-  isMoving: boolean;
+  isMigrating: boolean;
 }
 
 /** A stream on its way through one or more servers. */
@@ -46,8 +46,8 @@
   readonly context: ForwardContext;
   /** The same each time that its caller sends it (`computeFingerprint`). */
   readonly fingerprint: string;
-  readonly paces: PaceHistory;
-  readonly overload: OverloadWatch;
+  readonly paces: LatencyHistory;
+  readonly overload: OverloadTracker;
   readonly attempts: Map<number, StreamAttempt>;
   readonly readState: () => GenerationState;
   readonly dispatch: (input: GenerationInput) => void;
@@ -58,15 +58,15 @@
   /** Copy from which the next attempt may go on. */
   copy: HeldCopy | null;
   /** Attempts that read the prompt. */
-  prompts: number;
+  prefillAttempts: number;
   /** Attempts that reached a server: the next one that does counts as a repeat. */
-  arrivals: number;
+  arrivedAttempts: number;
   /** True: the next attempt's repeat was acquired already. */
-  hasRetry: boolean;
+  hasReservedRetry: boolean;
   /** When the newest event was handed on; null before the first one. */
   lastEventAtMs: number | null;
   /** Longest time between two events so far. */
   longestPauseMs: number;
   /** A server's own failure, handed on if nothing better comes. */
-  failure: { readonly head: AnswerHead; readonly body: Buffer } | null;
+  failedResponse: { readonly head: AnswerHead; readonly body: Buffer } | null;
 }
--- a/src/application/forwarding/types/index.ts
+++ b/src/application/forwarding/types/index.ts
@@ -2,7 +2,7 @@
 export type { ForwardContext } from './ForwardContext';
 export type { ForwardingDependencies } from './ForwardingDependencies';
 export type { ForwardingMeter } from './ForwardingMeter';
-export type { StreamServers } from './StreamServers';
+export type { StreamPlacement } from './StreamPlacement';
 export type { HeldCopy, StreamAttempt, StreamRun } from './StreamRun';
 export type { ServerDirectory } from './ServerDirectory';
 export type { SuspicionCause } from './SuspicionCause';
--- a/src/application/generations/_lib/holdClaim/index.ts
+++ b/src/application/generations/_lib/attachClaimWriter/index.ts
@@ -1,6 +1,6 @@
 import type { ClaimRow } from '../../../../domain/types';
 import type { GenerationRun, GenerationsContext } from '../../types';
-import { createClaimKeeper } from '../createClaimKeeper';
+import { createClaimWriter } from '../createClaimWriter';
 
 /**
  * Gives a run the claim under which it may be sent.
@@ -9,10 +9,17 @@
  * @param run - Run of the claimed request.
  * @param row - Claim as granted to this VM.
  */
-export const holdClaim = (context: GenerationsContext, run: GenerationRun, row: ClaimRow): void => {
+export const attachClaimWriter = (
+  context: GenerationsContext,
+  run: GenerationRun,
+  row: ClaimRow,
+): void => {
   const { claims, clock } = context.dependencies;
   const handleLost = (): void => run.dispatch({ kind: 'abandoned', reason: 'claim-lost' });
-  run.setClaimKeeper(
-    createClaimKeeper({ claims, clock, handleLost, handleEnd: context.pendingEnds.add }, row),
+  run.setClaimWriter(
+    createClaimWriter(
+      { claims, clock, handleLost, addPendingWrite: context.pendingWrites.add },
+      row,
+    ),
   );
 };
--- a/src/application/generations/_lib/buildClaimedRun/index.ts
+++ b/src/application/generations/_lib/buildClaimedRun/index.ts
@@ -1,6 +1,6 @@
 import type { ClaimedRequest, GenerationRun, GenerationsContext } from '../../types';
 import { buildInitialChain } from '../buildInitialChain';
-import { buildRun, type TakenStream } from '../buildRun';
+import { buildRun, type ExistingStream } from '../buildRun';
 
 /**
  * Builds the run of a claimed request from its first token on.
@@ -15,7 +15,7 @@
   { request }: ClaimedRequest,
   start: {
     readonly generationId: string;
-    readonly taken: TakenStream | null;
+    readonly existingStream: ExistingStream | null;
     readonly newestAttempt: number;
   },
 ): GenerationRun =>
@@ -25,7 +25,7 @@
     service: request.service,
     request,
     chain: buildInitialChain(request, start.generationId),
-    missing: 0,
+    missingTokens: 0,
     prefixTokenIds: [],
     keyed: true,
   });
--- a/src/application/generations/_lib/buildRun/index.ts
+++ b/src/application/generations/_lib/buildRun/index.ts
@@ -6,7 +6,7 @@
 import { createTokenLog } from '../createTokenLog';
 
 /** An engine's stream that goes on under a new reader. */
-export interface TakenStream {
+export interface ExistingStream {
   readonly server: BackendServer;
   readonly streamId: string;
 }
@@ -20,11 +20,11 @@
   /** Chain digest before `prefixTokenIds`. */
   readonly chain: string;
   /** Tokens before them that are not held. */
-  readonly missing: number;
+  readonly missingTokens: number;
   readonly prefixTokenIds: readonly number[];
   /** Number of the newest attempt known of. */
   readonly newestAttempt: number;
-  readonly taken: TakenStream | null;
+  readonly existingStream: ExistingStream | null;
   readonly keyed: boolean;
 }
 
@@ -38,25 +38,29 @@
  * @returns Run; the caller holds it in the store.
  */
 export const buildRun = (context: GenerationsContext, start: RunStart): GenerationRun => {
-  const { dependencies, cancelQueue, paces, serverActivity } = context;
-  const { request, taken } = start;
+  const { dependencies, cancelQueue, latencyHistory, serverActivity } = context;
+  const { request, existingStream } = start;
   const nowMs = dependencies.clock.readMonotonicMs();
-  const offset = start.missing + start.prefixTokenIds.length;
+  const offset = start.missingTokens + start.prefixTokenIds.length;
   const survival = dependencies.configuration.readCurrent()?.configuration.survival;
   const state = createGenerationState(
     {
       mode: survival ?? SurvivalMode.Thrift,
       idempotent: request?.idempotent ?? false,
       keyed: start.keyed,
-      continuable: request !== null && start.missing === 0,
+      continuable: request !== null && start.missingTokens === 0,
       maxOutputTokens: request?.maxOutputTokens ?? Infinity,
     },
-    { offset, newestAttempt: start.newestAttempt, backendServer: taken?.server.name },
+    { offset, newestAttempt: start.newestAttempt, backendServer: existingStream?.server.name },
   );
-  const handle = taken
+  const handle = existingStream
     ? Object.assign(
-        createAttemptHandle(start.newestAttempt, nowMs, paces.readInitialGaps(start.service)),
-        taken,
+        createAttemptHandle(
+          start.newestAttempt,
+          nowMs,
+          latencyHistory.readInitialGaps(start.service),
+        ),
+        existingStream,
         { isAtEngine: true },
       )
     : null;
@@ -64,13 +68,13 @@
     {
       dependencies,
       cancelQueue,
-      paces,
+      latencyHistory: latencyHistory,
       serverActivity,
       generationId: start.generationId,
       workspace: start.workspace,
       service: start.service,
       request,
-      claim: { keeper: null },
+      claim: { writer: null },
       deadlineMs: nowMs + (request?.timeoutMs ?? EXTRA_WAIT_MS),
       log: createTokenLog(start),
     },
--- a/src/application/generations/_lib/claimGeneration/index.ts
+++ b/src/application/generations/_lib/claimGeneration/index.ts
@@ -10,8 +10,8 @@
 import { buildClaimedRun } from '../buildClaimedRun';
 import { buildError } from '../buildError';
 import { buildGenerationId } from '../buildGenerationId';
-import { handleTakenClaim } from '../handleTakenClaim';
-import { holdClaim } from '../holdClaim';
+import { handleExistingClaim } from '../handleExistingClaim';
+import { attachClaimWriter } from '../attachClaimWriter';
 
 /** Times that a claim may change hands while it is looked at, before the caller is sent away. */
 const MAX_TRIES = 5;
@@ -44,7 +44,11 @@
 ): Promise<ClaimedOutcome> => {
   const { request, keyDigest } = claimed;
   const generationId = buildGenerationId(context);
-  const run = buildClaimedRun(context, claimed, { generationId, taken: null, newestAttempt: 0 });
+  const run = buildClaimedRun(context, claimed, {
+    generationId,
+    existingStream: null,
+    newestAttempt: 0,
+  });
   // Held before the claim is written: a second POST of the key, at another VM, may read the row
   // and ask for the generation before the reply of the write is here. Told that it is not held,
   // that VM would take the claim over, and this VM's caller would lose its answer.
@@ -58,12 +62,12 @@
   });
   if (outcome.isErr()) return handleStoreError(context, claimed, run, outcome.error);
   if (outcome.value.kind === 'granted') {
-    holdClaim(context, run, outcome.value.row);
+    attachClaimWriter(context, run, outcome.value.row);
     context.addRun(run, keyDigest);
     return ok({ kind: 'run', run });
   }
   dropRun(context, run);
-  return handleTakenClaim(context, claimed, outcome.value.row);
+  return handleExistingClaim(context, claimed, outcome.value.row);
 };
 
 /**
--- a/src/application/generations/_lib/createClaimKeeper/index.ts
+++ b/src/application/generations/_lib/createClaimWriter/index.ts
@@ -4,17 +4,17 @@
 import { waitDelay } from '../../../time';
 
 /** What a claim keeper needs. */
-export interface ClaimKeeperDependencies {
+export interface ClaimWriterDependencies {
   readonly claims: Claims;
   readonly clock: Clock;
   /** Called once if another VM has taken the claim over. */
   readonly handleLost: () => void;
   /** Takes the write of the end, which settles when the end is stored or given up. */
-  readonly handleEnd: (write: Promise<void>) => void;
+  readonly addPendingWrite: (write: Promise<void>) => void;
 }
 
 /** Writes the progress of one claimed generation, one write at a time. */
-export interface ClaimKeeper {
+export interface ClaimWriter {
   /** Records who runs it; `ok` means that the row says so. */
   recordAttempt(attempt: {
     readonly backendServer: string;
@@ -25,7 +25,7 @@
    * Stores the answer, or marks the claim as failed where there is none. What surely did not run
    * leaves no stream in the row, so that a repeat may run it.
    */
-  recordEnd(answer: StoredAnswer | null, options: { readonly ran: boolean }): void;
+  recordOutcome(answer: StoredAnswer | null, options: { readonly ran: boolean }): void;
 }
 
 type Write = (row: ClaimRow) => Promise<Result<ClaimRow, ClaimError>>;
@@ -41,10 +41,10 @@
  * @param firstRow - Row as granted.
  * @returns Keeper.
  */
-export const createClaimKeeper = (
-  dependencies: ClaimKeeperDependencies,
+export const createClaimWriter = (
+  dependencies: ClaimWriterDependencies,
   firstRow: ClaimRow,
-): ClaimKeeper => {
+): ClaimWriter => {
   let row = firstRow;
   let isLost = false;
   let tail: Promise<unknown> = Promise.resolve();
@@ -81,7 +81,7 @@
   return {
     recordAttempt: (change) =>
       addWrite((current) => dependencies.claims.updateClaim(current, change)),
-    recordEnd: (answer, { ran }) => {
+    recordOutcome: (answer, { ran }) => {
       const failed = {
         state: ClaimState.Failed,
         ...(ran ? {} : { streamId: '', backendServer: '' }),
@@ -90,7 +90,7 @@
         answer
           ? dependencies.claims.writeAnswer(current, answer)
           : dependencies.claims.updateClaim(current, failed);
-      dependencies.handleEnd(recordEnd(write, 1));
+      dependencies.addPendingWrite(recordEnd(write, 1));
     },
   };
 };
--- a/src/application/generations/_lib/createClaimedStart/index.ts
+++ b/src/application/generations/_lib/createClaimedStarter/index.ts
@@ -8,7 +8,7 @@
 import { claimGeneration } from '../claimGeneration';
 import { openFeed } from '../openFeed';
 import { relayGeneration } from '../relayGeneration';
-import { resumeHeld } from '../resumeHeld';
+import { resumeGeneration } from '../resumeGeneration';
 
 type Feed = Result<GenerationFeed, GenerationError>;
 type Claimed = Result<ClaimedGeneration, GenerationError>;
@@ -24,7 +24,7 @@
  * @param context - Generations of this VM.
  * @returns Function that starts such a request or attaches to the generation it already has.
  */
-export const createClaimedStart = (
+export const createClaimedStarter = (
   context: GenerationsContext,
 ): ((request: GenerationRequest, signal: AbortSignal) => Promise<Feed>) => {
   const claiming = new Map<string, Promise<Claimed>>();
@@ -56,9 +56,9 @@
       clock: context.dependencies.clock,
       offset: 0,
       chain: buildInitialChain(request, row.generationId),
-      resumeElsewhere: (cursor, prefixTokenIds) =>
+      resumeWithoutPeer: (cursor, prefixTokenIds) =>
         cursor
-          ? resumeHeld(
+          ? resumeGeneration(
               context,
               { requestId: request.requestId, cursor, prefixTokenIds, request },
               signal,
--- a/src/application/generations/_lib/createFeed/index.ts
+++ b/src/application/generations/_lib/createFeed/index.ts
@@ -13,7 +13,7 @@
 }
 
 const buildCursor = (run: GenerationRun, vm: string, offset: number, chain: string): Cursor => {
-  const handle = run.readLeader();
+  const handle = run.readLastDeliveringAttempt();
   return {
     generationId: run.generationId,
     workspace: run.workspace,
--- a/src/application/generations/_lib/createPendingEnds/index.ts
+++ b/src/application/generations/_lib/createPendingWrites/index.ts
@@ -1,7 +1,7 @@
 import type { Clock } from '../../../ports';
 
 /** Ends of claimed generations that are not yet written to the store. */
-export interface PendingEnds {
+export interface PendingWrites {
   /** Keeps the write in mind until it has settled. */
   add(write: Promise<void>): void;
   /** Resolves when all have settled, or after `boundMs`. */
@@ -14,7 +14,7 @@
  * The caller has its last token before the answer is stored. A process that exits in between would
  * leave a claim without its answer, and a repeat of the key would find neither; so a shutdown waits.
  */
-export const createPendingEnds = (clock: Clock): PendingEnds => {
+export const createPendingWrites = (clock: Clock): PendingWrites => {
   const writes = new Set<Promise<void>>();
   return {
     add: (write) => {
--- a/src/application/generations/_lib/createAnswerRun/index.ts
+++ b/src/application/generations/_lib/createReplayRun/index.ts
@@ -14,14 +14,14 @@
  * @param answer - Stored answer.
  * @returns Run.
  */
-export const createAnswerRun = (
+export const createReplayRun = (
   context: GenerationsContext,
   request: GenerationRequest,
   answer: StoredAnswer,
 ): GenerationRun => {
   const { generationId } = answer;
   const chain = buildInitialChain(request, generationId);
-  const log = createTokenLog({ chain, missing: 0, prefixTokenIds: [] });
+  const log = createTokenLog({ chain, missingTokens: 0, prefixTokenIds: [] });
   let offset = 0;
   answer.texts.forEach((text, index) => {
     const end = offset + (answer.tokenCounts[index] ?? 0);
@@ -41,13 +41,13 @@
     {
       dependencies: context.dependencies,
       cancelQueue: context.cancelQueue,
-      paces: context.paces,
+      latencyHistory: context.latencyHistory,
       serverActivity: context.serverActivity,
       generationId,
       workspace: request.workspace,
       service: request.service,
       request,
-      claim: { keeper: null },
+      claim: { writer: null },
       deadlineMs: Infinity,
       log,
     },
--- a/src/application/generations/_lib/createRun/index.ts
+++ b/src/application/generations/_lib/createRun/index.ts
@@ -66,12 +66,12 @@
     const offset = log.readEndOffset();
     const isMarked = log.readFinishReason() !== null;
     if (!isMarked) log.append({ offset, tokenIds: [], text: '', finishReason });
-    options.claim.keeper?.recordEnd(buildAnswer(context), { ran: true });
+    options.claim.writer?.recordOutcome(buildAnswer(context), { ran: true });
   };
 
   const fail = (error: GenerationError): void => {
     failure = error;
-    options.claim.keeper?.recordEnd(null, { ran: error.runState !== RunState.NotRun });
+    options.claim.writer?.recordOutcome(null, { ran: error.runState !== RunState.NotRun });
   };
 
   const runOne = (effect: GenerationEffect): void => {
@@ -105,8 +105,8 @@
     attempts: handles,
     readState: () => state,
     readFailure: () => failure,
-    readLeader: () => leader,
-    setClaimKeeper: (keeper) => Object.assign(options.claim, { keeper }),
+    readLastDeliveringAttempt: () => leader,
+    setClaimWriter: (keeper) => Object.assign(options.claim, { keeper }),
     isEnded,
     readIdleSinceMs: () => idleSinceMs,
     readRetryAtMs: () => retryAtMs,
--- a/src/application/generations/_lib/createTokenLog/index.ts
+++ b/src/application/generations/_lib/createTokenLog/index.ts
@@ -8,7 +8,7 @@
   /** Chain digest before the first token in `prefixTokenIds`. */
   readonly chain: string;
   /** Tokens before them that are not held. */
-  readonly missing: number;
+  readonly missingTokens: number;
   readonly prefixTokenIds: readonly number[];
 }
 
@@ -31,10 +31,10 @@
   let chain = addTokensToChain(start.chain, start.prefixTokenIds);
   let finishReason: string | null = null;
   tokenIds.append(start.prefixTokenIds);
-  const firstBatchOffset = start.missing + start.prefixTokenIds.length;
+  const firstBatchOffset = start.missingTokens + start.prefixTokenIds.length;
 
   const readBatchStart = (index: number): number =>
-    index === 0 ? firstBatchOffset : start.missing + batchEnds.read(index - 1);
+    index === 0 ? firstBatchOffset : start.missingTokens + batchEnds.read(index - 1);
 
   const findBatch = (offset: number): number | null => {
     let low = 0;
@@ -54,7 +54,7 @@
   };
 
   return {
-    readEndOffset: () => start.missing + tokenIds.readLength(),
+    readEndOffset: () => start.missingTokens + tokenIds.readLength(),
     readChain: () => chain,
     readFinishReason: () => finishReason,
     append: (batch) => {
@@ -72,15 +72,17 @@
       const isLast = index === batchEnds.readLength() - 1;
       return {
         offset,
-        tokenIds: [...tokenIds.slice(offset - start.missing, batchEnds.read(index))],
+        tokenIds: [...tokenIds.slice(offset - start.missingTokens, batchEnds.read(index))],
         text: readText(index),
         finishReason: isLast ? finishReason : null,
       };
     },
     computeChainAt: (offset) => {
-      if (offset < start.missing || offset > start.missing + tokenIds.readLength()) return null;
-      return addTokensToChain(start.chain, tokenIds.slice(0, offset - start.missing));
+      if (offset < start.missingTokens || offset > start.missingTokens + tokenIds.readLength())
+        return null;
+      return addTokensToChain(start.chain, tokenIds.slice(0, offset - start.missingTokens));
     },
-    listTokenIds: () => (start.missing > 0 ? null : [...tokenIds.slice(0, tokenIds.readLength())]),
+    listTokenIds: () =>
+      start.missingTokens > 0 ? null : [...tokenIds.slice(0, tokenIds.readLength())],
   };
 };
--- a/src/application/generations/_lib/findServer/index.ts
+++ b/src/application/generations/_lib/findAllowedServer/index.ts
@@ -20,7 +20,7 @@
  * @param owner - Workspace, service and server of the stream.
  * @returns Server, or null if it is not configured or not allowed (any more).
  */
-export const findServer = (
+export const findAllowedServer = (
   context: GenerationsContext,
   { workspace, service, backendServer }: StreamOwner,
 ): BackendServer | null => {
--- a/src/application/generations/_lib/handleTakenClaim/index.ts
+++ b/src/application/generations/_lib/handleExistingClaim/index.ts
@@ -3,9 +3,9 @@
 import type { ClaimedOutcome, ClaimedRequest, GenerationsContext } from '../../types';
 import { buildClaimedRun } from '../buildClaimedRun';
 import { buildError } from '../buildError';
-import { createAnswerRun } from '../createAnswerRun';
-import { findServer } from '../findServer';
-import { holdClaim } from '../holdClaim';
+import { createReplayRun } from '../createReplayRun';
+import { findAllowedServer } from '../findAllowedServer';
+import { attachClaimWriter } from '../attachClaimWriter';
 
 type RowHandler = (
   context: GenerationsContext,
@@ -20,18 +20,18 @@
     const { retryAfterMs } = claim.error;
     return err({ ...buildError('run_state_unknown', { retryAfterMs }), status: 503 });
   }
-  const server = findServer(context, {
+  const server = findAllowedServer(context, {
     workspace: row.workspace,
     service: claimed.request.service,
     backendServer: row.backendServer,
   });
   const run = buildClaimedRun(context, claimed, {
     generationId: claim.value.generationId,
-    taken: server && row.streamId ? { server, streamId: row.streamId } : null,
+    existingStream: server && row.streamId ? { server, streamId: row.streamId } : null,
     // A stream that was recorded may have run, also on a server that is no longer configured.
     newestAttempt: row.streamId ? Math.max(1, row.attempt) : 0,
   });
-  holdClaim(context, run, claim.value);
+  attachClaimWriter(context, run, claim.value);
   context.addRun(run, claimed.keyDigest);
   return ok({ kind: 'run', run });
 };
@@ -56,7 +56,7 @@
     return err(buildError('answer_unavailable', { retryAfterMs }));
   }
   if (!answer.value) return err(buildError('answer_expired'));
-  const run = createAnswerRun(context, request, answer.value);
+  const run = createReplayRun(context, request, answer.value);
   context.addRun(run, keyDigest);
   return ok({ kind: 'run', run });
 };
@@ -85,7 +85,7 @@
  * @param row - Row of whoever has the claim.
  * @returns Where to follow it, or why it cannot be.
  */
-export const handleTakenClaim: RowHandler = async (context, claimed, row) =>
+export const handleExistingClaim: RowHandler = async (context, claimed, row) =>
   row.requestDigest === claimed.request.digest
     ? ROW_HANDLERS[row.state](context, claimed, row)
     : err(buildError('idempotency_key_reused'));
--- a/src/application/generations/_lib/readEnginePrefix/index.ts
+++ b/src/application/generations/_lib/readEnginePrefix/index.ts
@@ -1,12 +1,12 @@
 import type { GenerationsContext } from '../../types';
-import type { TakenStream } from '../buildRun';
+import type { ExistingStream } from '../buildRun';
 
 /** Kept tokens come at once; an engine that takes longer is better left to the silence limits. */
 const READ_TIMEOUT_MS = 400;
 
 const readTokens = async (
   context: GenerationsContext,
-  { server, streamId }: TakenStream,
+  { server, streamId }: ExistingStream,
   count: number,
   signal: AbortSignal,
 ): Promise<readonly number[] | null> => {
@@ -34,7 +34,7 @@
  */
 export const readEnginePrefix = async (
   context: GenerationsContext,
-  taken: TakenStream,
+  taken: ExistingStream,
   count: number,
 ): Promise<readonly number[] | null> => {
   const abort = new AbortController();
--- a/src/application/generations/_lib/readStream/index.ts
+++ b/src/application/generations/_lib/readStream/index.ts
@@ -10,12 +10,12 @@
   const firstTokenMs = Math.max(1, nowMs - handle.sentAtMs);
   Object.assign(handle, { firstTokenMs });
   const { promptCharacters } = context.request;
-  context.paces.recordFirstToken(context.service, { promptCharacters, firstTokenMs });
+  context.latencyHistory.recordFirstToken(context.service, { promptCharacters, firstTokenMs });
 };
 
 const recordGap = (context: RunContext, handle: AttemptHandle, gapMs: number): void => {
   Object.assign(handle, { gaps: updateGapStatistics(handle.gaps, gapMs) });
-  context.paces.recordGap(context.service, gapMs);
+  context.latencyHistory.recordGap(context.service, gapMs);
 };
 
 const recordActivity = (context: RunContext, handle: AttemptHandle, batch: TokenBatch): void => {
--- a/src/application/generations/_lib/relayGeneration/index.ts
+++ b/src/application/generations/_lib/relayGeneration/index.ts
@@ -10,7 +10,7 @@
   readonly offset: number;
   readonly chain: string;
   /** Goes on without the peer; the cursor is null if nothing has been relayed. */
-  readonly resumeElsewhere: (
+  readonly resumeWithoutPeer: (
     last: Cursor | null,
     tokenIds: readonly number[],
   ) => Promise<Result<GenerationFeed, GenerationError>>;
@@ -87,7 +87,7 @@
     const last = yield* relayPeer(relayed);
     feed.detach();
     if (!isAttached) return;
-    const elsewhere = await options.resumeElsewhere(last, relayed);
+    const elsewhere = await options.resumeWithoutPeer(last, relayed);
     if (elsewhere.isErr()) {
       yield { kind: 'failed', error: elsewhere.error };
       return;
--- a/src/application/generations/_lib/resumeHeld/index.ts
+++ b/src/application/generations/_lib/resumeGeneration/index.ts
@@ -51,7 +51,7 @@
  * @param signal - Aborted when the caller goes away.
  * @returns Feed from the cursor on, or a clear error.
  */
-export const resumeHeld = async (
+export const resumeGeneration = async (
   context: GenerationsContext,
   resume: ResumeRequest,
   signal: AbortSignal,
@@ -65,7 +65,7 @@
     clock: context.dependencies.clock,
     offset: cursor.offset,
     chain: cursor.chain,
-    resumeElsewhere: (last, tokenIds) => {
+    resumeWithoutPeer: (last, tokenIds) => {
       const prefix = prefixTokenIds
         ? [...prefixTokenIds.slice(0, cursor.offset), ...tokenIds]
         : null;
--- a/src/application/generations/_lib/startAttempt/index.ts
+++ b/src/application/generations/_lib/startAttempt/index.ts
@@ -35,9 +35,9 @@
   handle: AttemptHandle,
   request: GenerationRequest,
 ): Promise<Result<void, ClaimError>> => {
-  const { keeper } = context.claim;
-  if (!keeper) return ok();
-  const written = keeper.recordAttempt({
+  const { writer } = context.claim;
+  if (!writer) return ok();
+  const written = writer.recordAttempt({
     backendServer: handle.server?.name ?? '',
     streamId: handle.streamId,
     attempt: handle.attempt,
@@ -93,7 +93,7 @@
   const handle = createAttemptHandle(
     reader.attempt,
     nowMs,
-    context.paces.readInitialGaps(context.service),
+    context.latencyHistory.readInitialGaps(context.service),
   );
   context.handles.set(reader.attempt, handle);
   const refuse = (refusal: Refusal): void =>
--- a/src/application/generations/_lib/sweepRun/index.ts
+++ b/src/application/generations/_lib/sweepRun/index.ts
@@ -2,13 +2,13 @@
 import { BackendHealth } from '../../../../domain/types';
 import type { GenerationRun, GenerationsDependencies } from '../../types';
 import { computeAttemptLimits } from '../computeAttemptLimits';
-import type { PaceHistory } from '../../../_lib/createPaceHistory';
+import type { LatencyHistory } from '../../../_lib/createLatencyHistory';
 import type { ServerActivity } from '../createServerActivity';
 
 /** What a sweep looks with. */
 export interface SweepOptions {
   readonly dependencies: GenerationsDependencies;
-  readonly paces: PaceHistory;
+  readonly latencyHistory: LatencyHistory;
   readonly serverActivity: ServerActivity;
   readonly nowMs: number;
   /** Time that this process itself was stalled before the sweep, in milliseconds. */
@@ -31,7 +31,7 @@
     return;
   }
   const limits = computeAttemptLimits(attempt.phase, handle, {
-    firstTokens: options.paces.listFirstTokens(run.service),
+    firstTokens: options.latencyHistory.listFirstTokens(run.service),
     promptCharacters: run.request?.promptCharacters ?? 0,
     serverActive:
       options.nowMs - options.serverActivity.readLastMs(attempt.backendServer) < ACTIVE_MS,
--- a/src/application/generations/_lib/takeOverGeneration/index.ts
+++ b/src/application/generations/_lib/takeOverGeneration/index.ts
@@ -5,8 +5,8 @@
 import type { GenerationRun, GenerationsContext } from '../../types';
 import { buildError } from '../buildError';
 import { buildInitialChain } from '../buildInitialChain';
-import { buildRun, type TakenStream } from '../buildRun';
-import { findServer } from '../findServer';
+import { buildRun, type ExistingStream } from '../buildRun';
+import { findAllowedServer } from '../findAllowedServer';
 import { readEnginePrefix } from '../readEnginePrefix';
 
 /** Tokens up to the cursor with the request they answer, so that any engine can go on. */
@@ -30,7 +30,7 @@
 const findPrefix = async (
   context: GenerationsContext,
   resume: ResumeRequest,
-  taken: TakenStream | null,
+  taken: ExistingStream | null,
 ): Promise<Result<WholePrefix | null, GenerationError>> => {
   const { cursor, request, prefixTokenIds } = resume;
   if (!request) return ok(null);
@@ -58,7 +58,7 @@
   resume: ResumeRequest,
 ): Promise<Result<GenerationRun, GenerationError>> => {
   const { cursor } = resume;
-  const server = findServer(context, cursor);
+  const server = findAllowedServer(context, cursor);
   const taken = server && cursor.streamId ? { server, streamId: cursor.streamId } : null;
   const found = await findPrefix(context, resume, taken);
   if (found.isErr()) return err(found.error);
@@ -70,10 +70,10 @@
     service: cursor.service,
     request: prefix?.request ?? null,
     chain: prefix?.chain ?? cursor.chain,
-    missing: prefix ? 0 : cursor.offset,
+    missingTokens: prefix ? 0 : cursor.offset,
     prefixTokenIds: prefix?.tokenIds ?? [],
     newestAttempt: cursor.attempt,
-    taken,
+    existingStream: taken,
     keyed: false,
   });
   context.addRun(run);
--- a/src/application/generations/createGenerations/index.ts
+++ b/src/application/generations/createGenerations/index.ts
@@ -3,23 +3,23 @@
 import { buildInitialChain } from '../_lib/buildInitialChain';
 import { buildRun } from '../_lib/buildRun';
 import { createCancelQueue } from '../_lib/createCancelQueue';
-import { createClaimedStart } from '../_lib/createClaimedStart';
-import { createPaceHistory } from '../../_lib/createPaceHistory';
-import { createPendingEnds } from '../_lib/createPendingEnds';
+import { createClaimedStarter } from '../_lib/createClaimedStarter';
+import { createLatencyHistory } from '../../_lib/createLatencyHistory';
+import { createPendingWrites } from '../_lib/createPendingWrites';
 import { createRunStore } from '../_lib/createRunStore';
 import { createServerActivity } from '../_lib/createServerActivity';
 import { createSweeper } from '../_lib/createSweeper';
 import { openFeed } from '../_lib/openFeed';
-import { resumeHeld } from '../_lib/resumeHeld';
+import { resumeGeneration } from '../_lib/resumeGeneration';
 import { sweepRun } from '../_lib/sweepRun';
 import type { GenerationRun, GenerationsContext, GenerationsDependencies } from '../types';
 
 /** Generations with the timer that watches them, which their owner stops. */
-export interface WatchedGenerations extends Generations {
+export interface StoppableGenerations extends Generations {
   /** Stops the timer; streams that run are left to their engines. */
   stop(): void;
   /** Resolves when the answers of all ended generations are stored, or after `boundMs`. */
-  waitForEnds(boundMs: number): Promise<void>;
+  waitForPendingWrites(boundMs: number): Promise<void>;
 }
 
 /** How long a generation is kept without a caller until the first configuration says. */
@@ -32,13 +32,13 @@
  * @param dependencies - Ports to the engines, routing, claims, peers and the rest of this VM.
  * @returns Generations.
  */
-export const createGenerations = (dependencies: GenerationsDependencies): WatchedGenerations => {
+export const createGenerations = (dependencies: GenerationsDependencies): StoppableGenerations => {
   const { clock, configuration, engineClient, health } = dependencies;
   const store = createRunStore();
-  const pendingEnds = createPendingEnds(clock);
-  const paces = createPaceHistory();
+  const pendingEnds = createPendingWrites(clock);
+  const latencyHistory = createLatencyHistory();
   const serverActivity = createServerActivity();
-  const watch = { dependencies, paces, serverActivity };
+  const watch = { dependencies, latencyHistory: latencyHistory, serverActivity };
 
   const sweep = (stalledMs: number): boolean => {
     const limits = configuration.readCurrent()?.configuration.limits;
@@ -57,13 +57,13 @@
     ...watch,
     cancelQueue: createCancelQueue(engineClient, health),
     store,
-    pendingEnds,
+    pendingWrites: pendingEnds,
     addRun: (run, keyDigest) => {
       store.add(run, keyDigest);
       sweeper.start();
     },
   };
-  const startClaimed = createClaimedStart(context);
+  const startClaimed = createClaimedStarter(context);
 
   const startPlain: Generations['startGeneration'] = (request, signal) => {
     const generationId = buildGenerationId(context);
@@ -73,10 +73,10 @@
       service: request.service,
       request,
       chain: buildInitialChain(request, generationId),
-      missing: 0,
+      missingTokens: 0,
       prefixTokenIds: [],
       newestAttempt: 0,
-      taken: null,
+      existingStream: null,
       keyed: false,
     });
     context.addRun(run);
@@ -93,7 +93,7 @@
       request.idempotencyKey !== '' || !request.idempotent
         ? startClaimed(request, signal)
         : startPlain(request, signal),
-    resumeGeneration: (resume, signal) => resumeHeld(context, resume, signal),
+    resumeGeneration: (resume, signal) => resumeGeneration(context, resume, signal),
     findGeneration: (workspace, generationId, offset): GenerationFeed | null =>
       findRun(workspace, generationId)?.attach(offset) ?? null,
     cancelGeneration: async (workspace, generationId) => {
@@ -103,6 +103,6 @@
     },
     countRunning: () => store.list().filter((run) => !run.isEnded()).length,
     stop: sweeper.stop,
-    waitForEnds: pendingEnds.wait,
+    waitForPendingWrites: pendingEnds.wait,
   };
 };
--- a/src/application/generations/index.ts
+++ b/src/application/generations/index.ts
@@ -1,2 +1,2 @@
-export { createGenerations, type WatchedGenerations } from './createGenerations';
+export { createGenerations, type StoppableGenerations } from './createGenerations';
 export type { GenerationsDependencies } from './types';
--- a/src/application/generations/types/GenerationRun.ts
+++ b/src/application/generations/types/GenerationRun.ts
@@ -1,7 +1,7 @@
 import type { GenerationInput, GenerationState } from '../../../domain/generation';
 import type { GenerationRequest } from '../../../domain/types';
 import type { GenerationError, GenerationFeed } from '../../ports';
-import type { ClaimKeeper } from '../_lib/createClaimKeeper';
+import type { ClaimWriter } from '../_lib/createClaimWriter';
 import type { AttemptHandle } from './AttemptHandle';
 import type { TokenLog } from './TokenLog';
 
@@ -16,7 +16,7 @@
   readonly attempts: ReadonlyMap<number, AttemptHandle>;
   readState(): GenerationState;
   /** Attempt that delivered last: the best one to read on from. */
-  readLeader(): AttemptHandle | null;
+  readLastDeliveringAttempt(): AttemptHandle | null;
   readFailure(): GenerationError | null;
   /** True once it has ended, with a finish reason or a failure. */
   isEnded(): boolean;
@@ -27,7 +27,7 @@
   /** Monotonic time by which the first token must have come. */
   readonly deadlineMs: number;
   /** Gives it the claim under which it may be sent. */
-  setClaimKeeper(keeper: ClaimKeeper): void;
+  setClaimWriter(keeper: ClaimWriter): void;
   /** Sends the first attempt; later calls change nothing. */
   start(): void;
   dispatch(input: GenerationInput): void;
--- a/src/application/generations/types/GenerationsContext.ts
+++ b/src/application/generations/types/GenerationsContext.ts
@@ -1,7 +1,7 @@
 import type { CancelQueue } from '../_lib/createCancelQueue';
-import type { PaceHistory } from '../../_lib/createPaceHistory';
+import type { LatencyHistory } from '../../_lib/createLatencyHistory';
 import type { ServerActivity } from '../_lib/createServerActivity';
-import type { PendingEnds } from '../_lib/createPendingEnds';
+import type { PendingWrites } from '../_lib/createPendingWrites';
 import type { RunStore } from '../_lib/createRunStore';
 import type { GenerationsDependencies } from './GenerationsDependencies';
 import type { GenerationRun } from './GenerationRun';
@@ -10,10 +10,10 @@
 export interface GenerationsContext {
   readonly dependencies: GenerationsDependencies;
   readonly cancelQueue: CancelQueue;
-  readonly paces: PaceHistory;
+  readonly latencyHistory: LatencyHistory;
   readonly serverActivity: ServerActivity;
   readonly store: RunStore;
-  readonly pendingEnds: PendingEnds;
+  readonly pendingWrites: PendingWrites;
   /** Holds a run and keeps it under watch. */
   addRun(run: GenerationRun, keyDigest?: string): void;
 }
--- a/src/application/generations/types/index.ts
+++ b/src/application/generations/types/index.ts
@@ -3,5 +3,5 @@
 export type { GenerationRun } from './GenerationRun';
 export type { GenerationsContext } from './GenerationsContext';
 export type { GenerationsDependencies } from './GenerationsDependencies';
-export type { ClaimHolder, RunContext } from './RunContext';
+export type { ClaimWriterReference, RunContext } from './RunContext';
 export type { TokenLog } from './TokenLog';
--- a/src/application/gossip/types/GossipDependencies.ts
+++ b/src/application/gossip/types/GossipDependencies.ts
@@ -1,7 +1,7 @@
 import type { ServerEntry } from '../../../domain/forwarding';
-import type { PassedLimits } from '../../limits';
+import type { GossipedLimits } from '../../limits';
 import type { Clock, EventLog, Randomness } from '../../ports';
-import type { PassedVerdicts } from '../../rollouts';
+import type { VerdictGossip } from '../../rollouts';
 import type { GossipCalls, Member, RelayedOutcomes, RelayedRows, SharedSuspicion } from '.';
 
 /** Dependencies of gossip. */
@@ -15,9 +15,9 @@
   /** Outcomes of requests suspected of crashing servers. */
   readonly outcomes: RelayedOutcomes;
   /** Verdicts on roll-outs. */
-  readonly verdicts: PassedVerdicts;
+  readonly verdicts: VerdictGossip;
   /** Rate limits of servers. */
-  readonly limits: PassedLimits;
+  readonly limits: GossipedLimits;
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
--- a/src/application/keeper/createKeeper/index.ts
+++ b/src/application/keeper/createKeeper/index.ts
@@ -12,9 +12,9 @@
 } from '../../ports';
 
 /** Time between two looks at the engines while one of them is not as desired. */
-export const TURN_MS = 1_000;
+export const RECONCILE_INTERVAL_MS = 1_000;
 /** Shortest time between two looks while all are as desired. */
-export const IDLE_TURN_MS = 5_000;
+export const MIN_IDLE_RECONCILE_INTERVAL_MS = 5_000;
 /** Idle looks are spread out in large regions: each report costs some 500 bytes of the budget. */
 const IDLE_MS_PER_ENGINE = 150;
 const RESEND_MS = 30_000;
@@ -79,7 +79,7 @@
   const readState = async (server: BackendServer): Promise<EngineState> => {
     const report = (await deps.engines.readLoad(server)).unwrapOr(null);
     // Engines that don't check orders still tell the highest token that they were sent.
-    if (report !== null) lease.recordStale(report.fencingToken);
+    if (report !== null) lease.recordObservedToken(report.fencingToken);
     return buildState(server.name, report);
   };
   const removeFulfilled = (states: readonly EngineState[], current: OrderPlan): void => {
@@ -105,7 +105,7 @@
     pending.set(backendServer, { models, role, sentAtMs, firstSentAtMs });
   };
   const errorHandlers: OrderErrorHandlers = {
-    'stale-order': ({ fencingToken }) => lease.recordStale(fencingToken),
+    'stale-order': ({ fencingToken }) => lease.recordObservedToken(fencingToken),
     'not-started': ({ retryAfterMs }) => {
       loadsBlockedUntilMs = Math.max(loadsBlockedUntilMs, clock.readMonotonicMs() + retryAfterMs);
     },
@@ -180,7 +180,9 @@
   const computeDelayMs = (): number => {
     if (isTurnWanted) return 0;
     const isBusy = pending.size > 0 || (plan !== null && plan.orders.length > 0);
-    return isBusy ? TURN_MS : Math.max(IDLE_TURN_MS, engineCount * IDLE_MS_PER_ENGINE);
+    return isBusy
+      ? RECONCILE_INTERVAL_MS
+      : Math.max(MIN_IDLE_RECONCILE_INTERVAL_MS, engineCount * IDLE_MS_PER_ENGINE);
   };
   const runTurns = async (): Promise<void> => {
     isTurnRunning = true;
--- a/src/application/lease/createLeaseHolder/index.ts
+++ b/src/application/lease/createLeaseHolder/index.ts
@@ -59,9 +59,9 @@
   /** The fencing token if an order may be sent right now, else null. Ask before each order. */
   readOrderToken(): number | null;
   /** An engine has seen a higher token: someone else holds, or held, the lease. */
-  recordStale(fencingToken: number): void;
+  recordObservedToken(fencingToken: number): void;
   /** The row as last seen, or null. */
-  readLastSeen(): LeaseRow | null;
+  readLastObservedRow(): LeaseRow | null;
 }
 
 /**
@@ -170,11 +170,11 @@
       isOrderAllowed(held, clock.readMonotonicMs(), orderMarginMs)
         ? (held?.revision ?? null)
         : null,
-    recordStale: (fencingToken) => {
+    recordObservedToken: (fencingToken) => {
       if (held === null || fencingToken <= held.revision) return;
       leastRevision = fencingToken + 1;
       dropLease('an engine has seen a higher token');
     },
-    readLastSeen: () => sighting?.row ?? null,
+    readLastObservedRow: () => sighting?.row ?? null,
   };
 }
--- a/src/application/limits/createLimitOwner/index.ts
+++ b/src/application/limits/createLimitOwner/index.ts
@@ -13,7 +13,7 @@
 /** Keeps the rate limits of some servers for all VMs. */
 export interface LimitOwner {
   /** Decides on a permit; one that is granted counts as a request that was sent. */
-  handlePermit(request: PermitRequest): PermitDecision;
+  handlePermitRequest(request: PermitRequest): PermitDecision;
   /** Takes a permit back that was not used. */
   releasePermit(server: string): void;
 }
@@ -56,7 +56,7 @@
   };
 
   return {
-    handlePermit: ({ isConfirmation, limitPerS, sender, sentAgesMs, server }) => {
+    handlePermitRequest: ({ isConfirmation, limitPerS, sender, sentAgesMs, server }) => {
       const nowMs = clock.readMonotonicMs();
       const window = openWindow(server, nowMs);
       window.askedAtMs.set(sender, nowMs);
--- a/src/application/limits/createPermits/index.ts
+++ b/src/application/limits/createPermitClient/index.ts
@@ -10,14 +10,14 @@
 import type { LimitPeer, PermitRequest } from '../types';
 
 /** What permits need. */
-export interface PermitsDependencies {
+export interface PermitClientDependencies {
   /** This VM. */
   readonly self: OwnerCandidate;
   readonly listPeers: () => readonly LimitPeer[];
   /** Asks another VM; null if it does not answer in time. */
   readonly askPeer: (address: string, request: PermitRequest) => Promise<PermitDecision | null>;
   /** Gives a permit back to another VM; nothing depends on its arrival. */
-  readonly tellReleased: (address: string, server: string) => void;
+  readonly notifyReleased: (address: string, server: string) => void;
   readonly owner: LimitOwner;
   readonly limits: Pick<ServerLimits, 'readLimitPerS'>;
   readonly clock: Pick<Clock, 'readMonotonicMs'>;
@@ -31,11 +31,11 @@
 }
 
 /** Asks for the right to send requests to servers with a rate limit. */
-export interface Permits {
+export interface PermitClient {
   /** Resolves with a permit, or with the time in milliseconds after which to ask again. */
   acquirePermit(server: string): Promise<Permit | number>;
   /** Forgets a server that is gone. */
-  drop(server: string): void;
+  forgetServer(server: string): void;
 }
 
 /** A VM that may be asked; without an address it is this one. */
@@ -74,8 +74,8 @@
  * a second one confirms it: where VMs know different others, for example after a loss, or an owner is
  * silent, the two that they ask still have one in common.
  */
-export const createPermits = (dependencies: PermitsDependencies): Permits => {
-  const { askPeer, clock, owner, limits, listPeers, log, self, tellReleased } = dependencies;
+export const createPermitClient = (dependencies: PermitClientDependencies): PermitClient => {
+  const { askPeer, clock, owner, limits, listPeers, log, self, notifyReleased } = dependencies;
   const { availabilityZone, vm: name } = self;
   const here: Owner = { vm: name, availabilityZone, address: null };
   const sendsOf = new Map<string, Send[]>();
@@ -112,7 +112,8 @@
     };
     // Before the answer: what is asked meanwhile must not count twice.
     untold.forEach(({ knownTo }) => knownTo.add(vm));
-    const decision = address === null ? owner.handlePermit(sent) : await askPeer(address, sent);
+    const decision =
+      address === null ? owner.handlePermitRequest(sent) : await askPeer(address, sent);
     if (!decision) {
       untold.forEach(({ knownTo }) => knownTo.delete(vm));
       unreachableUntilMs.set(vm, clock.readMonotonicMs() + UNREACHABLE_MS);
@@ -124,13 +125,13 @@
   const releaseAt = (owners: readonly Owner[], server: string): void =>
     owners.forEach(({ address }) => {
       if (address === null) owner.releasePermit(server);
-      else tellReleased(address, server);
+      else notifyReleased(address, server);
     });
 
   /** Without enough owners that answer, this VM keeps to its even part. */
   const decideAlone = (server: string, partPerS: number): PermitDecision => {
     if (partPerS < MIN_PART_PER_S) return { isGranted: false, waitMs: ALONE_WAIT_MS };
-    return owner.handlePermit({
+    return owner.handlePermitRequest({
       sender: name,
       server: `${server}${ALONE_SUFFIX}`,
       limitPerS: partPerS,
@@ -175,7 +176,7 @@
       if (limitPerS === null) return buildPermit(server, []);
       return askOwners(server, limitPerS);
     },
-    drop: (server) => {
+    forgetServer: (server) => {
       sendsOf.delete(server);
     },
   };
--- a/src/application/limits/createServerLimits/index.ts
+++ b/src/application/limits/createServerLimits/index.ts
@@ -1,17 +1,17 @@
 import { PERMIT_WINDOW_MS, type SharedLimit } from '../../../domain/limits';
 import type { Clock, EventLog } from '../../ports';
-import type { PassedLimits } from '../types';
+import type { GossipedLimits } from '../types';
 
 /** What knowing of limits needs. */
 export interface ServerLimitsDependencies {
   readonly clock: Pick<Clock, 'readMonotonicMs'>;
   readonly log: EventLog;
   /** Tells other VMs that a server named another limit than before, or none any more. */
-  readonly tellLimit: (limit: SharedLimit) => void;
+  readonly publishLimit: (limit: SharedLimit) => void;
 }
 
 /** What one answer of a server says of its rate limit. */
-export interface LimitStatement {
+export interface AdvertisedLimit {
   /** Requests a second from all VMs together; null: it names none. */
   readonly limitPerS: number | null;
   /** When the request was sent: the answer was made later. */
@@ -19,12 +19,12 @@
 }
 
 /** Knows the rate limits that servers name in their answers. */
-export interface ServerLimits extends PassedLimits {
-  recordStatement(server: string, statement: LimitStatement): void;
+export interface ServerLimits extends GossipedLimits {
+  recordAdvertisedLimit(server: string, statement: AdvertisedLimit): void;
   /** Requests a second that a server takes from all VMs together, above 0; null if it has no limit. */
   readLimitPerS(server: string): number | null;
   /** Forgets a server that is gone, or that started again. */
-  drop(server: string): void;
+  forgetServer(server: string): void;
 }
 
 interface Held {
@@ -42,7 +42,7 @@
 export const createServerLimits = ({
   clock,
   log,
-  tellLimit,
+  publishLimit,
 }: ServerLimitsDependencies): ServerLimits => {
   const held = new Map<string, Held>();
 
@@ -62,12 +62,12 @@
   };
 
   return {
-    recordStatement: (server, { limitPerS, sentAtMs }) => {
+    recordAdvertisedLimit: (server, { limitPerS, sentAtMs }) => {
       const nowMs = clock.readMonotonicMs();
       // Answers cross: one without a limit ends it only if it was surely made after the last that named it.
       const atMs = limitPerS === null ? sentAtMs : nowMs;
       if (merge(server, { limitPerS, atMs }, 'own')) {
-        tellLimit({ server, limitPerS, ageMs: nowMs - atMs });
+        publishLimit({ server, limitPerS, ageMs: nowMs - atMs });
       }
     },
     mergeLimit: ({ ageMs, limitPerS, server }) =>
@@ -82,7 +82,7 @@
       const limitPerS = held.get(server)?.limitPerS ?? null;
       return limitPerS === null ? null : Math.max(MIN_LIMIT_PER_S, limitPerS);
     },
-    drop: (server) => {
+    forgetServer: (server) => {
       held.delete(server);
     },
   };
--- a/src/application/limits/index.ts
+++ b/src/application/limits/index.ts
@@ -1,4 +1,4 @@
 export { createLimitOwner, type LimitOwner } from './createLimitOwner';
-export { createPermits, type Permit, type Permits } from './createPermits';
-export { createServerLimits, type LimitStatement, type ServerLimits } from './createServerLimits';
-export type { LimitPeer, PassedLimits, PermitRequest } from './types';
+export { createPermitClient, type Permit, type PermitClient } from './createPermitClient';
+export { createServerLimits, type AdvertisedLimit, type ServerLimits } from './createServerLimits';
+export type { LimitPeer, GossipedLimits, PermitRequest } from './types';
--- a/src/application/limits/types/PassedLimits.ts
+++ b/src/application/limits/types/GossipedLimits.ts
@@ -1,7 +1,7 @@
 import type { SharedLimit } from '../../../domain/limits';
 
 /** What gossip asks of those who know limits. */
-export interface PassedLimits {
+export interface GossipedLimits {
   /** True if it was news. */
   mergeLimit(limit: SharedLimit): boolean;
   listLimits(): readonly SharedLimit[];
--- a/src/application/limits/types/index.ts
+++ b/src/application/limits/types/index.ts
@@ -1,3 +1,3 @@
 export type { LimitPeer } from './LimitPeer';
-export type { PassedLimits } from './PassedLimits';
+export type { GossipedLimits } from './GossipedLimits';
 export type { PermitRequest } from './PermitRequest';
--- a/src/application/peers/_lib/createNewsReader/index.ts
+++ b/src/application/peers/_lib/createNewsReader/index.ts
@@ -20,7 +20,7 @@
 export interface NewsReader {
   readNews(news: News): void;
   /** Monotonic time of the newest table read reported by peers, or null. */
-  readHeardReadAtMs(): number | null;
+  readNewestPeerReadAtMs(): number | null;
 }
 
 /** Lists the facts in the header: the sender's record and heartbeat. */
@@ -67,6 +67,6 @@
         versions.recordPeerVersion(news.configurationVersion, { vm, peerAddress });
       }
     },
-    readHeardReadAtMs: () => newestReadAtMs,
+    readNewestPeerReadAtMs: () => newestReadAtMs,
   };
 }
--- a/src/application/peers/createPeerExchange/index.ts
+++ b/src/application/peers/createPeerExchange/index.ts
@@ -87,7 +87,7 @@
     merger,
   });
   const readNewestReadAgeMs = (): number | null => {
-    const times = [reader.readHeardReadAtMs(), versions.readTableReadAtMs()];
+    const times = [reader.readNewestPeerReadAtMs(), versions.readTableReadAtMs()];
     const known = times.filter((time) => time !== null);
     return known.length === 0 ? null : readNowMs() - Math.max(...known);
   };
--- a/src/application/rollouts/_lib/buildRequestServers/index.ts
+++ b/src/application/rollouts/_lib/buildEligibleServers/index.ts
@@ -1,17 +1,17 @@
 import type { ServerEntry, ServerStatus } from '../../../../domain/forwarding';
 import { chooseTrialServers, RolloutState } from '../../../../domain/rollouts';
-import type { HeldRollout, RequestServers } from '../../types';
-import type { UsualTimes } from '../createUsualTimes';
+import type { TrackedRollout, EligibleServers } from '../../types';
+import type { LatencyBaselines } from '../createLatencyBaselines';
 
 /** What the servers of one request follow from. */
-export interface RequestServersOptions {
+export interface EligibleServersOptions {
   /** The service's roll-out now: an order or a verdict may come at any time. */
-  readonly find: () => HeldRollout | undefined;
+  readonly findRollout: () => TrackedRollout | undefined;
   readonly service: string;
   readonly route: string;
-  readonly usual: UsualTimes;
+  readonly latencyBaselines: LatencyBaselines;
   /** The roll-out whose new version the request tries first; null for none. */
-  readonly trialOf: HeldRollout | null;
+  readonly trialRollout: TrackedRollout | null;
   readonly trialRatio: number;
   readonly listServing: () => readonly ServerStatus[];
   /** Something was seen at a server of the new version. */
@@ -25,28 +25,28 @@
 ]);
 
 /** Builds the servers that one request may go to, as roll-outs allow. */
-export const buildRequestServers = ({
-  find,
+export const buildEligibleServers = ({
+  findRollout,
   handleEvidence,
   listServing,
   route,
   service,
-  trialOf,
+  trialRollout,
   trialRatio,
-  usual,
-}: RequestServersOptions): RequestServers => {
-  let wantsTrial = trialOf !== null;
-  const isCandidate = ({ version }: ServerEntry): boolean => version === find()?.order.to;
+  latencyBaselines,
+}: EligibleServersOptions): EligibleServers => {
+  let wantsTrial = trialRollout !== null;
+  const isCandidate = ({ version }: ServerEntry): boolean => version === findRollout()?.order.to;
 
   const list = (): readonly ServerStatus[] => {
     const servers = listServing();
-    const held = find();
+    const held = findRollout();
     if (!held) return servers;
     const candidates = servers.filter(({ entry }) => isCandidate(entry));
     const established = servers.filter(({ entry }) => !isCandidate(entry));
     if (established.length > 0) held.hasEstablished = true;
     if (MOVED_STATES.has(held.state)) return candidates.length > 0 ? candidates : established;
-    const isTried = wantsTrial && held === trialOf && held.state === RolloutState.InProgress;
+    const isTried = wantsTrial && held === trialRollout && held.state === RolloutState.InProgress;
     const chosen = isTried ? chooseTrialServers(candidates, trialRatio) : [];
     return chosen.length > 0 ? chosen : established;
   };
@@ -54,25 +54,25 @@
   return {
     list,
     isAllowed: (server) => {
-      const held = find();
+      const held = findRollout();
       if (!held) return true;
       if (isCandidate(server)) return MOVED_STATES.has(held.state);
       return held.state !== RolloutState.Completed;
     },
     listHolders: (source) =>
-      listServing().filter(({ entry }) => !find() || entry.version === source.version),
-    isTrial: (server) => find()?.state === RolloutState.InProgress && isCandidate(server),
+      listServing().filter(({ entry }) => !findRollout() || entry.version === source.version),
+    isTrial: (server) => findRollout()?.state === RolloutState.InProgress && isCandidate(server),
     recordSent: (server) => {
       // What follows an attempt at the new version goes to the established one.
       if (isCandidate(server)) wantsTrial = false;
     },
-    recordOutcome: (server, { isFailure, took }) => {
-      const held = find();
+    recordOutcome: (server, { isFailure, duration }) => {
+      const held = findRollout();
       const version = isCandidate(server) ? 'candidate' : 'established';
-      const time = server.warmupLeftMs > 0 || took === null || took <= 0 ? null : took;
-      const isPoor = isFailure || (time !== null && usual.isSlow(service, route, time));
+      const time = server.warmupLeftMs > 0 || duration === null || duration <= 0 ? null : duration;
+      const isPoor = isFailure || (time !== null && latencyBaselines.isSlow(service, route, time));
       if (version === 'established' && !isFailure && time !== null) {
-        usual.record(service, route, time);
+        latencyBaselines.record(service, route, time);
       }
       if (!held || held.state === RolloutState.Completed) return;
       held.tallies.record(route, version, { isPoor });
--- a/src/application/rollouts/_lib/createUsualTimes/index.ts
+++ b/src/application/rollouts/_lib/createLatencyBaselines/index.ts
@@ -1,5 +1,5 @@
 /** Usual times of answers, by route of a service. */
-export interface UsualTimes {
+export interface LatencyBaselines {
   /** Takes the time of an answer, in any unit that is the same for all requests of the route. */
   record(service: string, route: string, took: number): void;
   /** True: an answer took far longer than usual. */
@@ -21,7 +21,7 @@
 }
 
 /** Creates usual times; none is known. */
-export const createUsualTimes = (): UsualTimes => {
+export const createLatencyBaselines = (): LatencyBaselines => {
   const usualOf = new Map<string, Usual>();
   const buildKey = (service: string, route: string): string => `${service} ${route}`;
   return {
--- a/src/application/rollouts/createRolloutJudge/index.ts
+++ b/src/application/rollouts/createRolloutJudge/index.ts
@@ -8,8 +8,8 @@
 import { chooseOwners } from '../../../domain/membership';
 import type { Clock, EventLog } from '../../ports';
 import { startLoop } from '../../time';
-import type { RolloutRows } from '../createRolloutRows';
-import type { KnownRollout, Rollouts } from '../createRollouts';
+import type { VerdictStore } from '../createVerdictStore';
+import type { RolloutSnapshot, RolloutRegistry } from '../createRolloutRegistry';
 import type { RolloutPeer, TrialReport } from '../types';
 
 /** What a judge needs. */
@@ -17,8 +17,8 @@
   /** Name of this VM. */
   readonly self: string;
   readonly listPeers: () => readonly RolloutPeer[];
-  readonly rollouts: Pick<Rollouts, 'applyVerdict' | 'find'>;
-  readonly rows: RolloutRows;
+  readonly rollouts: Pick<RolloutRegistry, 'applyVerdict' | 'find'>;
+  readonly verdictStore: VerdictStore;
   readonly clock: Clock;
   readonly log: EventLog;
 }
@@ -30,7 +30,7 @@
   /** Takes what a VM has seen; returns the verdict, null if the order is not known here. */
   handleReport(report: TrialReport): RolloutVerdict | null;
   /** Whether this VM is the first to judge a service's roll-out. */
-  isJudge(service: string): boolean;
+  isPrimaryJudge(service: string): boolean;
   stop(): void;
 }
 
@@ -53,7 +53,7 @@
   listPeers,
   log,
   rollouts,
-  rows,
+  verdictStore,
   self,
 }: RolloutJudgeDependencies): RolloutJudge => {
   const watched = new Set<string>();
@@ -64,13 +64,13 @@
   const isFirst = (service: string): boolean =>
     listJudges([self, ...listPeers().map(({ vm }) => vm)], service)[0] === self;
 
-  const listReports = ({ order }: KnownRollout): readonly TrialReport[] =>
+  const listReports = ({ order }: RolloutSnapshot): readonly TrialReport[] =>
     [...(reportsOf.get(order.service)?.values() ?? [])].filter(
       ({ sequence }) => sequence === order.sequence,
     );
 
   /** Decides the next state by what is known here. */
-  const judge = (known: KnownRollout): void => {
+  const judge = (known: RolloutSnapshot): void => {
     const { ageMs, hasEstablished, order, switchedMs, verdict } = known;
     if (ageMs === null) return;
     const reports = listReports(known);
@@ -100,7 +100,7 @@
   };
 
   /** One that is final, and that the store holds, needs no judge. */
-  const isOver = ({ verdict }: KnownRollout): boolean =>
+  const isOver = ({ verdict }: RolloutSnapshot): boolean =>
     verdict.isStored &&
     (verdict.state === RolloutState.Completed || verdict.state === RolloutState.Reverted);
 
@@ -111,11 +111,11 @@
       reportsOf.delete(service);
       return;
     }
-    if (known.ageMs === null) rows.readVerdict(known);
+    if (known.ageMs === null) verdictStore.readVerdict(known);
     if (!isFirst(service) && listReports(known).length === 0) return;
     judge(known);
     const judged = rollouts.find(service);
-    if (judged && judged.ageMs !== null) rows.writeVerdict(judged);
+    if (judged && judged.ageMs !== null) verdictStore.writeVerdict(judged);
   };
 
   const startLooking = (): void => {
@@ -150,7 +150,7 @@
       judge(known);
       return rollouts.find(report.service)?.verdict ?? null;
     },
-    isJudge: isFirst,
+    isPrimaryJudge: isFirst,
     stop: () => stopLoop?.(),
   };
 };
--- a/src/application/rollouts/createRollouts/index.ts
+++ b/src/application/rollouts/createRolloutRegistry/index.ts
@@ -11,13 +11,13 @@
   type TrialBounds,
 } from '../../../domain/rollouts';
 import type { Clock, EventLog, Randomness, SharedRow } from '../../ports';
-import { buildRequestServers } from '../_lib/buildRequestServers';
+import { buildEligibleServers } from '../_lib/buildEligibleServers';
 import { createTrialTallies } from '../_lib/createTrialTallies';
-import { createUsualTimes } from '../_lib/createUsualTimes';
-import type { HeldRollout, PassedVerdicts, RequestServers } from '../types';
+import { createLatencyBaselines } from '../_lib/createLatencyBaselines';
+import type { TrackedRollout, VerdictGossip, EligibleServers } from '../types';
 
 /** What roll-outs need. */
-export interface RolloutsDependencies {
+export interface RolloutRegistryDependencies {
   /** Null: the row is no order. */
   readonly decodeOrder: (row: SharedRow) => Result<RolloutOrder, string> | null;
   readonly bounds: TrialBounds;
@@ -27,7 +27,7 @@
   readonly log: EventLog;
   readonly randomness: Randomness;
   /** Tells other VMs of a verdict that was reached here. */
-  readonly tellVerdict: (verdict: RolloutVerdict) => void;
+  readonly broadcastVerdict: (verdict: RolloutVerdict) => void;
   /** An order came into force here, or its verdict changed. */
   readonly handleChange: (service: string) => void;
   /** Something was seen at a server of the new version. */
@@ -35,7 +35,7 @@
 }
 
 /** A roll-out as this VM knows it. */
-export interface KnownRollout {
+export interface RolloutSnapshot {
   readonly order: RolloutOrder;
   readonly verdict: RolloutVerdict;
   /** Since the order, in milliseconds; null while it is not known. */
@@ -46,11 +46,11 @@
 }
 
 /** Knows the roll-outs under way, and which versions a request may go to. */
-export interface Rollouts extends PassedVerdicts {
+export interface RolloutRegistry extends VerdictGossip {
   /** Takes rows of the operator; the first ones were there before this process. */
   applyRows(rows: readonly SharedRow[]): void;
-  openRequest(request: { readonly service: string; readonly route: string }): RequestServers;
-  find(service: string): KnownRollout | null;
+  openRequest(request: { readonly service: string; readonly route: string }): EligibleServers;
+  find(service: string): RolloutSnapshot | null;
   /** Takes how long ago an order was given, where its row was there before this process. */
   recordAge(service: string, sequence: number, ageMs: number): void;
   /** Sets a verdict that was reached at this VM. */
@@ -66,20 +66,22 @@
 const TOLD_MS = 60_000;
 
 /** Creates what knows the roll-outs; there are none. */
-export const createRollouts = (dependencies: RolloutsDependencies): Rollouts => {
+export const createRolloutRegistry = (
+  dependencies: RolloutRegistryDependencies,
+): RolloutRegistry => {
   const { bounds, clock, countVms, handleChange, handleEvidence, listServing, log } = dependencies;
-  const { decodeOrder, randomness, tellVerdict } = dependencies;
+  const { decodeOrder, randomness, broadcastVerdict } = dependencies;
   const bornAtMs = clock.readMonotonicMs();
-  const heldOf = new Map<string, HeldRollout>();
+  const heldOf = new Map<string, TrackedRollout>();
   /** Verdicts that came before their order did. */
   const early = new Map<string, RolloutVerdict>();
-  const usual = createUsualTimes();
+  const usual = createLatencyBaselines();
   let hasRows = false;
 
-  const readAgeMs = ({ startedAtMs }: HeldRollout): number | null =>
+  const readAgeMs = ({ startedAtMs }: TrackedRollout): number | null =>
     startedAtMs === null ? null : clock.readMonotonicMs() - startedAtMs;
 
-  const buildVerdict = ({ isStored, order, state }: HeldRollout): RolloutVerdict => ({
+  const buildVerdict = ({ isStored, order, state }: TrackedRollout): RolloutVerdict => ({
     service: order.service,
     to: order.to,
     sequence: order.sequence,
@@ -114,7 +116,7 @@
   };
 
   /** What is known of the order holds; what was written for it may be gone. */
-  const renewOrder = (held: HeldRollout, order: RolloutOrder): void => {
+  const renewOrder = (held: TrackedRollout, order: RolloutOrder): void => {
     log.info('rollout order renewed', { ...order, state: held.state });
     Object.assign(held, { order, isStored: false, changedAtMs: clock.readMonotonicMs() });
     mergeEarly(order);
@@ -147,7 +149,7 @@
     handleChange(order.service);
   };
 
-  const isTrialDue = (held: HeldRollout): boolean => {
+  const isTrialDue = (held: TrackedRollout): boolean => {
     const ageMs = readAgeMs(held);
     if (held.state !== RolloutState.InProgress || held.isPaused || ageMs === null) return false;
     if (clock.readMonotonicMs() - bornAtMs < SETTLE_MS) return false;
@@ -159,19 +161,19 @@
     return listServing(held.order.service).some(({ entry }) => entry.version === held.order.to);
   };
 
-  const openRequest: Rollouts['openRequest'] = ({ route, service }) => {
+  const openRequest: RolloutRegistry['openRequest'] = ({ route, service }) => {
     const opened = heldOf.get(service);
     const isTrial = opened !== undefined && isTrialDue(opened);
     if (opened) {
       opened.requests += 1;
       if (isTrial) opened.trials += 1;
     }
-    return buildRequestServers({
-      find: () => heldOf.get(service),
+    return buildEligibleServers({
+      findRollout: () => heldOf.get(service),
       service,
       route,
-      usual,
-      trialOf: isTrial ? opened : null,
+      latencyBaselines: usual,
+      trialRollout: isTrial ? opened : null,
       trialRatio: bounds.trialRatio,
       listServing: () => listServing(service),
       handleEvidence: () => handleEvidence(service),
@@ -213,7 +215,7 @@
       held.startedAtMs = clock.readMonotonicMs() - ageMs;
     },
     applyVerdict: (verdict) => {
-      if (merge(verdict, 'own')) tellVerdict(verdict);
+      if (merge(verdict, 'own')) broadcastVerdict(verdict);
     },
     mergeVerdict: (verdict) => merge(verdict, 'told'),
     listVerdicts: () =>
--- a/src/application/rollouts/createRollouts/test.ts
+++ b/src/application/rollouts/createRolloutRegistry/test.ts
@@ -8,7 +8,7 @@
 } from '../../../../standins/fakes';
 import { RolloutState, type RolloutVerdict } from '../../../domain/rollouts';
 import { computeRowVersion } from '../../../domain/rows';
-import { createRollouts } from '.';
+import { createRolloutRegistry } from '.';
 
 const REQUEST = { service: 's', route: 'r' };
 
@@ -33,7 +33,7 @@
   const clock = createFakeClock();
   const servers = [ESTABLISHED];
   const changes: string[] = [];
-  const rollouts = createRollouts({
+  const rollouts = createRolloutRegistry({
     decodeOrder: ({ value, version }) => {
       const to = TARGETS.get(value?.toString() ?? '');
       return to
@@ -46,7 +46,7 @@
     clock,
     log: QUIET_LOG,
     randomness: createSeededRandomness(1),
-    tellVerdict: () => undefined,
+    broadcastVerdict: () => undefined,
     handleChange: (service) => changes.push(service),
     handleEvidence: () => undefined,
   });
--- a/src/application/rollouts/createTrialReporter/index.ts
+++ b/src/application/rollouts/createTrialReporter/index.ts
@@ -2,7 +2,7 @@
 import type { Clock, EventLog } from '../../ports';
 import { startLoop } from '../../time';
 import { listJudges, type RolloutJudge } from '../createRolloutJudge';
-import type { Rollouts } from '../createRollouts';
+import type { RolloutRegistry } from '../createRolloutRegistry';
 import type { RolloutPeer, TrialReport } from '../types';
 
 /** What a reporter needs. */
@@ -15,7 +15,7 @@
   /** Null if the VM does not answer in time, or does not know the order. */
   readonly sendReport: (address: string, report: TrialReport) => Promise<RolloutVerdict | null>;
   readonly judge: Pick<RolloutJudge, 'handleReport'>;
-  readonly rollouts: Pick<Rollouts, 'find' | 'mergeVerdict' | 'setTrialsPaused'>;
+  readonly rollouts: Pick<RolloutRegistry, 'find' | 'mergeVerdict' | 'setTrialsPaused'>;
   readonly clock: Clock;
   readonly log: EventLog;
 }
--- a/src/application/rollouts/createRolloutRows/index.ts
+++ b/src/application/rollouts/createVerdictStore/index.ts
@@ -1,7 +1,7 @@
 import type { Result } from 'neverthrow';
 import { RolloutState, type RolloutVerdict } from '../../../domain/rollouts';
 import type { Clock, EventLog, RowSource, RowWriter, SharedRow } from '../../ports';
-import type { KnownRollout, Rollouts } from '../createRollouts';
+import type { RolloutSnapshot, RolloutRegistry } from '../createRolloutRegistry';
 
 /** A verdict as the shared store holds it. */
 export interface StoredVerdict {
@@ -19,20 +19,20 @@
 }
 
 /** What rows of verdicts need. */
-export interface RolloutRowsDependencies {
+export interface VerdictStoreDependencies {
   readonly codec: VerdictCodec;
   readonly store: Pick<RowSource, 'readRows'> & RowWriter;
-  readonly rollouts: Pick<Rollouts, 'applyVerdict' | 'recordAge'>;
+  readonly rollouts: Pick<RolloutRegistry, 'applyVerdict' | 'recordAge'>;
   readonly clock: Clock;
   readonly log: EventLog;
 }
 
 /** Keeps verdicts on roll-outs in the shared store. */
-export interface RolloutRows {
+export interface VerdictStore {
   /** Learns what the store holds of an order that was there before this process. */
-  readVerdict(known: KnownRollout): void;
+  readVerdict(known: RolloutSnapshot): void;
   /** Writes the verdict, unless the store holds a final one; called again until that is done. */
-  writeVerdict(known: KnownRollout): void;
+  writeVerdict(known: RolloutSnapshot): void;
 }
 
 /** Time until a call that failed is made again. */
@@ -48,23 +48,23 @@
   FINAL_STATES.has(state) ? state : RolloutState.InProgress;
 
 /** Creates what keeps verdicts in a table of the shared store. */
-export const createRolloutRows = ({
+export const createVerdictStore = ({
   clock,
   codec,
   log,
   rollouts,
   store,
-}: RolloutRowsDependencies): RolloutRows => {
+}: VerdictStoreDependencies): VerdictStore => {
   const busy = new Set<string>();
   const notBeforeMs = new Map<string, number>();
   /** By service: what the store surely holds, as order and state. */
   const writtenOf = new Map<string, string>();
 
-  const buildMark = ({ verdict }: KnownRollout): string =>
+  const buildMark = ({ verdict }: RolloutSnapshot): string =>
     `${verdict.sequence} ${toStoredState(verdict.state)}`;
 
   /** Takes what the store holds of an order; true if it is final. */
-  const takeStored = (known: KnownRollout, stored: StoredVerdict | null, storeMs: number) => {
+  const takeStored = (known: RolloutSnapshot, stored: StoredVerdict | null, storeMs: number) => {
     const { sequence, service } = known.order;
     if (stored?.verdict.sequence !== sequence) {
       rollouts.recordAge(service, sequence, 0);
@@ -76,7 +76,7 @@
     return true;
   };
 
-  const sync = async (known: KnownRollout, isWritten: boolean): Promise<string | null> => {
+  const sync = async (known: RolloutSnapshot, isWritten: boolean): Promise<string | null> => {
     const { order, verdict } = known;
     const read = await store.readRows(codec.table);
     if (read.isErr()) return read.error.kind;
@@ -103,7 +103,7 @@
     return null;
   };
 
-  const run = async (known: KnownRollout, isWritten: boolean): Promise<void> => {
+  const run = async (known: RolloutSnapshot, isWritten: boolean): Promise<void> => {
     const { service } = known.order;
     if (busy.has(service) || (notBeforeMs.get(service) ?? 0) > clock.readMonotonicMs()) return;
     busy.add(service);
--- a/src/application/rollouts/index.ts
+++ b/src/application/rollouts/index.ts
@@ -1,16 +1,20 @@
 export { createRolloutJudge, type RolloutJudge } from './createRolloutJudge';
 export {
-  createRolloutRows,
-  type RolloutRows,
+  createVerdictStore,
+  type VerdictStore,
   type StoredVerdict,
   type VerdictCodec,
-} from './createRolloutRows';
-export { createRollouts, type KnownRollout, type Rollouts } from './createRollouts';
+} from './createVerdictStore';
+export {
+  createRolloutRegistry,
+  type RolloutSnapshot,
+  type RolloutRegistry,
+} from './createRolloutRegistry';
 export { createTrialReporter, type TrialReporter } from './createTrialReporter';
 export type {
   AttemptOutcome,
-  PassedVerdicts,
-  RequestServers,
+  VerdictGossip,
+  EligibleServers,
   RolloutPeer,
   TrialReport,
 } from './types';
--- a/src/application/rollouts/types/index.ts
+++ b/src/application/rollouts/types/index.ts
@@ -1,17 +1,17 @@
 import type { ServerEntry, ServerStatus } from '../../../domain/forwarding';
 import type { RolloutTallies, RolloutVerdict } from '../../../domain/rollouts';
 
-export type { HeldRollout } from './HeldRollout';
+export type { TrackedRollout } from './TrackedRollout';
 
 /** How an attempt at a server ended. */
 export interface AttemptOutcome {
   readonly isFailure: boolean;
   /** Time it took, in any unit that is the same for all requests of the route; null if it says nothing. */
-  readonly took: number | null;
+  readonly duration: number | null;
 }
 
 /** The servers that one request may go to, as roll-outs allow. */
-export interface RequestServers {
+export interface EligibleServers {
   /** Servers that may take its next attempt. */
   list(): readonly ServerStatus[];
   /** Servers that may hold a copy of its run at a server. */
@@ -41,7 +41,7 @@
 }
 
 /** Takes and gives verdicts, for gossip. */
-export interface PassedVerdicts {
+export interface VerdictGossip {
   /** True if it was news. */
   mergeVerdict(verdict: RolloutVerdict): boolean;
   listVerdicts(): readonly RolloutVerdict[];
--- a/src/application/services/_lib/acquireCallClaim/index.ts
+++ b/src/application/services/_lib/acquireCallClaim/index.ts
@@ -2,7 +2,7 @@
 import { ClaimState, type ClaimRow } from '../../../../domain/types';
 import type { Claims, GenerationError } from '../../../ports';
 import type { ServiceCall } from '../../types';
-import { buildKeyReusedError, buildTakenError, convertClaimError } from '../callErrors';
+import { buildKeyReusedError, buildClaimTakenError, convertClaimError } from '../callErrors';
 import { computeCallDigest, computeKeyDigest } from '../computeCallDigest';
 import { RUN_STATE_BY_CLAIM } from '../readEarlierRunState';
 
@@ -39,5 +39,5 @@
   if (kind === 'granted') return ok(row);
   if (row.requestDigest !== requestDigest) return err(buildKeyReusedError());
   if (row.state === ClaimState.Failed) return acquireFailedClaim(claims, row);
-  return err(buildTakenError(RUN_STATE_BY_CLAIM[row.state]));
+  return err(buildClaimTakenError(RUN_STATE_BY_CLAIM[row.state]));
 };
--- a/src/application/services/_lib/callErrors/index.ts
+++ b/src/application/services/_lib/callErrors/index.ts
@@ -18,7 +18,7 @@
 });
 
 /** Builds the error of a call that may have run on a server that gave no whole answer. */
-export const buildUnknownError = (reason: string): GenerationError => ({
+export const buildBackendFailedError = (reason: string): GenerationError => ({
   code: 'backend_failed',
   message: `The call was sent, but no answer came: ${reason}.`,
   status: 502,
@@ -36,7 +36,7 @@
 });
 
 /** Builds the error of a call that no server took. */
-export const buildNotTakenError = (reason: string): GenerationError => ({
+export const buildUnreachableError = (reason: string): GenerationError => ({
   code: 'backend_unreachable',
   message: `No server took the call: ${reason}.`,
   status: 503,
@@ -45,7 +45,7 @@
 });
 
 /** Builds the error of a call whose claim another one has. */
-export const buildTakenError = (runState: RunState): GenerationError => ({
+export const buildClaimTakenError = (runState: RunState): GenerationError => ({
   code: runState === RunState.Ran ? 'already_ran' : 'claim_taken',
   message: 'A call under this key or request id was already accepted; it is not sent again.',
   status: 409,
@@ -64,7 +64,7 @@
 
 /** Converts a failure to claim: nothing was sent. */
 export const convertClaimError = (error: ClaimError): GenerationError => {
-  if (error.kind === 'lost') return buildTakenError(RunState.Unknown);
+  if (error.kind === 'lost') return buildClaimTakenError(RunState.Unknown);
   return {
     code: 'store_unavailable',
     message: 'A call that may run only once cannot be recorded now, so it was not sent.',
--- a/src/application/services/_lib/runAttempts/index.ts
+++ b/src/application/services/_lib/runAttempts/index.ts
@@ -1,11 +1,11 @@
 import { err, ok, type Result } from 'neverthrow';
 import { RunState } from '../../../../domain/types';
 import type { GenerationError, SlotOutcome } from '../../../ports';
-import type { Attempts, PlainDependencies } from '../../types';
+import type { AttemptContext, PlainServicesDependencies } from '../../types';
 import {
-  buildNotTakenError,
+  buildUnreachableError,
   buildTimeoutError,
-  buildUnknownError,
+  buildBackendFailedError,
   convertRefusal,
 } from '../callErrors';
 import { sendAttempt, type AnsweredAttempt, type AttemptFailure } from '../sendAttempt';
@@ -30,7 +30,7 @@
 /** What a failed attempt means for the call: its final error, or null to try another server. */
 const JUDGES: Judges = {
   'not-started': () => null,
-  broken: ({ reason }, { repeatable }) => (repeatable ? null : buildUnknownError(reason)),
+  broken: ({ reason }, { repeatable }) => (repeatable ? null : buildBackendFailedError(reason)),
   cancelled: (_failure, { runState }) => buildTimeoutError(runState),
   unclaimed: ({ error }) => error,
 };
@@ -49,8 +49,8 @@
 
 /** Sends a call to one server after another until one answers or no more may be tried. */
 export const runAttempts = async (
-  dependencies: PlainDependencies,
-  attempts: Attempts,
+  dependencies: PlainServicesDependencies,
+  attempts: AttemptContext,
 ): Promise<Result<AnsweredAttempt, GenerationError>> => {
   const { repeatable } = attempts;
   const excluded: string[] = [];
@@ -69,5 +69,7 @@
     reason = readReason(failed.error);
     excluded.push(...end.servers);
   }
-  return err(runState === RunState.NotRun ? buildNotTakenError(reason) : buildUnknownError(reason));
+  return err(
+    runState === RunState.NotRun ? buildUnreachableError(reason) : buildBackendFailedError(reason),
+  );
 };
--- a/src/application/services/_lib/sendAttempt/index.ts
+++ b/src/application/services/_lib/sendAttempt/index.ts
@@ -2,7 +2,7 @@
 import { DemandPurpose, RunState, WorkClass, type Demand } from '../../../../domain/types';
 import type { GenerationError, PlainError, PlainResponse, Slot } from '../../../ports';
 import { runHedged, type HedgeError } from '../../../routing';
-import type { Attempts, PlainDependencies } from '../../types';
+import type { AttemptContext, PlainServicesDependencies } from '../../types';
 
 /** An answer, and the slot that it holds until its body has ended. */
 export interface AnsweredAttempt {
@@ -26,7 +26,7 @@
 
 type Answer = Omit<AnsweredAttempt, 'slot'>;
 
-const buildDemand = (attempts: Attempts, excludedServers: readonly string[]): Demand => ({
+const buildDemand = (attempts: AttemptContext, excludedServers: readonly string[]): Demand => ({
   requestId: attempts.source.call.requestId,
   workspace: attempts.source.workspace,
   service: attempts.source.service.name,
@@ -52,8 +52,8 @@
  * @param earlier - run state that earlier attempts left behind
  */
 export const sendAttempt = async (
-  { client, clock, router }: PlainDependencies,
-  attempts: Attempts,
+  { client, clock, router }: PlainServicesDependencies,
+  attempts: AttemptContext,
   excludedServers: readonly string[],
   earlier: RunState,
 ): Promise<AttemptEnd> => {
--- a/src/application/services/createPlainServices/index.ts
+++ b/src/application/services/createPlainServices/index.ts
@@ -2,7 +2,7 @@
 import { isRetryableCall } from '../../../domain/request';
 import { ClaimState, RunState, type ClaimRow } from '../../../domain/types';
 import type { GenerationError } from '../../ports';
-import type { PlainDependencies, ServiceAnswer, ServiceCall } from '../types';
+import type { PlainServicesDependencies, ServiceAnswer, ServiceCall } from '../types';
 import { acquireCallClaim } from '../_lib/acquireCallClaim';
 import { computeRunState } from '../_lib/computeRunState';
 import { readEarlierRunState } from '../_lib/readEarlierRunState';
@@ -41,7 +41,7 @@
  * A call that may run only once is claimed in the platform's table before its first byte is sent,
  * and is never sent again after that byte, whatever the error.
  */
-export const createPlainServices = (dependencies: PlainDependencies): PlainServices => {
+export const createPlainServices = (dependencies: PlainServicesDependencies): PlainServices => {
   const { claims, clock, log } = dependencies;
 
   /** The row stays `running`, and a repeat is told `unknown`, if this write fails. */
--- a/src/application/services/index.ts
+++ b/src/application/services/index.ts
@@ -1,3 +1,3 @@
 export { createPlainServices } from './createPlainServices';
 export type { PlainServices } from './createPlainServices';
-export type { PlainDependencies, ServiceAnswer, ServiceCall } from './types';
+export type { PlainServicesDependencies, ServiceAnswer, ServiceCall } from './types';
--- a/src/application/services/types/Attempts.ts
+++ b/src/application/services/types/AttemptContext.ts
@@ -3,7 +3,7 @@
 import type { ServiceCall } from './ServiceCall';
 
 /** One call's attempts, with what ends them. */
-export interface Attempts {
+export interface AttemptContext {
   readonly source: ServiceCall;
   readonly repeatable: boolean;
   /** Monotonic time, in milliseconds. */
--- a/src/application/services/types/PlainDependencies.ts
+++ b/src/application/services/types/PlainServicesDependencies.ts
@@ -2,7 +2,7 @@
 import type { ServingRouter } from '../../routing';
 
 /** What calls to plain services need. */
-export interface PlainDependencies {
+export interface PlainServicesDependencies {
   readonly router: Pick<ServingRouter, 'acquireSlot' | 'estimateHedgeDelayMs'>;
   readonly claims: Claims;
   readonly client: PlainClient;
--- a/src/application/services/types/index.ts
+++ b/src/application/services/types/index.ts
@@ -1,3 +1,3 @@
-export type { Attempts } from './Attempts';
+export type { AttemptContext } from './AttemptContext';
 export type { ServiceAnswer, ServiceCall } from './ServiceCall';
-export type { PlainDependencies } from './PlainDependencies';
+export type { PlainServicesDependencies } from './PlainServicesDependencies';
--- a/src/programs/entry/_lib/wireParts/index.ts
+++ b/src/programs/entry/_lib/wireEntry/index.ts
@@ -13,7 +13,7 @@
 import { createPlainServices } from '../../../../application/services';
 import { checkFreshness } from '../../../../domain/configuration';
 import type { EntrySettings } from '../../types';
-import type { EntryBase } from '../wireBase';
+import type { EntryInfrastructure } from '../wireInfrastructure';
 
 /** How long answers are kept before a configuration says. */
 const DEFAULT_ANSWER_TTL_MS = 3_600_000;
@@ -21,7 +21,11 @@
 const MS_PER_S = 1000;
 
 /** Wires the parts of an entry that peers reach at an address. */
-export const wireParts = (base: EntryBase, settings: EntrySettings, peerAddress: string) => {
+export const wireEntry = (
+  base: EntryInfrastructure,
+  settings: EntrySettings,
+  peerAddress: string,
+) => {
   const { clock, decisions, health, load, log, randomness, stores } = base;
   const { availabilityZone, name: vm, region } = settings.vm;
   // The client asks the exchange for addresses, and the exchange sends through the client.
@@ -117,4 +121,4 @@
 };
 
 /** The parts of an entry that peers reach at an address. */
-export type EntryParts = ReturnType<typeof wireParts>;
+export type EntryParts = ReturnType<typeof wireEntry>;
