--- a/src/programs/entry/_lib/wireBase/index.ts
+++ b/src/programs/entry/_lib/wireInfrastructure/index.ts
@@ -8,7 +8,7 @@
 import { wireStores } from '../wireStores';
 
 /** Wires the parts of an entry that need no address of their own. */
-export const wireBase = async (settings: EntrySettings, overrides: EntryOverrides) => {
+export const wireInfrastructure = async (settings: EntrySettings, overrides: EntryOverrides) => {
   const clock = overrides.clock ?? createSystemClock();
   const randomness = overrides.randomness ?? createSystemRandomness();
   const logger = overrides.logger ?? (await createRoarrLogger('jackdaw-entry'));
@@ -28,4 +28,4 @@
 };
 
 /** The parts of an entry that need no address of their own. */
-export type EntryBase = Awaited<ReturnType<typeof wireBase>>;
+export type EntryInfrastructure = Awaited<ReturnType<typeof wireInfrastructure>>;
--- a/src/programs/entry/index.ts
+++ b/src/programs/entry/index.ts
@@ -1,3 +1,3 @@
 export { startEntry } from './startEntry';
 export { EntrySettingsSchema } from './types';
-export type { Entry, EntryOverrides, EntrySettings, StartError } from './types';
+export type { Entry, EntryOverrides, EntrySettings, EntryStartError } from './types';
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -8,9 +8,9 @@
 import { signCursor, verifyCursor } from '../../../domain/cursor';
 import { buildStatus } from '../_lib/buildStatus';
 import { createDeferredPeerServices } from '../_lib/createDeferredPeerServices';
-import { wireBase, type EntryBase } from '../_lib/wireBase';
-import { wireParts, type EntryParts } from '../_lib/wireParts';
-import type { Entry, EntryOverrides, EntrySettings, StartError } from '../types';
+import { wireInfrastructure, type EntryInfrastructure } from '../_lib/wireInfrastructure';
+import { wireEntry, type EntryParts } from '../_lib/wireEntry';
+import type { Entry, EntryOverrides, EntrySettings, EntryStartError } from '../types';
 
 /** Bound of a drain before a configuration names one. */
 const DEFAULT_DRAIN_MS = 30_000;
@@ -25,7 +25,7 @@
 
 /** Starts what an entry does by itself; the returned function stops it. */
 const startLoops = (
-  base: EntryBase,
+  base: EntryInfrastructure,
   parts: EntryParts,
   settings: EntrySettings,
   handleOwnLeaving: () => void,
@@ -67,7 +67,7 @@
   };
 };
 
-const addGauges = ({ metrics, shutdown }: EntryBase, parts: EntryParts): void =>
+const addGauges = ({ metrics, shutdown }: EntryInfrastructure, parts: EntryParts): void =>
   metrics.addGauges({
     countRunningGenerations: parts.generations.countRunning,
     countRunningRequests: shutdown.countRunning,
@@ -87,8 +87,8 @@
 export const startEntry = async (
   settings: EntrySettings,
   overrides: EntryOverrides = {},
-): Promise<Result<Entry, StartError>> => {
-  const base = await wireBase(settings, overrides);
+): Promise<Result<Entry, EntryStartError>> => {
+  const base = await wireInfrastructure(settings, overrides);
   const { decisions, health, load, log, shutdown, stores } = base;
   const deferred = createDeferredPeerServices();
   const peerServer = await startPeerServer({ ...settings.peers, services: deferred.services });
@@ -97,14 +97,14 @@
     return err({ kind: 'cannot-listen', reason: peerServer.error.reason });
   }
   const { address: peerAddress } = peerServer.value;
-  const parts = wireParts(base, settings, peerAddress);
+  const parts = wireEntry(base, settings, peerAddress);
   const { configuration, exchange, generations, isCutOff } = parts;
 
   const drain = async (): Promise<DrainOutcome> => {
     exchange.recordOwnLeaving(true);
     const limits = configuration.readCurrent()?.configuration.limits;
     const outcome = await shutdown.drain(limits?.drainMs ?? DEFAULT_DRAIN_MS);
-    await generations.waitForEnds(END_WRITE_MS);
+    await generations.waitForPendingWrites(END_WRITE_MS);
     return outcome;
   };
   deferred.setTarget({
--- a/src/programs/entry/types/Entry.ts
+++ b/src/programs/entry/types/Entry.ts
@@ -21,7 +21,7 @@
 }
 
 /** Why an entry did not start. */
-export interface StartError {
+export interface EntryStartError {
   readonly kind: 'cannot-listen';
   readonly reason: string;
 }
--- a/src/programs/entry/types/index.ts
+++ b/src/programs/entry/types/index.ts
@@ -1,4 +1,4 @@
 export { EntrySettingsSchema } from './EntrySettings';
 export type { EntrySettings } from './EntrySettings';
-export type { Entry, StartError } from './Entry';
+export type { Entry, EntryStartError } from './Entry';
 export type { EntryOverrides } from './EntryOverrides';
--- a/src/programs/gateway/_lib/recordReady/index.ts
+++ b/src/programs/gateway/_lib/logReady/index.ts
@@ -5,7 +5,7 @@
 const BYTES_PER_MB = 1024 * 1024;
 
 /** What is looked at. */
-export interface ReadyRecorderParts extends Pick<
+export interface LogReadyDependencies extends Pick<
   GatewayParts,
   'clock' | 'directory' | 'log' | 'tables'
 > {
@@ -17,13 +17,13 @@
  *
  * @returns ends the watch
  */
-export const recordReady = ({
+export const logReady = ({
   clock,
   directory,
   isReady,
   log,
   tables,
-}: ReadyRecorderParts): (() => void) => {
+}: LogReadyDependencies): (() => void) => {
   const startedAtMs = clock.readMonotonicMs();
   let cancelTimer = (): void => undefined;
   const look = (): void => {
--- a/src/programs/gateway/_lib/startEndpoints/index.ts
+++ b/src/programs/gateway/_lib/startEndpoints/index.ts
@@ -6,7 +6,7 @@
   type ListenError,
 } from '../../../../adapters/http';
 import { createGatewayHandlers, startGatewayServer } from '../../../../adapters/connect';
-import { CALLS } from '../../../../../platform';
+import { PATHS } from '../../../../../platform';
 import type { GatewaySettings } from '../../../../domain/forwarding';
 import type { GatewayParts } from '../../types';
 import { parseAddress } from '../parseAddress';
@@ -54,7 +54,7 @@
   }: EndpointParts,
 ): Promise<Result<Endpoints, ListenError>> => {
   const readiness = new Hono();
-  readiness.get(CALLS.ready, (call) =>
+  readiness.get(PATHS.ready, (call) =>
     call.text(isReady() ? 'ready' : 'not ready', isReady() ? READY_STATUS : NOT_READY_STATUS),
   );
   const metricsApp = new Hono();
@@ -83,9 +83,9 @@
       handlers: createGatewayHandlers({
         handleKnowledge: gossip.handleKnowledge,
         lendRetry: lender.lendRetry,
-        recordToldPrompt: directory.recordToldPrompt,
+        recordToldPrompt: directory.recordPeerPrompt,
         handleReservation: places.handleReservation,
-        handlePermit: limitOwner.handlePermit,
+        handlePermit: limitOwner.handlePermitRequest,
         releasePermit: limitOwner.releasePermit,
         handleReport: rolloutJudge.handleReport,
         handleRequest: sharing.handleRequest,
--- a/src/programs/gateway/_lib/wireCrashes/index.ts
+++ b/src/programs/gateway/_lib/wireCrashes/index.ts
@@ -2,7 +2,7 @@
   createCrashHistory,
   createCrashProbe,
   createQuarantineRows,
-  CRASHES_KEPT_MS,
+  CRASH_RETENTION_MS,
   type CrashHistory,
   type CrashProbe,
   type QuarantineRows,
@@ -22,7 +22,7 @@
   readonly randomness: Randomness;
   readonly store: StoreClient;
   readonly tables: RouteTableHolder;
-  readonly tellOutcome: Gossip['sendOutcome'];
+  readonly publishOutcome: Gossip['sendOutcome'];
 }
 
 /** The parts that know of requests which end their servers. */
@@ -41,14 +41,14 @@
   randomness,
   store,
   tables,
-  tellOutcome,
+  publishOutcome,
 }: CrashPartsDependencies): CrashParts => {
   let writeQuarantine: QuarantineRows['startWrite'] = () => undefined;
   const crashes = createCrashHistory({
     clock,
     log,
     hasAnsweredSince: directory.hasAnsweredSince,
-    tellOutcome,
+    publishOutcome: publishOutcome,
     handleQuarantine: (fingerprint) => writeQuarantine(fingerprint),
   });
   const quarantineRows = createQuarantineRows({
@@ -57,7 +57,7 @@
     crashes,
     clock,
     log,
-    keptMs: CRASHES_KEPT_MS,
+    retentionMs: CRASH_RETENTION_MS,
   });
   writeQuarantine = quarantineRows.startWrite;
   const crashProbe = createCrashProbe({
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -5,7 +5,7 @@
 import {
   createForwarder,
   createIdentityWatch,
-  createPromptPlaces,
+  createPromptReservations,
   createRouteTableHolder,
   createServerDirectory,
 } from '../../../../application/forwarding';
@@ -59,7 +59,7 @@
     self: settings,
     listPeers: () => listMembers(),
     calls,
-    tellLimit: (limit) => sendLimit(limit),
+    publishLimit: (limit) => sendLimit(limit),
     clock,
     log,
     randomness,
@@ -70,8 +70,8 @@
     log,
     handleGone: (id) => {
       client.removeServer(id);
-      limits.drop(id);
-      permits.drop(id);
+      limits.forgetServer(id);
+      permits.forgetServer(id);
     },
     reuseAfterMs: settings.bounds.reuseAfterMs,
     handleSuspected: (id, cause) => {
@@ -95,7 +95,7 @@
     randomness,
     sendReport: calls.reportTrial,
     store,
-    tellVerdict: (verdict) => sendVerdict(verdict),
+    publishVerdict: (verdict) => sendVerdict(verdict),
   });
   const { crashes, crashProbe, quarantineRows } = wireCrashes({
     client,
@@ -105,7 +105,7 @@
     randomness,
     store,
     tables,
-    tellOutcome: (outcome) => sendOutcome(outcome),
+    publishOutcome: (outcome) => sendOutcome(outcome),
   });
   // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
   const shared = computeStalenessLimits(settings.bounds);
@@ -154,7 +154,7 @@
     log,
     handleSuspicion: ({ server }) => directory.recordSuspicion(server, 'told'),
     handleInferred: (server) => {
-      directory.applyInferred(server);
+      directory.addInferred(server);
       identities.start();
     },
   });
@@ -178,13 +178,13 @@
   handleAdvance = sharing.handleUpdate;
   const { bounds } = settings;
   const { lender, retries } = wireRetries({ bounds, calls, clock, gossip, log });
-  const places = createPromptPlaces({
+  const places = createPromptReservations({
     self: settings.vm,
     listPeers: gossip.listMembers,
     tellPeer: calls.tellPrompt,
     askPeer: calls.reservePrompt,
-    countUnreadTokens: directory.countUnreadTokens,
-    recordToldPrompt: directory.recordToldPrompt,
+    countPendingPrefillTokens: directory.countPendingPrefillTokens,
+    recordPeerPrompt: directory.recordPeerPrompt,
   });
   const forwarder = createForwarder({
     lender,
--- a/src/programs/gateway/_lib/wireLimits/index.ts
+++ b/src/programs/gateway/_lib/wireLimits/index.ts
@@ -1,11 +1,11 @@
 import type { GatewayClient } from '../../../../adapters/connect';
 import {
   createLimitOwner,
-  createPermits,
+  createPermitClient,
   createServerLimits,
   type LimitOwner,
   type LimitPeer,
-  type Permits,
+  type PermitClient,
   type ServerLimits,
 } from '../../../../application/limits';
 import type { Clock, EventLog, Randomness } from '../../../../application/ports';
@@ -16,7 +16,7 @@
   readonly self: OwnerCandidate;
   readonly listPeers: () => readonly LimitPeer[];
   readonly calls: Pick<GatewayClient, 'acquirePermit' | 'releasePermit'>;
-  readonly tellLimit: (limit: SharedLimit) => void;
+  readonly publishLimit: (limit: SharedLimit) => void;
   readonly clock: Clock;
   readonly log: EventLog;
   readonly randomness: Randomness;
@@ -26,7 +26,7 @@
 export interface LimitParts {
   readonly limits: ServerLimits;
   readonly owner: LimitOwner;
-  readonly permits: Permits;
+  readonly permits: PermitClient;
 }
 
 /** Wires what keeps servers' rate limits. */
@@ -37,15 +37,15 @@
   log,
   randomness,
   self,
-  tellLimit,
+  publishLimit,
 }: LimitPartsDependencies): LimitParts => {
-  const limits = createServerLimits({ clock, log, tellLimit });
+  const limits = createServerLimits({ clock, log, publishLimit: publishLimit });
   const owner = createLimitOwner({ clock, limits, randomness });
-  const permits = createPermits({
+  const permits = createPermitClient({
     self,
     listPeers,
     askPeer: calls.acquirePermit,
-    tellReleased: calls.releasePermit,
+    notifyReleased: calls.releasePermit,
     owner,
     limits,
     clock,
--- a/src/programs/gateway/_lib/wireRetries/index.ts
+++ b/src/programs/gateway/_lib/wireRetries/index.ts
@@ -1,8 +1,8 @@
 import type { GatewayClient } from '../../../../adapters/connect';
 import {
-  createRetryAllowance,
+  createRetryBudget,
   createRetryLender,
-  type RetryAllowance,
+  type RetryBudget,
   type RetryLender,
 } from '../../../../application/forwarding';
 import type { Gossip } from '../../../../application/gossip';
@@ -20,7 +20,7 @@
 
 /** The parts that keep the bound on repeats. */
 export interface RetryParts {
-  readonly retries: RetryAllowance;
+  readonly retries: RetryBudget;
   readonly lender: RetryLender;
 }
 
@@ -32,11 +32,11 @@
   gossip,
   log,
 }: RetryPartsDependencies): RetryParts => {
-  const retries = createRetryAllowance({ bounds, clock, countVms: () => gossip.countVms() });
+  const retries = createRetryBudget({ bounds, clock, countVms: () => gossip.countVms() });
   const lender = createRetryLender({
     retries,
     log,
-    drawPeers: gossip.drawAddresses,
+    pickPeers: gossip.drawAddresses,
     askPeer: calls.borrowRetry,
   });
   return { retries, lender };
--- a/src/programs/gateway/_lib/wireRollouts/index.ts
+++ b/src/programs/gateway/_lib/wireRollouts/index.ts
@@ -2,12 +2,12 @@
 import type { Clock, EventLog, Randomness } from '../../../../application/ports';
 import {
   createRolloutJudge,
-  createRolloutRows,
-  createRollouts,
+  createVerdictStore,
+  createRolloutRegistry,
   createTrialReporter,
   type RolloutJudge,
   type RolloutPeer,
-  type Rollouts,
+  type RolloutRegistry,
   type TrialReport,
   type TrialReporter,
 } from '../../../../application/rollouts';
@@ -25,12 +25,12 @@
   readonly randomness: Randomness;
   readonly sendReport: (address: string, report: TrialReport) => Promise<RolloutVerdict | null>;
   readonly store: StoreClient;
-  readonly tellVerdict: (verdict: RolloutVerdict) => void;
+  readonly publishVerdict: (verdict: RolloutVerdict) => void;
 }
 
 /** The parts that move services to new versions. */
 export interface RolloutParts {
-  readonly rollouts: Rollouts;
+  readonly rollouts: RolloutRegistry;
   readonly judge: RolloutJudge;
 }
 
@@ -44,12 +44,12 @@
   sendReport,
   settings,
   store,
-  tellVerdict,
+  publishVerdict,
 }: RolloutPartsDependencies): RolloutParts => {
   const { bounds, vm: self } = settings;
   let watch: RolloutJudge['watch'] = () => undefined;
   let recordEvidence: TrialReporter['recordEvidence'] = () => undefined;
-  const rollouts = createRollouts({
+  const rollouts = createRolloutRegistry({
     decodeOrder: decodeRolloutOrder,
     bounds,
     listServing: directory.listServing,
@@ -57,13 +57,13 @@
     clock,
     log,
     randomness,
-    tellVerdict,
+    broadcastVerdict: publishVerdict,
     handleChange: (service) => watch(service),
     handleEvidence: (service) => recordEvidence(service),
   });
   const codec = createRolloutCodec();
-  const rows = createRolloutRows({ codec, store, rollouts, clock, log });
-  const judge = createRolloutJudge({ self, listPeers, rollouts, rows, clock, log });
+  const rows = createVerdictStore({ codec, store, rollouts, clock, log });
+  const judge = createRolloutJudge({ self, listPeers, rollouts, verdictStore: rows, clock, log });
   const reporter = createTrialReporter({
     self,
     incarnation: String(clock.readWallMs()),
--- a/src/programs/gateway/startGateway/index.ts
+++ b/src/programs/gateway/startGateway/index.ts
@@ -8,7 +8,7 @@
 import { decodeRequestHead } from '../../../../platform';
 import type { GatewaySettings } from '../../../domain/forwarding';
 import { parseAddress } from '../_lib/parseAddress';
-import { recordReady } from '../_lib/recordReady';
+import { logReady } from '../_lib/logReady';
 import { startEndpoints } from '../_lib/startEndpoints';
 import { wireGateway } from '../_lib/wireGateway';
 import type { GatewayOverrides } from '../types';
@@ -106,7 +106,7 @@
   parts.sharing.start();
   parts.gossip.start();
   if (!settings.isFirstStart) parts.quarantineRows.startRead();
-  const stopRecording = recordReady({ ...parts, isReady });
+  const stopRecording = logReady({ ...parts, isReady });
   log.info('gateway started', { vm: settings.vm, zone: settings.availabilityZone });
 
   return ok({
--- a/src/programs/gateway/types/GatewayParts.ts
+++ b/src/programs/gateway/types/GatewayParts.ts
@@ -1,7 +1,7 @@
 import type { GatewayMetrics } from '../../../adapters/metrics';
 import type {
   Forwarder,
-  PromptPlaces,
+  PromptReservations,
   QuarantineRows,
   RetryLender,
   RouteTableHolder,
@@ -27,7 +27,7 @@
   readonly lender: RetryLender;
   readonly limitOwner: LimitOwner;
   readonly quarantineRows: QuarantineRows;
-  readonly places: PromptPlaces;
+  readonly places: PromptReservations;
   readonly rolloutJudge: RolloutJudge;
   /** Closes all connections to servers and the store. */
   stop(): Promise<void>;
--- a/src/programs/jackdaw/buildOverview/index.ts
+++ b/src/programs/jackdaw/buildOverview/index.ts
@@ -1,6 +1,6 @@
 import { listMissingModels } from '../../../domain/order';
 import type { LoadedModel } from '../../../domain/types';
-import type { AskedVm, ProcessStatus } from '../readStatuses';
+import type { VmStatusResult, ProcessStatus } from '../readStatuses';
 
 /** A VM as the overview shows it. */
 export interface OverviewVm {
@@ -69,7 +69,7 @@
   return view !== undefined && view.heardAgeMs !== null && view.heardAgeMs < HEARD_LIMIT_MS;
 }
 
-function buildVm(asked: AskedVm, statuses: readonly ProcessStatus[]): OverviewVm {
+function buildVm(asked: VmStatusResult, statuses: readonly ProcessStatus[]): OverviewVm {
   const { vm, peerAddress, status } = asked;
   return {
     vm,
@@ -117,7 +117,7 @@
  * Places, services and targets are those of the VM with the highest version.
  */
 export function buildOverview(
-  asked: readonly AskedVm[],
+  asked: readonly VmStatusResult[],
   leases: readonly OverviewLease[],
 ): Overview {
   const statuses = asked.flatMap(({ status }) => (status === null ? [] : [status]));
--- a/src/programs/jackdaw/commands/ApplyCommand.ts
+++ b/src/programs/jackdaw/commands/ApplyCommand.ts
@@ -75,7 +75,7 @@
       return ExitCode.Conflict;
     }
     // Before the first version there is no old configuration to go on with.
-    if (newest !== null && !(await this.isReadEnough(platform))) {
+    if (newest !== null && !(await this.hasEnoughTableReaders(platform))) {
       return ExitCode.Unreachable;
     }
     const applied = await applyConfiguration(platform, {
--- a/src/programs/jackdaw/commands/ExplainCommand.ts
+++ b/src/programs/jackdaw/commands/ExplainCommand.ts
@@ -2,7 +2,7 @@
 import { z } from 'zod';
 import type { TargetVm } from '../../../application/configuration';
 import { explainLog } from '../explainLog';
-import { renderStory } from '../renderStory';
+import { renderTimeline } from '../renderTimeline';
 import { ExitCode, type OperatorPlatform } from '../types';
 import { PlatformCommand } from './PlatformCommand';
 
@@ -74,7 +74,7 @@
       return ExitCode.Refused;
     }
     if (this.json) story.value.forEach((line) => this.writeJson(line));
-    else renderStory(story.value).forEach((line) => this.writeLine(line));
+    else renderTimeline(story.value).forEach((line) => this.writeLine(line));
     if (story.value.length > 0) return ExitCode.Ok;
     this.writeNote(`no log line tells of ${this.request}`);
     return ExitCode.NotFound;
--- a/src/programs/jackdaw/commands/RollbackCommand.ts
+++ b/src/programs/jackdaw/commands/RollbackCommand.ts
@@ -51,7 +51,7 @@
     }
     const changes = compareConfigurations(newest.value.configuration, configuration);
     renderChanges(changes).forEach((line) => this.writeNote(line));
-    if (!(await this.isReadEnough(platform))) {
+    if (!(await this.hasEnoughTableReaders(platform))) {
       return ExitCode.Unreachable;
     }
     const applied = await applyConfiguration(platform, {
--- a/src/programs/jackdaw/commands/WritingCommand.ts
+++ b/src/programs/jackdaw/commands/WritingCommand.ts
@@ -51,7 +51,7 @@
   }
 
   /** Tells whether enough VMs would learn of a change; writes a note if not. */
-  protected async isReadEnough(platform: OperatorPlatform): Promise<boolean> {
+  protected async hasEnoughTableReaders(platform: OperatorPlatform): Promise<boolean> {
     const checked = this.force ? null : checkTableReaders(await countTableReaders(platform));
     if (checked?.isErr() !== true) {
       return true;
--- a/src/programs/jackdaw/explainLog/index.ts
+++ b/src/programs/jackdaw/explainLog/index.ts
@@ -6,7 +6,7 @@
 import { parseLogLine, type LogLine } from './_lib/parseLogLine';
 
 /** A line about a request, and what its VM believed at that moment. */
-export interface StoryLine {
+export interface TimelineEntry {
   readonly line: LogLine;
   readonly beliefs: readonly Belief[];
 }
@@ -39,7 +39,7 @@
 export const explainLog = async (
   requestId: string,
   files: readonly string[],
-): Promise<Result<readonly StoryLine[], string>> => {
+): Promise<Result<readonly TimelineEntry[], string>> => {
   const lines: LogLine[] = [];
   for (const file of files) {
     const read = await readLines(file, requestId);
@@ -50,7 +50,7 @@
     .map((line, order) => ({ line, order }))
     .sort((left, right) => left.line.timeMs - right.line.timeMs || left.order - right.order);
   const beliefsByVm = new Map<string, Map<string, LogLine>>();
-  const story: StoryLine[] = [];
+  const story: TimelineEntry[] = [];
   sorted.forEach(({ line }) => {
     const beliefs = beliefsByVm.get(line.vm) ?? new Map<string, LogLine>();
     beliefsByVm.set(line.vm, beliefs);
--- a/src/programs/jackdaw/explainLog/test.ts
+++ b/src/programs/jackdaw/explainLog/test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test, { type ExecutionContext } from 'ava';
-import { renderStory } from '../renderStory';
+import { renderTimeline } from '../renderTimeline';
 import { explainLog } from '.';
 
 const buildLine = (vm: string, time: number, message: string, fields: object = {}): string =>
@@ -36,7 +36,7 @@
     ],
   });
   const story = (await explainLog('r-1', files))._unsafeUnwrap();
-  t.deepEqual(renderStory(story), [
+  t.deepEqual(renderTimeline(story), [
     '00:00:03.000 vm-1: stream sent  server=i-1',
     '    configuration: configuration in force version=7, for 2.0 s',
     '    i-1: server suspected cause=silent, for 0.5 s',
--- a/src/programs/jackdaw/readStatuses/index.ts
+++ b/src/programs/jackdaw/readStatuses/index.ts
@@ -50,7 +50,7 @@
 export type ProcessStatus = z.output<typeof statusSchema>;
 
 /** A VM that was asked, with its answer. */
-export interface AskedVm {
+export interface VmStatusResult {
   readonly vm: string;
   readonly peerAddress: string;
   /** Null: it did not answer, or not as this version of `jackdaw` expects. */
@@ -63,7 +63,7 @@
 export function readStatuses(
   calls: OperatorCalls,
   vms: readonly { readonly vm: string; readonly peerAddress: string }[],
-): Promise<readonly AskedVm[]> {
+): Promise<readonly VmStatusResult[]> {
   return Promise.all(
     vms.map(async ({ vm, peerAddress }) => {
       const read = await calls.readStatus(peerAddress);
--- a/src/programs/jackdaw/renderStory/index.ts
+++ b/src/programs/jackdaw/renderTimeline/index.ts
@@ -1,4 +1,4 @@
-import type { StoryLine } from '../explainLog';
+import type { TimelineEntry } from '../explainLog';
 
 /** Fields that are the same in each line of a story. */
 const COMMON_FIELDS: ReadonlySet<string> = new Set(['requestId']);
@@ -8,7 +8,7 @@
 const formatAge = (ageMs: number): string => `${(ageMs / 1000).toFixed(1)} s`;
 
 /** Renders the story of a request: each line, and below it what its VM believed. */
-export const renderStory = (story: readonly StoryLine[]): readonly string[] =>
+export const renderTimeline = (story: readonly TimelineEntry[]): readonly string[] =>
   story.flatMap(({ beliefs, line }) => {
     const fields = Object.entries(line.fields)
       .filter(([name]) => !COMMON_FIELDS.has(name))
--- a/standins/gateway/createStandInServer/index.ts
+++ b/standins/gateway/createStandInServer/index.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
-import { CALLS, HEADERS } from '../../../platform';
+import { PATHS, HEADERS } from '../../../platform';
 
 /** A request as the server got it. */
 export interface ReceivedRequest {
@@ -111,11 +111,11 @@
   const OWN_CALLS: Readonly<
     Record<string, (request: IncomingMessage, response: ServerResponse) => void>
   > = {
-    [CALLS.report]: (_request, response) => sendReport(response),
-    [CALLS.heldParts]: (_request, response) => {
+    [PATHS.report]: (_request, response) => sendReport(response),
+    [PATHS.cachedPromptParts]: (_request, response) => {
       response.end(JSON.stringify({ epoch: 1, next: 1, held: [] }));
     },
-    [CALLS.copyRun]: sendHandle,
+    [PATHS.copyRun]: sendHandle,
     [HEALTH_PATH]: (_request, response) => {
       response.setHeader(HEADERS.serverId, id);
       response.end();
@@ -174,7 +174,7 @@
 
   const buildHeaders = (request: ReceivedRequest, headers: Headers = {}): Headers => ({
     [HEADERS.requestId]: readId(request),
-    [HEADERS.stamp]: STAMP,
+    [HEADERS.signature]: STAMP,
     ...headers,
   });
   const stop = async (): Promise<void> => {
--- a/standins/gateway/createStandInStore/index.ts
+++ b/standins/gateway/createStandInStore/index.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 import { z } from 'zod';
-import { CALLS, HEADERS } from '../../../platform';
+import { PATHS, HEADERS } from '../../../platform';
 
 /** How the store treats calls. */
 export type StoreMode = 'up' | 'refuse' | 'reset' | 'silent';
@@ -140,7 +140,7 @@
 
   const HANDLERS: Readonly<
     Record<string, (query: URLSearchParams, response: ServerResponse) => void>
-  > = { [CALLS.followRows]: handleFeed, [CALLS.readRows]: handleRead };
+  > = { [PATHS.followRows]: handleFeed, [PATHS.readRows]: handleRead };
 
   const MODES: Readonly<
     Record<StoreMode, (request: IncomingMessage, response: ServerResponse) => void>
@@ -152,7 +152,7 @@
       const url = new URL(request.url ?? '/', 'http://store');
       const handle = HANDLERS[url.pathname];
       if (handle) handle(url.searchParams, response);
-      else if (url.pathname === CALLS.changeRows) handleChange(request, response);
+      else if (url.pathname === PATHS.changeRows) handleChange(request, response);
       else sendJson(response, 404, {});
     },
   };
--- a/standins/gossip/createGossipFleet/index.ts
+++ b/standins/gossip/createGossipFleet/index.ts
@@ -47,7 +47,7 @@
       clock,
       log: QUIET_LOG,
       hasAnsweredSince: () => false,
-      tellOutcome: (outcome) => gossips.get(vm)?.sendOutcome(outcome),
+      publishOutcome: (outcome) => gossips.get(vm)?.sendOutcome(outcome),
       handleQuarantine: () => undefined,
     });
     histories.set(vm, history);
--- a/standins/limits/runLimitModel/index.ts
+++ b/standins/limits/runLimitModel/index.ts
@@ -1,11 +1,11 @@
 import {
   createLimitOwner,
-  createPermits,
+  createPermitClient,
   createServerLimits,
   type LimitOwner,
   type LimitPeer,
   type Permit,
-  type Permits,
+  type PermitClient,
   type ServerLimits,
 } from '../../../src/application/limits';
 import type { Clock } from '../../../src/application/ports';
@@ -39,7 +39,7 @@
   clock: Clock;
   limits: ServerLimits;
   owner: LimitOwner;
-  permits: Permits;
+  permits: PermitClient;
   startedAtMs: number;
   downSinceMs: number | null;
   isCut: boolean;
@@ -92,7 +92,7 @@
     const limits: ServerLimits = createServerLimits({
       clock,
       log: QUIET_LOG,
-      tellLimit: (limit) =>
+      publishLimit: (limit) =>
         vms
           .filter((other) => other !== vm)
           .forEach((other) =>
@@ -109,14 +109,14 @@
       [LimitPolicy.Alone]: () => [],
     };
     const scale = policy === LimitPolicy.EvenParts ? 1 / model.vms : 1;
-    const permits = createPermits({
+    const permits = createPermitClient({
       self: { vm: vm.name, availabilityZone: vm.zone },
       listPeers: peersOf[policy],
       askPeer: (address, request) =>
         policy === LimitPolicy.OneOwner && request.isConfirmation
           ? Promise.resolve({ isGranted: true, waitMs: 0 })
-          : callVm(vm, address, (other) => other.owner.handlePermit(request)),
-      tellReleased: (address, server) => {
+          : callVm(vm, address, (other) => other.owner.handlePermitRequest(request)),
+      notifyReleased: (address, server) => {
         callVm(vm, address, (other) => other.owner.releasePermit(server));
       },
       owner,
@@ -165,7 +165,7 @@
       const limitPerS = isNamed ? (model.limitsPerS[index] ?? null) : null;
       clock.startTimer(ANSWER_MS, () => {
         if (vm.downSinceMs !== null) return;
-        vm.limits.recordStatement(server, { limitPerS, sentAtMs });
+        vm.limits.recordAdvertisedLimit(server, { limitPerS, sentAtMs });
         if (limitPerS !== null && !toldAtMs[index]?.has(vm.name)) {
           toldAtMs[index]?.set(vm.name, clock.readMonotonicMs());
         }
--- a/standins/model/createModelCaller/index.ts
+++ b/standins/model/createModelCaller/index.ts
@@ -75,12 +75,12 @@
         clock.startTimer(waitMs, () => send(attempt + 1));
       };
       const reply: CallerReply = {
-        left: left.signal,
+        callerLeft: left.signal,
         isOpen: () => isOpen,
-        hasBegun: () => hasBegun,
+        hasSentHead: () => hasBegun,
         sendRefusal: handleRefusal,
-        sendWhole: () => end(false),
-        begin: () => {
+        sendResponse: () => end(false),
+        sendHead: () => {
           hasBegun = true;
         },
         write: () => {
@@ -89,7 +89,7 @@
         },
         waitForDrain: () => Promise.resolve(),
         end: () => end(true),
-        breakOff: () => end(false),
+        destroy: () => end(false),
       };
       pickForwarder(attempt).forwardRequest(buildRequest(attempt), reply);
     };
--- a/standins/model/runModelLoad/index.ts
+++ b/standins/model/runModelLoad/index.ts
@@ -1,13 +1,13 @@
 import {
   createCrashHistory,
   createForwarder,
-  createRetryAllowance,
+  createRetryBudget,
   createRetryLender,
   type Forwarder,
   type ServerDirectory,
 } from '../../../src/application/forwarding';
 import { createServerLimits } from '../../../src/application/limits';
-import { createRollouts } from '../../../src/application/rollouts';
+import { createRolloutRegistry } from '../../../src/application/rollouts';
 import { RouteKind, type RouteTable } from '../../../src/domain/forwarding';
 import { createFakeClock, createSeededRandomness, QUIET_LOG } from '../../fakes';
 import { createModelDirectory, MODEL_SERVICE, MODEL_ZONES } from '../createModelDirectory';
@@ -101,7 +101,7 @@
   const createGateway = (index: number): Forwarder => {
     const directory = createModelDirectory(clock, [...engines.keys()]);
     directories.push(directory);
-    const retries = createRetryAllowance({
+    const retries = createRetryBudget({
       bounds: { retryRatio: 0.8, retryWindowMs: 10_000, retryExtra: 150 },
       clock,
       countVms: () => load.vms,
@@ -114,18 +114,18 @@
         clock,
         log: QUIET_LOG,
         hasAnsweredSince: directory.hasAnsweredSince,
-        tellOutcome: () => undefined,
+        publishOutcome: () => undefined,
         handleQuarantine: () => undefined,
       }),
       crashProbe: { startProbe: () => undefined },
       directory,
-      limits: createServerLimits({ clock, log: QUIET_LOG, tellLimit: () => undefined }),
+      limits: createServerLimits({ clock, log: QUIET_LOG, publishLimit: () => undefined }),
       permits: { acquirePermit: async () => ({ release: () => undefined }) },
       log: QUIET_LOG,
       meter: { recordRequest: () => undefined, recordResume: () => undefined },
       randomness,
       retries,
-      rollouts: createRollouts({
+      rollouts: createRolloutRegistry({
         decodeOrder: () => null,
         bounds: { trialRatio: 0.1, trialExtra: 50 },
         listServing: directory.listServing,
@@ -133,14 +133,14 @@
         clock,
         log: QUIET_LOG,
         randomness,
-        tellVerdict: () => undefined,
+        broadcastVerdict: () => undefined,
         handleChange: () => undefined,
         handleEvidence: () => undefined,
       }),
       lender: createRetryLender({
         retries,
         log: QUIET_LOG,
-        drawPeers: () => [],
+        pickPeers: () => [],
         askPeer: async () => false,
       }),
       tables: {
@@ -153,7 +153,7 @@
         clock.startTimer(TELL_MS, () =>
           directories
             .filter((other) => other !== directory)
-            .forEach((other) => other.recordToldPrompt(server, tokens)),
+            .forEach((other) => other.recordPeerPrompt(server, tokens)),
         );
       },
     });
--- a/standins/rollouts/runRolloutModel/index.ts
+++ b/standins/rollouts/runRolloutModel/index.ts
@@ -3,12 +3,12 @@
 import type { SharedRow } from '../../../src/application/ports';
 import {
   createRolloutJudge,
-  createRolloutRows,
-  createRollouts,
+  createVerdictStore,
+  createRolloutRegistry,
   createTrialReporter,
   type RolloutJudge,
   type RolloutPeer,
-  type Rollouts,
+  type RolloutRegistry,
   type TrialReporter,
 } from '../../../src/application/rollouts';
 import type { ServerStatus } from '../../../src/domain/forwarding';
@@ -75,7 +75,7 @@
 
 interface Vm {
   readonly peer: RolloutPeer;
-  readonly rollouts: Rollouts;
+  readonly rollouts: RolloutRegistry;
   readonly judge: RolloutJudge;
   isUp: boolean;
 }
@@ -111,7 +111,7 @@
   const startVm = (name: string, isOld: boolean): void => {
     let watch: RolloutJudge['watch'] = () => undefined;
     let recordEvidence: TrialReporter['recordEvidence'] = () => undefined;
-    const rollouts: Rollouts = createRollouts({
+    const rollouts: RolloutRegistry = createRolloutRegistry({
       decodeOrder: ({ version }) =>
         ok({ service: SERVICE, to: 'v2', durationMs: model.durationMs, sequence: version }),
       bounds: { trialRatio: 0.1, trialExtra: 50 },
@@ -120,19 +120,19 @@
       clock,
       log: QUIET_LOG,
       randomness,
-      tellVerdict: (verdict: RolloutVerdict) =>
+      broadcastVerdict: (verdict: RolloutVerdict) =>
         listPeers(name).forEach(({ vm }) =>
           clock.startTimer(draw() * MAX_TOLD_MS, () => vms.get(vm)?.rollouts.mergeVerdict(verdict)),
         ),
       handleChange: (service) => watch(service),
       handleEvidence: (service) => recordEvidence(service),
     });
-    const rows = createRolloutRows({ codec, store, rollouts, clock, log: QUIET_LOG });
+    const rows = createVerdictStore({ codec, store, rollouts, clock, log: QUIET_LOG });
     const judge = createRolloutJudge({
       self: name,
       listPeers: () => listPeers(name),
       rollouts,
-      rows,
+      verdictStore: rows,
       clock,
       log: QUIET_LOG,
     });
@@ -202,7 +202,7 @@
     clock.startTimer(took, () => {
       if (isCandidate && (isFailure || isSlow)) poor += 1;
       if (poor >= MANY_POOR) manyPoorAtMs ??= clock.readMonotonicMs();
-      request.recordOutcome(server, { isFailure, took: isFailure ? null : took });
+      request.recordOutcome(server, { isFailure, duration: isFailure ? null : took });
     });
   };
 
@@ -216,7 +216,7 @@
     if (atMs !== null && atMs !== undefined) clock.startTimer(ORDER_AT_MS + atMs, run);
   };
   startAt(model.judgeLostAtMs, () => {
-    const judging = names.find((name) => vms.get(name)?.judge.isJudge(SERVICE)) ?? names[0];
+    const judging = names.find((name) => vms.get(name)?.judge.isPrimaryJudge(SERVICE)) ?? names[0];
     const vm = vms.get(judging ?? '');
     vm?.judge.stop();
     if (vm) vm.isUp = false;
--- a/tests/gateway/calls.test.ts
+++ b/tests/gateway/calls.test.ts
@@ -37,7 +37,7 @@
   const answer = await answered;
   t.is(answer.status, 200);
   t.is(answer.body, 'done');
-  t.is(answer.headers[HEADERS.stamp], 'stand-in-stamp');
+  t.is(answer.headers[HEADERS.signature], 'stand-in-stamp');
   await bench.stop();
 });
 
@@ -173,7 +173,7 @@
   const { request } = await nextAnywhere(bench.servers);
   request.socket.end(
     `HTTP/1.1 200 OK\r\nConnection: close\r\n${HEADERS.requestId}: request-1\r\n` +
-      `${HEADERS.stamp}: s\r\n\r\nall of it`,
+      `${HEADERS.signature}: s\r\n\r\nall of it`,
   );
   const answer = await answered;
   t.is(answer.body, 'all of it');
--- a/tests/gateway/foreignEntries.test.ts
+++ b/tests/gateway/foreignEntries.test.ts
@@ -2,8 +2,8 @@
 import test from 'ava';
 import fc from 'fast-check';
 import { decodeServerEntry } from '../../platform';
-import { decodeHeldParts } from '../../platform/decodeHeldParts';
-import { decodeServerAnswer } from '../../platform/decodeServerAnswer';
+import { decodeCachedPromptParts } from '../../platform/decodeCachedPromptParts';
+import { decodeResponseHead } from '../../platform/decodeResponseHead';
 import { decodeServerReport } from '../../platform/decodeServerReport';
 import { readKnowledgeMessage } from '../../src/adapters/connect/_lib/convertKnowledge';
 import { KnowledgeSchema } from '../../src/adapters/connect/gen/gateway_pb';
@@ -87,8 +87,8 @@
     fc.property(fc.oneof(fc.string(), fc.json()), (text) => {
       const report = decodeServerReport(text, NO_SIGNALS);
       t.true(report.waiting >= 0 && report.running >= 0);
-      decodeHeldParts(text);
-      decodeServerAnswer(
+      decodeCachedPromptParts(text);
+      decodeResponseHead(
         421,
         {
           'jackdawmount-server-load': text,
--- a/tests/gateway/requests.test.ts
+++ b/tests/gateway/requests.test.ts
@@ -1,6 +1,6 @@
 import { connect } from 'node:net';
 import test from 'ava';
-import { CALLS, CONFIGURATION_KEY, HEADERS, TABLES } from '../../platform';
+import { PATHS, CONFIGURATION_KEY, HEADERS, TABLES } from '../../platform';
 import { buildWireConfiguration } from '../../standins/gateway';
 import { startTestGateway, type TestGateway } from './_lib/startTestGateway';
 
@@ -73,13 +73,13 @@
 // Cause: no configuration is taken for one without routes.
 test('a VM without a configuration is not ready, and answers 503 with when to come back', async (t) => {
   const bench = await startTestGateway({ isConfigured: false });
-  t.is((await fetch(`${bench.gateway.readinessUrl}${CALLS.ready}`)).status, 503);
+  t.is((await fetch(`${bench.gateway.readinessUrl}${PATHS.ready}`)).status, 503);
   const answer = await bench.send({ target: '/safe/x' });
   t.is(answer.status, 503);
   t.true(Number(answer.headers['retry-after']) > 0);
   bench.store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildWireConfiguration());
   await bench.waitForLine('configuration in force');
-  t.is((await fetch(`${bench.gateway.readinessUrl}${CALLS.ready}`)).status, 200);
+  t.is((await fetch(`${bench.gateway.readinessUrl}${PATHS.ready}`)).status, 200);
   await bench.stop();
 });
 
@@ -110,7 +110,7 @@
   const answered = bench.send({ target: '/unsafe/x', body: '1' });
   const request = await bench.servers[0]!.nextRequest();
   const drained = bench.gateway.drain();
-  t.is((await fetch(`${bench.gateway.readinessUrl}${CALLS.ready}`)).status, 503);
+  t.is((await fetch(`${bench.gateway.readinessUrl}${PATHS.ready}`)).status, 503);
   bench.servers[0]!.answer(request, 200, 'whole');
   const answer = await answered;
   t.is(answer.body, 'whole');
--- a/tests/gateway/serverClient.test.ts
+++ b/tests/gateway/serverClient.test.ts
@@ -59,7 +59,7 @@
   const { socket } = await server.nextRequest();
   socket.write(
     `HTTP/1.1 200 OK\r\nConnection: close\r\n${HEADERS.requestId}: request-1\r\n` +
-      `${HEADERS.stamp}: s\r\n\r\nhalf`,
+      `${HEADERS.signature}: s\r\n\r\nhalf`,
   );
   const answer = readOk(await sent);
   t.false(answer.head.isFramed);
--- a/tests/gateway/storeClient.test.ts
+++ b/tests/gateway/storeClient.test.ts
@@ -2,7 +2,7 @@
 import { createServer, type ServerResponse } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import test from 'ava';
-import { CALLS, createStoreClient, TABLES } from '../../platform';
+import { PATHS, createStoreClient, TABLES } from '../../platform';
 import { createFakeClock } from '../../standins/fakes';
 import { createStandInStore } from '../../standins/gateway';
 
@@ -73,7 +73,7 @@
   const store = await createStandInStore();
   const client = createStoreClient(store.url, { clock });
   const { signal } = new AbortController();
-  const isWaiting = store.waitForCall(CALLS.followRows);
+  const isWaiting = store.waitForCall(PATHS.followRows);
   const lost = client.followRows(TABLES.operator, { version: 0, waitMs: 1700 }, signal);
   await isWaiting;
   store.setMode('silent');
--- a/tests/gateway/storeRestores.test.ts
+++ b/tests/gateway/storeRestores.test.ts
@@ -1,7 +1,7 @@
 // Guards against changes that are missed after the store came back from an older copy: its versions go
 // back and are given out again.
 import test from 'ava';
-import { CALLS, CONFIGURATION_KEY, HEADERS, TABLES } from '../../platform';
+import { PATHS, CONFIGURATION_KEY, HEADERS, TABLES } from '../../platform';
 import { buildWireConfiguration, buildWireEntry, type StandInServer } from '../../standins/gateway';
 import { callServer } from './_lib/callServer';
 import { startTestGateway, type TestGateway } from './_lib/startTestGateway';
@@ -36,7 +36,7 @@
   ...line: Parameters<TestGateway['waitForLine']>
 ): Promise<boolean> => {
   const countReads = async (): Promise<false> => {
-    for (let reads = 0; reads < MAX_READS; reads += 1) await store.waitForCall(CALLS.readRows);
+    for (let reads = 0; reads < MAX_READS; reads += 1) await store.waitForCall(PATHS.readRows);
     return false;
   };
   return Promise.race([waitForLine(...line).then(() => true), countReads()]);
@@ -79,7 +79,7 @@
   await writeBeyondCopy(bench);
   let reads = 0;
   const countReads = async (): Promise<void> => {
-    for (; reads < MAX_READS; reads += 1) await bench.store.waitForCall(CALLS.readRows);
+    for (; reads < MAX_READS; reads += 1) await bench.store.waitForCall(PATHS.readRows);
   };
   const counted = countReads();
   bench.store.restoreCopy();
--- a/tests/gateway/streams.test.ts
+++ b/tests/gateway/streams.test.ts
@@ -23,7 +23,7 @@
   const answer = await followed.done;
   t.is(answer.status, 200);
   t.is(answer.headers[HEADERS.requestId], 'request-1');
-  t.is(answer.headers[HEADERS.stamp], 'stand-in-stamp');
+  t.is(answer.headers[HEADERS.signature], 'stand-in-stamp');
   t.is(answer.body, listEvents(1, 3));
   t.true(answer.isWhole);
   await bench.stop();
--- a/tests/generations/keyed.test.ts
+++ b/tests/generations/keyed.test.ts
@@ -53,11 +53,11 @@
   engines.emit(stream, 1, 'stop');
   await reader.done;
   await clock.advanceAsync(0);
-  const bounded = first.generations.waitForEnds(1);
+  const bounded = first.generations.waitForPendingWrites(1);
   await clock.advanceAsync(1);
   await bounded;
   let isOver = false;
-  const ended = first.generations.waitForEnds(60_000).then(() => {
+  const ended = first.generations.waitForPendingWrites(60_000).then(() => {
     isOver = true;
   });
   await clock.advanceAsync(10);
--- a/tests/lease/lease.test.ts
+++ b/tests/lease/lease.test.ts
@@ -78,7 +78,7 @@
   t.is(first.holder.readOrderToken(), null);
   await pair.advance(5_500);
   t.deepEqual(readTokens(pair), [false, true]);
-  second.holder.recordStale(1_000);
+  second.holder.recordObservedToken(1_000);
   t.is(second.holder.readOrderToken(), null);
   await pair.advance(5_500);
   t.true((second.holder.readOrderToken() ?? 0) > 1_000);
--- a/tests/support/createTestEntry/index.ts
+++ b/tests/support/createTestEntry/index.ts
@@ -1,5 +1,5 @@
 import { err, ok } from 'neverthrow';
-import { createGenerations, type WatchedGenerations } from '../../../src/application/generations';
+import { createGenerations, type StoppableGenerations } from '../../../src/application/generations';
 import { createHealthRegistry } from '../../../src/application/health';
 import type {
   Claims,
@@ -25,7 +25,7 @@
 
 /** An entry's generations over scripted engines. */
 export interface TestEntry {
-  readonly generations: WatchedGenerations;
+  readonly generations: StoppableGenerations;
   readonly health: HealthRegistry;
   readonly demands: Demand[];
   readonly outcomes: SlotOutcome[];
