--- a/src/adapters/connect/_lib/convertRollouts/index.ts
+++ b/src/adapters/connect/_lib/convertRollouts/index.ts
@@ -13,11 +13,11 @@
   Object.values(RolloutState).map((state) => [state, state]),
 );
 
-/** Converts a verdict to its message. */
+/** Converts a rollout verdict to its protobuf message. */
 export const buildVerdictMessage = (verdict: RolloutVerdict): RolloutVerdictMessage =>
   create(RolloutVerdictSchema, { ...verdict, sequence: BigInt(verdict.sequence) });
 
-/** Converts a message to a verdict; null if its state is not known here. */
+/** Converts a protobuf message to a rollout verdict; null if this version lacks its state. */
 export const readVerdictMessage = ({
   isStored,
   sequence,
@@ -31,7 +31,7 @@
     : null;
 };
 
-/** Converts a report to its message. */
+/** Converts a trial report to its protobuf message. */
 export const buildReportMessage = (report: TrialReport): ReportTrialRequest =>
   create(ReportTrialRequestSchema, {
     sender: report.sender,
@@ -45,7 +45,7 @@
   poor: message?.poor ?? 0,
 });
 
-/** Converts a message to a report. */
+/** Converts a protobuf message to a trial report. */
 export const readReportMessage = ({
   sender,
   sequence,
--- a/src/adapters/connect/_lib/convertStatements/index.ts
+++ b/src/adapters/connect/_lib/convertStatements/index.ts
@@ -10,7 +10,7 @@
 } from '../../gen/gateway_pb';
 import { buildTableChanges, readTableChanges } from '../convertTableChanges';
 
-/** Converts a request to its message. */
+/** Converts a statements request to its protobuf message. */
 export const buildStatementsRequestMessage = ({
   held,
   waitMs,
@@ -22,7 +22,7 @@
     waitMs: Math.round(waitMs),
   });
 
-/** Converts a message to a request. */
+/** Converts a protobuf message to a statements request. */
 export const readStatementsRequestMessage = ({
   held,
   waitMs,
@@ -31,7 +31,7 @@
   waitMs,
 });
 
-/** Converts an answer to its message. */
+/** Converts a statements response to its protobuf message. */
 export const buildStatementsMessage = (statements: StatementsResponse): FollowTablesResponse =>
   create(FollowTablesResponseSchema, {
     heldMs: statements.heldMs,
@@ -47,7 +47,7 @@
     ),
   });
 
-/** Converts a message to an answer; throws if a value is none. */
+/** Converts a protobuf message to a statements response; throws if a value cannot be decoded. */
 export const readStatementsMessage = (message: FollowTablesResponse): StatementsResponse => ({
   heldMs: message.heldMs,
   isCutOff: message.isCutOff,
--- a/src/adapters/connect/_lib/convertTableChanges/index.ts
+++ b/src/adapters/connect/_lib/convertTableChanges/index.ts
@@ -23,7 +23,7 @@
   version: Number(version),
 });
 
-/** Converts changes of a table to their message. */
+/** Converts the changes of a table to their protobuf message. */
 export const buildTableChanges = ({
   after,
   rows,
@@ -37,7 +37,7 @@
     rows: rows.map(buildRow),
   });
 
-/** Converts a message to changes of a table; throws if a value is none. */
+/** Converts a protobuf message to the changes of a table; throws if a value cannot be decoded. */
 export const readTableChanges = ({
   after,
   rows,
--- a/src/adapters/connect/_lib/encodeRowValue/index.ts
+++ b/src/adapters/connect/_lib/encodeRowValue/index.ts
@@ -1,23 +1,27 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 
-/** A row's value as it is sent. */
+/** A row's value as sent to other gateways, compressed if it is long. */
 export interface EncodedRowValue {
   readonly value: Uint8Array;
   readonly isDeflated: boolean;
 }
 
-/** Smaller values gain little. */
+/** Compression saves little on values shorter than this. */
 const MIN_DEFLATED_BYTES = 4096;
 
-/** Longest value that the store takes, and some to spare; what grows beyond it is no row. */
+/**
+ * Upper bound of an inflated value: more than the store accepts, so a longer value cannot be a row.
+ */
 const MAX_VALUE_BYTES = 8 * 1024 * 1024;
 
-/** Packed values by the one that is held, so that a VM that many follow packs each one once. */
+/** Encoded values by raw value, so that a VM with many followers compresses each value once. */
 const encodedValues = new WeakMap<Buffer, EncodedRowValue>();
 
 /**
- * Packs a row's value: a VM with a slow link that tells all others of its zone of a configuration with
- * many routes would otherwise take longer than a change has.
+ * Encodes a row's value, compressed from `MIN_DEFLATED_BYTES` on.
+ *
+ * Without compression, a VM with a slow link that sends a configuration with many routes to all
+ * other VMs of its zone would exceed the time allowed for a configuration change.
  */
 export const encodeRowValue = (value: Buffer): EncodedRowValue => {
   const cached = encodedValues.get(value);
@@ -28,6 +32,6 @@
   return result;
 };
 
-/** Gives a row's value back; throws if it is none. */
+/** Decodes a row's value; throws if the value is not valid. */
 export const decodeRowValue = ({ isDeflated, value }: EncodedRowValue): Buffer =>
   isDeflated ? inflateRawSync(value, { maxOutputLength: MAX_VALUE_BYTES }) : Buffer.from(value);
--- a/src/adapters/connect/convertNewsFromMessage/index.ts
+++ b/src/adapters/connect/convertNewsFromMessage/index.ts
@@ -22,7 +22,7 @@
 const isCause = (cause: string): cause is SuspicionCause =>
   Object.values<string>(SuspicionCause).includes(cause);
 
-// A newer version may know causes that this one does not: the evidence counts all the same.
+// A peer with newer software may send an unknown cause; the suspicion is kept as `Failing`.
 const convertSuspicion = (news: SuspicionNews): Fact => ({
   kind: 'suspicion',
   suspicion: {
--- a/src/adapters/connect/convertNewsToMessage/index.ts
+++ b/src/adapters/connect/convertNewsToMessage/index.ts
@@ -54,7 +54,7 @@
   ) => unknown;
 };
 
-/** How each kind of fact is added to its columns. */
+/** Adds a fact to the columns of its kind. */
 const addFactByKind: AddFactByKind = {
   peer: (columns, fact) => columns.peers.push(convertRecord(fact.record)),
   pulse: (columns, fact) => {
@@ -101,7 +101,7 @@
   addFactByKind[kind](columns, fact);
 };
 
-/** Converts news to its protobuf message: what is frequent goes in packed columns. */
+/** Converts news to its protobuf message; frequent kinds of facts are stored in packed columns. */
 export const convertNewsToMessage = (news: News): NewsMessage => {
   const columns = createColumns();
   news.facts.forEach((fact) => addFact(columns, fact));
--- a/src/adapters/engine/_lib/convertCallError/index.ts
+++ b/src/adapters/engine/_lib/convertCallError/index.ts
@@ -1,6 +1,6 @@
 import type { EngineError } from '../../../../application/ports';
 
-/** Codes of failures that happen before any byte of the request can have left. */
+/** Error codes of failures to connect, before any byte of the request was sent. */
 const NOT_CONNECTED_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -16,13 +16,13 @@
 };
 
 /**
- * Converts what a failed HTTP call threw.
+ * Converts the error of a failed HTTP call.
  *
- * Only failures to connect count as not started. A reset may come after the engine has read the
- * request, and calling that "not started" would let non-idempotent work run twice.
+ * Only failures to connect count as not started. A connection reset may happen after the engine has
+ * read the request; as `not-started` it would let non-idempotent work run twice.
  *
- * @param error - What the HTTP client threw.
- * @returns `not-started` or `broken`, with the system's code as reason.
+ * @param error - Error that the HTTP client threw.
+ * @returns `not-started` or `broken`, with the system's error code as reason.
  */
 export const convertCallError = (error: unknown): EngineError => {
   const code = readCode(error);
--- a/src/adapters/engine/_lib/openStream/index.ts
+++ b/src/adapters/engine/_lib/openStream/index.ts
@@ -5,7 +5,7 @@
 import { convertStatus } from '../convertStatus';
 import { readBatches } from '../readBatches';
 
-/** How a stream is opened. */
+/** Options of a stream that is opened. */
 export interface StreamOptions {
   readonly purpose: 'start' | 'resume';
   readonly call: Omit<EngineCall, 'signal' | 'headersTimeoutMs'>;
@@ -13,17 +13,17 @@
 }
 
 /**
- * Longest wait for the head of a stream's answer. The generations' own detection acts far sooner;
- * this only ends calls that nobody waits for any more, so that sockets do not pile up.
+ * Longest wait for the headers of a stream. Failure detection of the generations acts far sooner;
+ * this timeout only ends abandoned calls, so that their sockets do not accumulate.
  */
 const HEADERS_TIMEOUT_MS = 120_000;
 
 /**
- * Opens a stream of an engine and reads it as batches.
+ * Opens a stream of an engine and reads it as token batches.
  *
  * @param dispatcher - Connections to use.
- * @param options - Call and offset to begin at.
- * @returns The stream, or why there is none.
+ * @param options - Call and first offset.
+ * @returns The stream, or the error that prevented it.
  */
 export const openStream = async (
   dispatcher: Dispatcher,
@@ -39,7 +39,7 @@
   if (response.value.statusCode !== 200) {
     return err(await convertStatus(options.purpose, response.value));
   }
-  // Without a listener an abort between two reads would surface as an unhandled error event.
+  // Without a listener, an abort between two reads would cause an unhandled error event.
   response.value.body.on('error', () => undefined);
   return ok({
     batches: readBatches(response.value.body, options.firstOffset, abort.signal),
--- a/src/adapters/http/_lib/checkCursor/index.ts
+++ b/src/adapters/http/_lib/checkCursor/index.ts
@@ -9,7 +9,7 @@
 };
 
 /**
- * Checks the cursor with which a caller comes back.
+ * Checks the cursor with which a caller resumes.
  *
  * @param expected - the caller's workspace, and the generation in the path
  */
--- a/src/adapters/http/_lib/convertErrorToAnswer/index.ts
+++ b/src/adapters/http/_lib/convertErrorToAnswer/index.ts
@@ -2,7 +2,7 @@
 import type { GenerationError } from '../../../../application/ports';
 import type { CallerError } from '../../types';
 
-/** When to ask another entry, if this one takes no work. */
+/** Delay before a retry at another entry, if this one accepts no work. */
 const RETRY_AT_OTHER_ENTRY_MS = 1000;
 
 const buildRefusal = (status: number, code: string, message: string): GenerationError => ({
@@ -79,6 +79,6 @@
   failed: ({ error }) => error,
 };
 
-/** Converts an error into what the caller is told, by table. */
+/** Converts a caller error to the status, code and message of the answer. */
 export const convertErrorToAnswer = (error: CallerError): GenerationError =>
   (HANDLERS[error.kind] as (value: CallerError) => GenerationError)(error);
--- a/src/adapters/http/_lib/createCallerReply/index.ts
+++ b/src/adapters/http/_lib/createCallerReply/index.ts
@@ -2,7 +2,7 @@
 import type { AnswerHead } from '../../../../domain/forwarding';
 import type { CallerReply, Refusal, RefusalKind } from '../../../../application/forwarding';
 
-/** Status of each of this process's own answers. */
+/** HTTP status of each kind of refusal by this process. */
 const STATUS_BY_REFUSAL: Readonly<Record<RefusalKind, number>> = {
   'not-run': 503,
   'unknown-route': 404,
@@ -13,16 +13,16 @@
 
 const MS_PER_S = 1000;
 
-/** Answers that have no body, and so no length. */
+/** Statuses whose answers have neither a body nor a `content-length`. */
 const STATUSES_WITHOUT_BODY: ReadonlySet<number> = new Set([204, 304]);
 
-/** What a reply works with. */
+/** Options of a caller's reply. */
 export interface CallerReplyOptions {
-  /** Whether the connection is to be closed after this answer. */
+  /** Whether the connection is closed after this answer. */
   readonly isClosing: () => boolean;
 }
 
-/** Creates the reply to one request of Node's HTTP server. */
+/** Creates the reply to one request, on top of a response of Node's HTTP server. */
 export const createCallerReply = (
   response: ServerResponse,
   { isClosing }: CallerReplyOptions,
@@ -38,8 +38,8 @@
     response.writeHead(status, [...headers]);
   };
 
-  // A server's answer that ends with its connection is handed on as such: with a length, or in
-  // chunks, one that was cut short would look whole.
+  // An answer that the server ends by closing its connection is forwarded in the same way: with a
+  // content length or chunked encoding, a truncated answer would look complete.
   const writeAnswerHead = (head: AnswerHead, framing: readonly string[]): void => {
     if (!head.isFramed) {
       response.shouldKeepAlive = false;
--- a/src/adapters/http/_lib/handleService/index.ts
+++ b/src/adapters/http/_lib/handleService/index.ts
@@ -12,7 +12,7 @@
 import { sendError } from '../sendError';
 import { endWorkOnClose, watchResponse, startStallTimeout } from '../watchResponse';
 
-/** Headers of one connection, RFC 9110 7.6.1, and those that the entry sets or keeps to itself. */
+/** Hop-by-hop headers (RFC 9110, 7.6.1), and headers that the entry sets or does not forward. */
 const DROPPED_REQUEST_HEADERS: readonly string[] = [
   'authorization',
   'connection',
@@ -32,7 +32,7 @@
   'upgrade',
 ];
 
-/** Headers of an answer that belong to the connection to the service. */
+/** Hop-by-hop headers of an answer, and headers that the entry sets. */
 const DROPPED_ANSWER_HEADERS: readonly string[] = [
   'connection',
   'jackdaw-request-id',
@@ -44,7 +44,7 @@
 ];
 
 const convertHeaders = (headers: IncomingHttpHeaders): Record<string, string> => {
-  // A header named in `Connection` is for this connection too.
+  // Headers listed in `Connection` are hop-by-hop too.
   const connectionHeaders = (headers.connection ?? '')
     .split(',')
     .map((name) => name.trim().toLowerCase());
@@ -57,7 +57,7 @@
   );
 };
 
-/** Path below the service, with the query, as the caller sent it. */
+/** Reads the path below the service, with the query, as the caller sent it. */
 const readServicePath = (context: CallerContext): string => {
   const url = context.env.incoming.url ?? '/';
   const rest = /^\/services\/[^/?]+(.*)$/.exec(url)?.[1] ?? '';
@@ -78,7 +78,8 @@
     'Jackdaw-Run-State': runState,
   });
   startStallTimeout(outgoing);
-  // An answer that breaks off destroys the connection: a caller must not take it for a whole one.
+  // If the answer breaks off, `pipeline` destroys the connection, so that the caller does not take
+  // a truncated answer for a complete one.
   await pipeline(Readable.from(response.body, { objectMode: false }), outgoing).catch(
     () => undefined,
   );
@@ -126,7 +127,10 @@
   return RESPONSE_ALREADY_SENT;
 };
 
-/** Handles any method on `/services/{service}/*`. A shutdown waits for it: it has no cursor. */
+/**
+ * Handles any method on `/services/{service}/*`. A shutdown waits for the call to end, since a call
+ * has no cursor to resume with.
+ */
 export const handleService = async (
   context: CallerContext,
   dependencies: CallerDependencies,
--- a/src/adapters/http/_lib/runDelivery/index.ts
+++ b/src/adapters/http/_lib/runDelivery/index.ts
@@ -7,27 +7,27 @@
 import { sendJsonAnswer } from '../sendJsonAnswer';
 import { endWorkOnClose, watchResponse } from '../watchResponse';
 
-/** What is to be delivered. */
+/** Source of a delivery: the generation's feed and how its answer is sent. */
 export interface DeliverySource {
   readonly openFeed: (signal: AbortSignal) => Promise<Result<GenerationFeed, GenerationError>>;
-  /** The answer's shape but for its id, which the feed gives. */
+  /** Properties of the answer; the feed adds the id, and the delivery the creation time. */
   readonly shape: Omit<AnswerShape, 'createdS' | 'generationId'>;
   readonly stream: boolean;
-  /** False: coming back without a cursor must not start the work again. */
+  /** If false, a retry without a cursor must not start the work again. */
   readonly idempotent: boolean;
-  /** What a refusal by this entry says of the generation. */
+  /** Run state reported if this entry refuses the request. */
   readonly runStateIfRefused: RunState;
 }
 
 const HAND_OVER_ERROR: GenerationError = {
   code: 'handed_over',
-  message: 'This entry is shutting down; go on at another one with the last cursor.',
+  message: 'This entry is shutting down; resume at another entry with the last cursor.',
   status: 503,
   runState: RunState.Ran,
   retryAfterMs: 1,
 };
 
-/** Builds a promise of a signal's abort, so that each wait needs no listener of its own. */
+/** Builds a promise that resolves on a signal's abort, so that waits share a single listener. */
 const buildAbortPromise = (signal: AbortSignal): Promise<void> =>
   new Promise((resolve) => {
     if (signal.aborted) resolve();
@@ -35,9 +35,10 @@
   });
 
 /**
- * Opens a generation's feed and delivers it to the caller, streamed or whole.
+ * Opens a generation's feed and delivers it to the caller, as a stream or as one JSON answer.
  *
- * A caller that goes away detaches: the generation runs on, and it can come back with its cursor.
+ * A caller that disconnects is detached: the generation continues, and the caller can resume with
+ * its cursor.
  */
 export const runDelivery = async (
   context: CallerContext,
--- a/src/adapters/http/_lib/sendError/index.ts
+++ b/src/adapters/http/_lib/sendError/index.ts
@@ -5,7 +5,7 @@
 
 const MS_PER_S = 1000;
 
-/** How a generation that breaks off without a reason is reported: never as a finished answer. */
+/** Error of a stream that ends before its generation; must never look like a finished answer. */
 export const STREAM_INCOMPLETE_ERROR: GenerationError = {
   code: 'stream_incomplete',
   message: 'The stream ended before the generation did.',
@@ -14,10 +14,10 @@
   retryAfterMs: 0,
 };
 
-/** OpenAI's `type` by the hundred of the status. */
+/** OpenAI's `type` by status class (the first digit of the status). */
 const TYPE_BY_STATUS_CLASS: Readonly<Record<number, string>> = { 4: 'invalid_request_error' };
 
-/** Builds the OpenAI-shaped body of an error. */
+/** Builds the body of an error in OpenAI's format. */
 export const buildErrorBody = (error: GenerationError, requestId: string) => ({
   error: {
     message: error.message,
@@ -30,11 +30,11 @@
   },
 });
 
-/** What differs from an error's usual answer. */
+/** Overrides of an error's default answer. */
 export interface ErrorAnswerOptions {
-  /** Further members of the body, for example the cursor of a hand-over. */
+  /** Additional fields of the body, for example the cursor of a hand-over. */
   readonly extra?: Readonly<Record<string, unknown>>;
-  /** What is known of the work that the request is about, if it is not the request's own. */
+  /** Run state of the work that the request refers to, if that differs from the error's own. */
   readonly runState?: RunState;
 }
 
@@ -49,13 +49,13 @@
 };
 
 /**
- * Answers with an error.
+ * Sends an error to the caller.
  *
- * OpenAI's clients repeat a 409, 429 or 5xx by themselves unless `x-should-retry` says otherwise.
- * Without it such a client would repeat a call that may have run, so it is sent with each error:
- * `true` only where the error itself asks to come back.
+ * OpenAI's clients retry a 409, 429 or 5xx unless `x-should-retry` says otherwise, and would so
+ * repeat a call that may have run. Each error therefore carries the header, with `true` only if the
+ * error has a retry delay.
  *
- * @param options - what differs from the error's usual answer
+ * @param options - overrides of the error's default answer
  */
 export const sendError = (
   context: CallerContext,
--- a/src/adapters/http/_lib/sendEventStream/index.ts
+++ b/src/adapters/http/_lib/sendEventStream/index.ts
@@ -8,12 +8,12 @@
 import { startStallTimeout } from '../watchResponse';
 
 /**
- * How long an answer's status waits for the first token, so that an early failure has a status of
- * its own. Later the headers go out, and a failure becomes an event.
+ * Wait for the first event before the headers are sent: a failure within this time is sent with its
+ * own HTTP status, a later one as an event of the stream.
  */
 const FIRST_EVENT_WAIT_MS = 2000;
 
-/** Silence after which a comment is sent: a client with an idle limit sees that the entry lives. */
+/** Silence after which a comment is sent, so that a client's idle timeout does not expire. */
 const HEARTBEAT_INTERVAL_MS = 5000;
 
 const writeHead = (context: CallerContext, delivery: Delivery, runState: RunState): void => {
@@ -32,7 +32,7 @@
   context.env.outgoing.end(`event: error\ndata: ${body}\n\n`);
 };
 
-/** Resolves when the response takes more, or never will. */
+/** Resolves when the response accepts more data or has closed. */
 const waitForDrain = (outgoing: ServerResponse): Promise<void> =>
   new Promise((resolve) => {
     const finish = (): void => {
@@ -46,7 +46,7 @@
 
 type Step = IteratorResult<GenerationEvent>;
 
-/** Gives the first event if it comes soon, else null. */
+/** Waits for the first event; null after `FIRST_EVENT_WAIT_MS` or if the delivery stops. */
 const waitForFirstEvent = (first: Promise<Step>, clock: Clock, stop: Promise<void>) =>
   new Promise<Step | null>((resolve, reject) => {
     const cancelTimer = clock.startTimer(FIRST_EVENT_WAIT_MS, () => resolve(null));
@@ -58,13 +58,13 @@
     stop.then(() => finish(null));
   });
 
-/** Starts to write a comment after each silence; the returned function stops it. */
+/** Starts writing a comment after each silent interval; the returned function stops it. */
 const startHeartbeat = (outgoing: ServerResponse, clock: Clock): (() => void) => {
   let written = 0;
   let cancelTimer: () => void = () => undefined;
   const sendHeartbeat = (): void => {
     const now = outgoing.socket?.bytesWritten ?? 0;
-    // A caller that does not read gets no more: comments would only pile up behind the tokens.
+    // A caller that does not read gets no comment: comments would pile up behind the tokens.
     if (now === written && !outgoing.writableNeedDrain) outgoing.write(':\n\n');
     written = outgoing.socket?.bytesWritten ?? 0;
     cancelTimer = clock.startTimer(HEARTBEAT_INTERVAL_MS, sendHeartbeat);
@@ -73,7 +73,7 @@
   return () => cancelTimer();
 };
 
-/** Writes event after event, as fast as the caller reads. */
+/** Writes the events one by one, as fast as the caller reads. */
 const sendEvents = async (
   context: CallerContext,
   { clock, cursors, metrics }: CallerDependencies,
--- a/src/adapters/http/_lib/watchResponse/index.ts
+++ b/src/adapters/http/_lib/watchResponse/index.ts
@@ -1,24 +1,24 @@
 import type { ServerResponse } from 'node:http';
 import type { Work } from '../../../../application/shutdown';
 
-/** Time for which a caller may take nothing of an answer that is being sent. */
+/** Longest time in which a caller may read nothing of an answer that is being sent. */
 const STALL_TIMEOUT_MS = 60_000;
 
 /**
- * Gives up a caller that takes nothing for a minute: its connection would hold the answer in
- * memory for ever. The generation goes on, and the caller can come back with its cursor.
+ * Closes the connection of a caller that reads nothing for a minute: its answer would otherwise
+ * stay in memory forever. The generation continues, and the caller can resume with its cursor.
  */
 export const startStallTimeout = (outgoing: ServerResponse): void => {
   outgoing.setTimeout(STALL_TIMEOUT_MS, () => outgoing.destroy());
 };
 
-/** Tells whether the caller of one request is still there. */
+/** Watch on whether the caller of one request is still connected. */
 export interface ResponseWatch {
-  /** Aborts when the caller has closed the connection before the answer's end. */
+  /** Aborts when the caller closes the connection before the answer's end. */
   readonly signal: AbortSignal;
 }
 
-/** Starts to watch a response for its caller going away. */
+/** Starts watching for the caller of a response to disconnect. */
 export const watchResponse = (outgoing: ServerResponse): ResponseWatch => {
   const controller = new AbortController();
   outgoing.once('close', () => {
@@ -28,10 +28,10 @@
 };
 
 /**
- * Ends a piece of work when its answer has left, or its caller has gone.
+ * Ends a piece of work when its response closes: its answer was sent, or its caller disconnected.
  *
- * An answer that was handed to the socket may still wait there for a slow caller; a process that
- * took the work as ended would cut it off.
+ * An answer that was written to the socket may still be buffered there for a slow caller. If the
+ * work ended earlier, a shutdown would truncate that answer.
  */
 export const endWorkOnClose = (outgoing: ServerResponse, work: Work): void => {
   if (outgoing.closed) {
--- a/src/adapters/http/types/CallerDependencies.ts
+++ b/src/adapters/http/types/CallerDependencies.ts
@@ -19,11 +19,11 @@
   verify(text: string): Result<Cursor, CursorError>;
 }
 
-/** What the callers' interface needs. */
+/** Dependencies of the callers' API. */
 export interface CallerDependencies {
   readonly configuration: ConfigurationView;
   readonly generations: Pick<Generations, 'startGeneration' | 'resumeGeneration'>;
-  /** Cancels a generation wherever it runs; false if no VM runs it. */
+  /** Cancels a generation on whichever VM runs it; false if none does. */
   readonly cancelGeneration: (generation: CancelledGeneration) => Promise<boolean>;
   readonly services: PlainServices;
   readonly cursors: CursorSigner;
@@ -32,6 +32,6 @@
   readonly clock: Clock;
   readonly randomness: Randomness;
   readonly log: EventLog;
-  /** True: this VM may hold an outdated configuration and takes no new work. */
+  /** Whether this VM's configuration may be outdated, so that it accepts no new work. */
   readonly isCutOff: () => boolean;
 }
--- a/src/adapters/log/createDecisionLog/index.ts
+++ b/src/adapters/log/createDecisionLog/index.ts
@@ -3,22 +3,25 @@
 import type { RoutingDecision } from '../../../domain/types';
 import type { LineLogger } from '../createEventLog';
 
-/** What a decision log needs. */
+/** Dependencies of the decision log. */
 export interface DecisionLogDependencies {
   readonly logger: LineLogger;
   /** Called for each decision, for the metrics. */
   readonly onDecision?: (kind: RoutingDecision['kind']) => void;
 }
 
-/** Bounds of a decision log. */
+/** Options of the decision log. */
 export interface DecisionLogOptions {
-  /** Decisions kept for `explain`; the oldest go first. Default 5000, about 3 MB. */
+  /** Number of newest decisions kept for `explain`. Default 5000, about 3 MB. */
   readonly capacity?: number;
 }
 
 const DEFAULT_CAPACITY = 5000;
 
-/** Creates the log of routing and placement decisions: one JSON line each, the newest kept. */
+/**
+ * Creates the log of routing and placement decisions. Each decision is logged as one JSON line, and
+ * the newest decisions are kept in memory.
+ */
 export const createDecisionLog = (
   { logger, onDecision }: DecisionLogDependencies,
   options: DecisionLogOptions = {},
--- a/src/adapters/objects/createS3ObjectStore/index.ts
+++ b/src/adapters/objects/createS3ObjectStore/index.ts
@@ -7,12 +7,12 @@
   type PlatformSettings,
 } from '../../platform-http';
 
-/** Settings of the object store's client. */
+/** Settings of the object store client. */
 export interface S3ObjectSettings extends PlatformSettings {
   readonly bucket: string;
 }
 
-/** Statuses that say that the request had no effect, by S3's list of error codes. */
+/** Statuses after which, by S3's list of error codes, the request had no effect. */
 const RETRYABLE_STATUSES: ReadonlySet<number> = new Set([429, 503]);
 
 const CONFLICT_STATUSES: ReadonlySet<number> = new Set([409, 412]);
@@ -29,7 +29,7 @@
 const checkStatus = (status: number, write: boolean): Result<void, StoreError> =>
   status >= 200 && status < 300 ? ok(undefined) : err(convertObjectError(status, write));
 
-/** Creates a client of an object store that speaks the S3 protocol, with path-style addresses. */
+/** Creates a client of an object store with the S3 protocol and path-style URLs. */
 export function createS3ObjectStore(
   settings: S3ObjectSettings,
   dependencies: PlatformDependencies,
--- a/src/adapters/toml/_lib/configurationSchema/index.ts
+++ b/src/adapters/toml/_lib/configurationSchema/index.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_LIMITS } from '../../../../domain/configuration';
 import { ServiceKind, SurvivalMode, WorkClass } from '../../../../domain/types';
 
-/** Longest name, so that names fit into log lines and table keys. */
+/** Limit on names, so that they fit into log lines and table keys. */
 const MAX_NAME_CHARACTERS = 64;
 
 const nameSchema = z
@@ -21,7 +21,7 @@
   .string()
   .regex(/^[0-9a-f]{64}$/, 'must be a SHA-256 digest: 64 lower-case hex characters');
 
-/** Only plain base URLs by IP number: the data path does no name resolution. */
+/** Accepts only base URLs with an IP address: the data path does no name resolution. */
 function isBaseUrl(text: string): boolean {
   const match = /^https?:\/\/(\[[^\]/]+\]|[^:/[\]]+)(?::(\d{1,5}))?$/.exec(text);
   if (match === null) {
@@ -107,5 +107,5 @@
   limits: limitsSchema.prefault({}),
 });
 
-/** A configuration folder as written, checked value by value. */
+/** A configuration folder as written, with each value validated by itself. */
 export type ConfigurationDocument = z.output<typeof configurationSchema>;
