--- a/src/application/forwarding/_lib/chooseStreamPlacement/test.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/test.ts
@@ -31,7 +31,7 @@
           asked.push(id);
           return buildServerReport({});
         },
-        readHeldParts: async ({ id }: { readonly id: string }) =>
+        readCachedPromptParts: async ({ id }: { readonly id: string }) =>
           new Map(id === holder ? [['p', 7900]] : []),
       },
     },
@@ -45,7 +45,7 @@
       },
       route: { latencyGoalMs: 4500 },
     },
-    paces: { readEnginePaces: () => ({ readingMsPerToken: 0.125, runMs: 6000 }) },
+    paces: { readEnginePaces: () => ({ prefillMsPerToken: 0.125, runMs: 6000 }) },
     copy: null,
     readState: () => ({ offset }),
   } as unknown as StreamRun;
