--- a/src/application/forwarding/_lib/replaceCopy/index.ts
+++ b/src/application/forwarding/_lib/replaceCopy/index.ts
@@ -8,7 +8,7 @@
     address: backup.address,
     handle: run.context.request.requestId,
     holders: [backup.id],
-    hasBegun: false,
+    hasData: false,
     release: run.dependencies.directory.addCopy(backup.id),
   };
   Object.assign(run, { copy });
