--- a/src/programs/gateway/_lib/wireCrashes/index.ts
+++ b/src/programs/gateway/_lib/wireCrashes/index.ts
@@ -48,7 +48,7 @@
     clock,
     log,
     hasAnsweredSince: directory.hasAnsweredSince,
-    publishOutcome: publishOutcome,
+    publishOutcome,
     handleQuarantine: (fingerprint) => writeQuarantine(fingerprint),
   });
   const quarantineRows = createQuarantineRows({
--- a/src/programs/gateway/_lib/wireLimits/index.ts
+++ b/src/programs/gateway/_lib/wireLimits/index.ts
@@ -39,7 +39,7 @@
   self,
   publishLimit,
 }: LimitPartsDependencies): LimitParts => {
-  const limits = createServerLimits({ clock, log, publishLimit: publishLimit });
+  const limits = createServerLimits({ clock, log, publishLimit });
   const owner = createLimitOwner({ clock, limits, randomness });
   const permits = createPermitClient({
     self,
