--- a/src/adapters/http/_lib/handleGeneration/index.ts
+++ b/src/adapters/http/_lib/handleGeneration/index.ts
@@ -19,7 +19,7 @@
 import { runDelivery, type DeliverySource } from '../runDelivery';
 import { sendError } from '../sendError';
 
-/** Checks a body and the headers, and builds the request that the caller may run. */
+/** Validates body, headers and access to the service, and builds the generation request. */
 export const checkGenerationRequest = (
   context: CallerContext,
   caller: Caller,
@@ -47,8 +47,8 @@
   );
 };
 
-/** Builds the shape of the answer to a request. */
-export const buildShape = (request: GenerationRequest): DeliverySource['shape'] => {
+/** Builds the properties that all chunks of the answer to a request share. */
+export const buildAnswerShape = (request: GenerationRequest): DeliverySource['shape'] => {
   const options = request.body.stream_options as { include_usage?: boolean } | null | undefined;
   return {
     endpoint: request.endpoint,
@@ -74,7 +74,7 @@
   if (request.isErr()) return sendError(context, request.error);
   return runDelivery(context, dependencies, {
     openFeed: (signal) => dependencies.generations.startGeneration(request.value, signal),
-    shape: buildShape(request.value),
+    shape: buildAnswerShape(request.value),
     stream: request.value.stream,
     idempotent: request.value.idempotent,
     runStateIfRefused: RunState.NotRun,
--- a/src/adapters/log/createLineQueue/test.ts
+++ b/src/adapters/log/createLineQueue/test.ts
@@ -1,15 +1,14 @@
 import test from 'ava';
 import { createLineQueue } from '.';
 
-// Symptom: every request of a VM stands still.
-// Sequence: whoever reads standard output stops reading.
-// Cause: the process waits for room in the pipe before it goes on.
-test('a blocked output holds nobody: lines wait up to a bound, then are dropped and counted', async (t) => {
+// Guards against a VM whose requests all stall: the reader of standard output stops reading, and
+// the process blocks on a write to the full pipe.
+test('with a blocked output, lines are queued up to the limit, then dropped and counted', async (t) => {
   const written: string[] = [];
   let release = (): void => undefined;
   const queue = createLineQueue({
     maxCharacters: 10,
-    buildDropLine: (dropped) => `dropped ${dropped}\n`,
+    formatDropNotice: (dropped) => `dropped ${dropped}\n`,
     write: (text, done) => {
       written.push(text);
       release = done;
@@ -21,25 +20,25 @@
   });
   t.deepEqual(written, ['first\n']);
   ['aaaa', 'bbbb', 'cccc', 'dddd'].forEach(queue.push);
-  t.is(queue.countDropped(), 2);
+  t.is(queue.countDroppedLines(), 2);
   release();
   t.deepEqual(written, ['first\n', 'aaaa\nbbbb\ndropped 2\n']);
   release();
-  await queue.waitForEmpty();
+  await queue.waitUntilEmpty();
   t.is(written.length, 2);
 });
 
-test('lines of one turn are written together, in order', async (t) => {
+test('lines of one event loop turn are written together, in order', async (t) => {
   const written: string[] = [];
   const queue = createLineQueue({
     maxCharacters: 100,
-    buildDropLine: () => '',
+    formatDropNotice: () => '',
     write: (text, done) => {
       written.push(text);
       done();
     },
   });
   ['a', 'b', 'c'].forEach(queue.push);
-  await queue.waitForEmpty();
+  await queue.waitUntilEmpty();
   t.deepEqual(written, ['a\nb\nc\n']);
 });
--- a/src/application/claims/createClaims/index.ts
+++ b/src/application/claims/createClaims/index.ts
@@ -1,14 +1,14 @@
 import { err, ok, type Result } from 'neverthrow';
 import {
   buildClaim,
-  buildSuccessor,
+  buildTakeoverClaim,
   chooseAcquireStep,
-  chooseTakeOverStep,
+  chooseTakeoverStep,
   chooseUpdateStep,
   decodeAnswer,
   encodeAnswer,
   type ClaimChange,
-  type ClaimSeed,
+  type Claimant,
   type ClaimStep,
 } from '../../../domain/claim';
 import { ClaimState, type ClaimRow } from '../../../domain/types';
@@ -17,39 +17,39 @@
 import { createAbandonedClaims } from '../_lib/createAbandonedClaims';
 import { createClaimTable } from '../_lib/createClaimTable';
 import { createUpdateQueue } from '../_lib/createUpdateQueue';
-import { runClaimSteps, type ClaimEnd } from '../_lib/runClaimSteps';
+import { runClaimSteps, type FinalClaimStep } from '../_lib/runClaimSteps';
 
-/** What the claims need. */
+/** Dependencies of the claims. */
 export interface ClaimsDependencies {
   readonly tableStore: TableStore;
   readonly objectStore: ObjectStore;
   readonly clock: Clock;
   readonly randomness: Randomness;
-  /** This VM, as rows name it. */
+  /** Name of this VM in the rows. */
   readonly vm: string;
   readonly peerAddress: string;
-  /** How long finished answers are kept, milliseconds; from the configuration in force. */
+  /** How long finished answers are kept, in milliseconds; from the current configuration. */
   readonly readAnswerTtlMs: () => number;
 }
 
 const CLAIM_ID_BYTES = 16;
 
-/** Leaves room for thousands of successors within safe integers. */
+/** Small enough that revisions stay safe integers over thousands of takeovers. */
 const REVISION_BYTES = 4;
 
-/** The claim id keeps a paused holder's late answer apart from its successor's. */
+/** The claim id separates the late answer of a paused holder from that of the VM that took over. */
 const buildAnswerKey = (row: ClaimRow): string =>
   `answers/${row.workspace}/${row.keyDigest}/${row.claimId}`;
 
-const convertEnd = (end: ClaimEnd): Result<ClaimRow, ClaimError> =>
-  end.kind === 'done' ? ok(end.row) : err({ kind: 'lost', row: end.row });
+const convertFinalStep = (step: FinalClaimStep): Result<ClaimRow, ClaimError> =>
+  step.kind === 'done' ? ok(step.row) : err({ kind: 'lost', row: step.row });
 
-/** Creates the claims of this VM over the platform's table and object store. */
+/** Creates the claims of this VM on top of the table store and the object store. */
 export function createClaims(dependencies: ClaimsDependencies): Claims {
   const { objectStore, clock, randomness, vm, peerAddress } = dependencies;
   const table = createClaimTable(dependencies);
   const abandoned = createAbandonedClaims(table, clock);
-  const buildSeed = (): ClaimSeed => ({
+  const buildClaimant = (): Claimant => ({
     claimId: randomness.readHex(CLAIM_ID_BYTES),
     vm,
     peerAddress,
@@ -61,16 +61,16 @@
     row: ClaimRow,
     change: ClaimChange,
   ): Promise<Result<ClaimRow, ClaimError>> => {
-    const ended = await runClaimSteps(table, clock, {
+    const result = await runClaimSteps(table, clock, {
       row: { ...row, ...change, revision: row.revision + 1 },
       expectedRevision: row.revision,
       chooseStep: (sent, reply) => chooseUpdateStep(sent, change, reply),
     });
-    return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertEnd);
+    return result.mapErr(({ error }) => convertStoreError(error)).andThen(convertFinalStep);
   };
   const updates = createUpdateQueue(writeChange);
 
-  /** Nothing was sent under an abandoned claim of this VM, so a new one may take its place. */
+  /** Nothing was sent under an abandoned claim of this VM, so a new claim may replace it. */
   const replaceAbandoned = (step: ClaimStep, sent: ClaimRow): ClaimStep =>
     step.kind === 'lost' && step.row !== null && abandoned.has(step.row)
       ? {
@@ -82,20 +82,21 @@
 
   return {
     acquireClaim: async (request) => {
-      const row = buildClaim(request, buildSeed());
-      const ended = await runClaimSteps(table, clock, {
+      const row = buildClaim(request, buildClaimant());
+      const result = await runClaimSteps(table, clock, {
         row,
         expectedRevision: null,
         chooseStep: (sent, reply) =>
           replaceAbandoned(chooseAcquireStep(sent, reply, readNowS()), sent),
       });
-      if (ended.isErr()) {
-        // An idempotent generation runs without its claim; a late row leads its repeats to it.
-        if (ended.error.pendingWrite && !request.idempotent) abandoned.add(row);
-        return err(convertStoreError(ended.error.error));
+      if (result.isErr()) {
+        // An idempotent generation runs without its claim. If the row appears later, it leads
+        // repeats of the request to the generation, so the row must stay.
+        if (result.error.pendingWrite && !request.idempotent) abandoned.add(row);
+        return err(convertStoreError(result.error.error));
       }
       abandoned.removeStale();
-      const { kind, row: current } = ended.value;
+      const { kind, row: current } = result.value;
       if (kind === 'done') return ok({ kind: 'granted', row: current });
       return current === null
         ? err({ kind: 'lost', row: null })
@@ -108,19 +109,19 @@
     },
 
     takeOverClaim: async (seen) => {
-      const row = buildSuccessor(seen, buildSeed());
-      const ended = await runClaimSteps(table, clock, {
+      const row = buildTakeoverClaim(seen, buildClaimant());
+      const result = await runClaimSteps(table, clock, {
         row,
         expectedRevision: seen.revision,
-        chooseStep: (sent, reply) => chooseTakeOverStep(seen, sent, reply),
+        chooseStep: (sent, reply) => chooseTakeoverStep(seen, sent, reply),
       });
-      return ended.mapErr(({ error }) => convertStoreError(error)).andThen(convertEnd);
+      return result.mapErr(({ error }) => convertStoreError(error)).andThen(convertFinalStep);
     },
 
     updateClaim: (row, change) => updates.add(row, change),
 
     writeAnswer: async (row, answer) => {
-      // The object first: a row that says finished always has its answer.
+      // The object is written first, so that every finished row has its answer.
       const written = await objectStore.writeObject(buildAnswerKey(row), encodeAnswer(answer), {
         onlyIfAbsent: false,
       });
--- a/src/application/forwarding/_lib/createServerRecords/index.ts
+++ b/src/application/forwarding/_lib/createServerRecords/index.ts
@@ -1,44 +1,44 @@
 import type { Result } from 'neverthrow';
 import { compareIncarnations, type ServerEntry } from '../../../../domain/forwarding';
 import type { Clock, EventLog, SharedRow } from '../../../ports';
-import type { RowsInfo } from '../../../rows';
-import { createGoneEntries } from '../createGoneEntries';
+import type { RowsOrigin } from '../../../rows';
+import { createEntryTombstones } from '../createEntryTombstones';
 import { createIncarnationSet } from '../createIncarnationSet';
 import { buildServerRecord, type ServerRecord } from '../buildServerRecord';
 
-/** What records of servers need. */
+/** Dependencies of the server records. */
 export interface ServerRecordsDependencies {
   readonly decode: (id: string, value: Buffer) => Result<ServerEntry, string>;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Called with the id of a server that is gone, or that started again. */
+  /** Called with the id of a server that is gone or that was restarted. */
   readonly handleGone: (id: string) => void;
 }
 
-/** Knows which servers there are, and tells one start of a server from the next. */
+/** Keeps a record of each known server, and distinguishes its incarnations. */
 export interface ServerRecords {
   find(id: string): ServerRecord | undefined;
   list(): readonly ServerRecord[];
-  applyRows(rows: readonly SharedRow[], info: RowsInfo): void;
-  /** Ends a server that surely is not there any more: what runs there is lost. */
-  end(id: string): void;
-  /** Forgets a server of which nothing is known to say that it ended. */
-  drop(id: string): void;
-  /** Adds a server that has no entry yet; false if it is known, or has ended. */
+  applyRows(rows: readonly SharedRow[], info: RowsOrigin): void;
+  /** Marks a server as surely ended: its runs are lost. */
+  endServer(id: string): void;
+  /** Forgets a server without concluding that it ended. */
+  forgetServer(id: string): void;
+  /** Adds a server that has no entry yet; returns false if it is known or has ended. */
   addInferred(entry: ServerEntry, source: string): boolean;
-  /** The server said in an answer that it takes no new work. */
+  /** Records that a server announced in a response that it accepts no new work. */
   recordLeaving(id: string): void;
-  /** The server said when it was born; null if it did not. */
-  recordBorn(id: string, bornMs: number | null): void;
+  /** Records the start time that a server stated; null if it stated none. */
+  recordStartTime(id: string, bornMs: number | null): void;
 }
 
 /**
- * Entries that lapsed while the store was down are back within two seconds of its return; until a
- * little later, a missing one is not taken for gone.
+ * Grace period for missing entries after a store outage. Entries that expired while the store was
+ * down are written again within two seconds of its return.
  */
-const LAPSED_HOLD_MS = 2200;
+const LAPSED_ENTRY_GRACE_MS = 2200;
 
-/** Creates the records of the backend servers; there are none. */
+/** Creates the server records, with no servers yet. */
 export const createServerRecords = ({
   clock,
   decode,
@@ -46,50 +46,53 @@
   log,
 }: ServerRecordsDependencies): ServerRecords => {
   const records = new Map<string, ServerRecord>();
-  /** Servers that surely ended: late entries do not bring them back. */
-  const ended = createIncarnationSet();
-  /** Servers whose entries went: a copy of the store does not bring them back. */
-  const gone = createGoneEntries();
-  /** Servers that said in an answer that they leave: entries that were written before do not count. */
-  const leaving = createIncarnationSet();
-
-  const dropGone = (id: string, record: ServerRecord): void => {
+  /** Incarnations that surely ended: late entries do not restore them. */
+  const endedIncarnations = createIncarnationSet();
+  /** Removed entries: a restored copy of the store does not bring them back. */
+  const tombstones = createEntryTombstones();
+  /**
+   * Incarnations that announced their leaving in a response; entries written before are overridden.
+   */
+  const leavingIncarnations = createIncarnationSet();
+
+  const removeIfGone = (id: string, record: ServerRecord): void => {
     if (records.get(id) !== record || record.goneAtMs > clock.readMonotonicMs()) return;
     records.delete(id);
-    gone.add(record.entry);
+    tombstones.add(record.entry);
     log.info('server gone', { server: id, service: record.entry.service });
     handleGone(id);
   };
 
-  /** From now on the server is gone, unless it is already. */
+  /** Marks a server as gone from now on, unless it is already. */
   const removeRecord = (id: string, record: ServerRecord): void => {
     Object.assign(record, { goneAtMs: Math.min(record.goneAtMs, clock.readMonotonicMs()) });
-    dropGone(id, record);
+    removeIfGone(id, record);
   };
 
-  /** Ends a server that surely is not there any more: what runs there is lost. */
-  const endRecord = (id: string, record: ServerRecord): void => {
-    ended.add(record.entry);
+  /** Marks the incarnation as surely ended: its runs are lost. */
+  const endIncarnation = (id: string, record: ServerRecord): void => {
+    endedIncarnations.add(record.entry);
     removeRecord(id, record);
-    [...record.voidHandlers].forEach((handleVoid) => handleVoid());
+    [...record.lossHandlers].forEach((handleLoss) => handleLoss());
   };
 
-  const removeEntry = (id: string, info: RowsInfo): void => {
+  const handleEntryRemoved = (id: string, info: RowsOrigin): void => {
     const record = records.get(id);
     if (!record || record.goneAtMs !== Infinity) return;
     const nowMs = clock.readMonotonicMs();
-    const endedAtMs = info.outageEndedAtMs;
-    const holdMs = endedAtMs === null ? 0 : Math.max(0, endedAtMs + LAPSED_HOLD_MS - nowMs);
+    const storeBackAtMs = info.outageEndedAtMs;
+    const holdMs =
+      storeBackAtMs === null ? 0 : Math.max(0, storeBackAtMs + LAPSED_ENTRY_GRACE_MS - nowMs);
     record.goneAtMs = nowMs + holdMs;
     if (holdMs > 0) log.info('server entry lapsed in an outage', { server: id, holdMs });
-    if (holdMs === 0) dropGone(id, record);
-    else clock.startTimer(holdMs + 1, () => dropGone(id, record));
+    if (holdMs === 0) removeIfGone(id, record);
+    else clock.startTimer(holdMs + 1, () => removeIfGone(id, record));
   };
 
   /**
-   * A server that starts at the address of another one proves that the other has ended. That is an
-   * entry's word only, which another writer may have written: the other one's runs go on, and its next
-   * entry brings it back.
+   * Adds a record. Any other server with the same address counts as gone. Its runs continue and its
+   * next entry restores it, because the new entry is weak evidence: another writer may have written
+   * it.
    */
   const addRecord = (entry: ServerEntry): ServerRecord => {
     const record = buildServerRecord(entry);
@@ -100,46 +103,49 @@
     return record;
   };
 
-  /** The server started again under its id: all that was believed of the one before is void. */
-  const restartRecord = (before: ServerRecord, entry: ServerEntry): void => {
+  /** Replaces the record of a server that restarted under its id; its previous state is void. */
+  const replaceRecord = (previous: ServerRecord, entry: ServerEntry): void => {
     log.warn('server born anew', {
       server: entry.id,
       bornMs: entry.bornMs ?? 0,
-      before: before.entry.bornMs ?? 0,
-      running: before.running,
+      before: previous.entry.bornMs ?? 0,
+      running: previous.running,
     });
     records.set(entry.id, buildServerRecord(entry));
     handleGone(entry.id);
-    [...before.voidHandlers].forEach((handleVoid) => handleVoid());
+    [...previous.lossHandlers].forEach((handleLoss) => handleLoss());
   };
 
   const markLeaving = (entry: ServerEntry): ServerEntry =>
-    leaving.has(entry) ? { ...entry, isLeaving: true } : entry;
+    leavingIncarnations.has(entry) ? { ...entry, isLeaving: true } : entry;
 
-  /** True: a copy of the store holds less of the server than is known here. */
-  const isSuperseded = (entry: ServerEntry): boolean => {
+  /** True if a restored copy of the store has an older state of the server than this VM. */
+  const isStaleEntry = (entry: ServerEntry): boolean => {
     const known = records.get(entry.id);
-    if (!known) return gone.has(entry);
+    if (!known) return tombstones.has(entry);
     return known.entry.isLeaving && !entry.isLeaving && entry.sequence <= known.entry.sequence;
   };
 
-  const applyEntry = (read: ServerEntry, { isRestored }: RowsInfo): void => {
-    if (isRestored && isSuperseded(read)) {
-      log.info('server entry of a copy ignored', { server: read.id, sequence: read.sequence });
+  const applyEntry = (decoded: ServerEntry, { isRestored }: RowsOrigin): void => {
+    if (isRestored && isStaleEntry(decoded)) {
+      log.info('server entry of a copy ignored', {
+        server: decoded.id,
+        sequence: decoded.sequence,
+      });
       return;
     }
-    const entry = markLeaving(read);
+    const entry = markLeaving(decoded);
     const { bornMs, id, isLeaving, service } = entry;
     const known = records.get(id);
     if (!known) {
-      if (ended.has(entry)) return;
+      if (endedIncarnations.has(entry)) return;
       log.info('server known', { server: id, service, zone: entry.availabilityZone, isLeaving });
       addRecord(entry);
       return;
     }
     const order = compareIncarnations(known.entry.bornMs, bornMs);
     if (order === 'older') return;
-    if (order === 'newer') restartRecord(known, entry);
+    if (order === 'newer') replaceRecord(known, entry);
     else {
       if (known.entry.isLeaving !== isLeaving)
         log.info('server leaving', { server: id, isLeaving });
@@ -148,20 +154,21 @@
     }
   };
 
-  const applyValue = (id: string, value: Buffer, info: RowsInfo): void => {
+  const applyValue = (id: string, value: Buffer, info: RowsOrigin): void => {
     const decoded = decode(id, value);
     if (decoded.isOk()) {
       applyEntry(decoded.value, info);
       return;
     }
-    // Also of a server that was known: whoever wrote this, it names no server to use.
+    // An invalid entry also removes a known server, whoever wrote the entry: no usable address is
+    // left.
     log.error('server entry refused', { server: id, reason: decoded.error });
     const known = records.get(id);
     if (known) removeRecord(id, known);
   };
 
   const addInferred = (entry: ServerEntry, source: string): boolean => {
-    if (records.has(entry.id) || ended.has(entry)) return false;
+    if (records.has(entry.id) || endedIncarnations.has(entry)) return false;
     log.info('server inferred', { server: entry.id, address: entry.address, source });
     Object.assign(addRecord(markLeaving(entry)), {
       isInferred: true,
@@ -175,31 +182,31 @@
     list: () => [...records.values()],
     applyRows: (rows, info) =>
       rows.forEach(({ key, value }) =>
-        value === null ? removeEntry(key, info) : applyValue(key, value, info),
+        value === null ? handleEntryRemoved(key, info) : applyValue(key, value, info),
       ),
-    end: (id) => {
+    endServer: (id) => {
       const record = records.get(id);
-      if (record) endRecord(id, record);
+      if (record) endIncarnation(id, record);
     },
-    drop: (id) => {
+    forgetServer: (id) => {
       records.delete(id);
       handleGone(id);
     },
     addInferred,
     recordLeaving: (id) => {
       const record = records.get(id);
-      if (!record || leaving.has(record.entry)) return;
-      leaving.add(record.entry);
+      if (!record || leavingIncarnations.has(record.entry)) return;
+      leavingIncarnations.add(record.entry);
       log.info('server said that it leaves', { server: id, isLeaving: record.entry.isLeaving });
       record.entry = markLeaving(record.entry);
     },
-    recordBorn: (id, bornMs) => {
+    recordStartTime: (id, bornMs) => {
       const known = records.get(id);
       if (!known || bornMs === null) return;
       const entry = { ...known.entry, bornMs };
       if (compareIncarnations(known.entry.bornMs, bornMs) === 'newer') {
-        // The word of the one before is not its own.
-        restartRecord(known, { ...entry, isLeaving: false });
+        // The announcement of leaving came from the previous incarnation.
+        replaceRecord(known, { ...entry, isLeaving: false });
       } else if (known.entry.bornMs === null) Object.assign(known, { entry });
     },
   };
--- a/src/application/forwarding/_lib/forwardStream/index.ts
+++ b/src/application/forwarding/_lib/forwardStream/index.ts
@@ -1,5 +1,5 @@
 import {
-  AfterDisconnect,
+  StreamRetention,
   createGenerationState,
   updateGeneration,
   type GenerationEffect,
@@ -12,11 +12,11 @@
 import type { ForwardContext, ForwardingDependencies, Refusal, StreamRun } from '../../types';
 import { closeStreamAttempt } from '../closeStreamAttempt';
 import { openStreamAttempt } from '../openStreamAttempt';
-import { recordAnswer } from '../recordAnswer';
-import { recordDecision } from '../recordDecision';
+import { recordStreamSuccess } from '../recordStreamSuccess';
+import { logDecision } from '../logDecision';
 import { refuseQuarantined } from '../refuseQuarantined';
 
-/** How a stream's position and its engines differ from those that number tokens. */
+/** Builds the initial state: the position is an event id instead of a token offset. */
 const buildState = ({ request, route }: ForwardContext) =>
   createGenerationState(
     {
@@ -25,7 +25,7 @@
       keyed: false,
       continuable: true,
       maxOutputTokens: Infinity,
-      afterDisconnect: AfterDisconnect.Dropped,
+      streamRetention: StreamRetention.Dropped,
     },
     { offset: request.lastEventId ?? 0 },
   );
@@ -37,10 +37,11 @@
 });
 
 /**
- * Forwards a stream: it goes on at another server, within the same answer, when its server is lost.
+ * Forwards a stream. If its server is lost, the stream continues at another server within the same
+ * response.
  *
- * The steps are decided by `updateGeneration`, as for engines that number tokens; here the position
- * is an event id, and a run ends with its connection.
+ * `updateGeneration` decides the steps, as for engines that number tokens. Here the position is an
+ * event id, and a run ends with its connection.
  *
  * @returns the outcome, for the metrics
  */
@@ -60,7 +61,7 @@
     let firstEventMs: number | null = null;
     let isEnded = false;
 
-    // Set once the end is defined, which needs the run.
+    // Assigned below: the run and its end depend on each other.
     let refuse: StreamRun['refuse'] = () => undefined;
 
     const run: StreamRun = {
@@ -75,12 +76,12 @@
       isEnded: () => isEnded,
       refuse: (refusal) => refuse(refusal),
       copy: null,
-      prompts: 0,
-      arrivals: 0,
-      hasRetry: false,
+      prefillAttempts: 0,
+      arrivedAttempts: 0,
+      hasReservedRetry: false,
       lastEventAtMs: null,
       longestPauseMs: 0,
-      failure: null,
+      failedResponse: null,
     };
 
     const end = (outcome: string): void => {
@@ -93,13 +94,13 @@
       run.copy?.release();
       if (outcome === 'answered' && firstEventMs !== null) {
         const tookMs = clock.readMonotonicMs() - request.arrivedAtMs;
-        paces.recordRun(context.service, tookMs - firstEventMs);
+        paces.recordRunDuration(context.service, tookMs - firstEventMs);
       }
-      recordDecision(dependencies, context, 'stream ended', {
+      logDecision(dependencies, context, 'stream ended', {
         outcome,
         offset: state.offset,
         attempts: state.newestAttempt,
-        prompts: run.prompts,
+        prompts: run.prefillAttempts,
         firstEventMs: Math.round(firstEventMs ?? -1),
         longestPauseMs: Math.round(run.longestPauseMs),
       });
@@ -107,22 +108,22 @@
     };
 
     refuse = (refusal) => {
-      if (reply.hasBegun()) reply.breakOff();
+      if (reply.hasSentHead()) reply.destroy();
       else reply.sendRefusal(refusal);
       end(refusal.kind);
     };
 
     const fail = (failure: GenerationFailure): void => {
       if (!reply.isOpen()) return end('left');
-      recordDecision(dependencies, context, 'stream failed', {
+      logDecision(dependencies, context, 'stream failed', {
         code: failure.code,
         reason: failure.message,
         runState: failure.runState,
         offset: state.offset,
       });
-      if (reply.hasBegun()) reply.breakOff();
-      else if (run.failure) {
-        reply.sendWhole(run.failure.head, run.failure.body);
+      if (reply.hasSentHead()) reply.destroy();
+      else if (run.failedResponse) {
+        reply.sendResponse(run.failedResponse.head, run.failedResponse.body);
       } else reply.sendRefusal(buildRefusal(failure));
       return end(failure.code);
     };
@@ -165,7 +166,7 @@
         cancelRetry = clock.startTimer(effect.delayMs, () => queue.push({ kind: 'retry-due' }));
       } else if (effect.kind === 'finish') {
         reply.end();
-        recordAnswer(run);
+        recordStreamSuccess(run);
         end('answered');
       } else if (effect.kind === 'fail') fail(effect.failure);
     };
@@ -179,22 +180,22 @@
     cancelDeadline = clock.startTimer(
       Math.max(0, context.deadlineAtMs - clock.readMonotonicMs()),
       () => {
-        if (reply.hasBegun()) reply.breakOff();
+        if (reply.hasSentHead()) reply.destroy();
         else {
           reply.sendRefusal({
             kind: 'deadline-passed',
-            reason: 'no event came before the deadline',
+            reason: 'no event arrived before the deadline',
             retryAfterMs: 0,
           });
         }
         end('deadline-passed');
       },
     );
-    reply.left.addEventListener('abort', () => end('left'), { once: true });
+    reply.callerLeft.addEventListener('abort', () => end('left'), { once: true });
     if (refuseQuarantined(run)) return;
-    // Once an answer has begun it can't be refused; what is on its way may still end well.
+    // A response that has begun cannot be refused any more, and the run may still succeed.
     cancelListener = crashes.addListener(run.fingerprint, () => {
-      if (!reply.hasBegun()) refuseQuarantined(run);
+      if (!reply.hasSentHead()) refuseQuarantined(run);
     });
     queue.push({ kind: 'caller-attached' });
     queue.push({ kind: 'started' });
--- a/src/application/forwarding/_lib/pickServer/index.ts
+++ b/src/application/forwarding/_lib/pickServer/index.ts
@@ -1,110 +1,116 @@
 import {
   countPromptTokens,
-  chooseReportedServer,
-  countNeededTokens,
-  countReadingRuns,
-  hasCopyRoom,
-  predictFirstEvent,
-  type ReportedChoiceOptions,
+  chooseServerByReport,
+  countNeededKvTokens,
+  countPrefillingRuns,
+  hasMemoryForCopy,
+  predictFirstEventMs,
+  type ServerByReportOptions,
   type ReportedServer,
 } from '../../../../domain/forwarding';
-import type { StreamRun, StreamServers } from '../../types';
-import type { AnsweringServer } from '../askServers';
+import type { StreamRun, StreamPlacement } from '../../types';
+import type { RespondingServer } from '../queryServers';
 import { keepsBackups } from '../keepsBackups';
 
-/** What a request needs of a server. */
-type ReportedNeeds = Pick<ReportedChoiceOptions, 'neededTokens' | 'promptTokens'>;
+/** Resources that a request needs at a server. */
+type RequestNeeds = Pick<ServerByReportOptions, 'neededKvTokens' | 'promptTokens'>;
 
-/** What is known of a choice. */
-interface BuildOptions {
+/** Inputs of a placement. */
+interface PlacementOptions {
   readonly reported: readonly ReportedServer[];
-  readonly needs: ReportedNeeds;
-  readonly hasPrompt: boolean;
+  readonly needs: RequestNeeds;
+  readonly isPromptCached: boolean;
   readonly predictedMs: number;
 }
 
-const addUnread = (run: StreamRun, one: AnsweringServer): ReportedServer => ({
+const addPendingTokens = (run: StreamRun, one: RespondingServer): ReportedServer => ({
   ...one,
-  unreadTokens: run.dependencies.directory.countUnreadTokens(one.entry.id),
+  pendingPrefillTokens: run.dependencies.directory.countPendingPrefillTokens(one.entry.id),
 });
 
-/** True: it has no prompt to read before a new one. */
-const isIdle = ({ report, unreadTokens }: ReportedServer): boolean =>
-  unreadTokens === 0 && report.waiting + countReadingRuns(report) === 0;
+/** True if the server has no prompt to process before a new one. */
+const isIdle = ({ report, pendingPrefillTokens }: ReportedServer): boolean =>
+  pendingPrefillTokens === 0 && report.waiting + countPrefillingRuns(report) === 0;
 
-/** True: the run can begin without others having to end. */
-const hasRoom = ({ report }: ReportedServer, { neededTokens }: ReportedNeeds): boolean =>
-  report.kvTotalTokens === 0 || report.kvUsedTokens + neededTokens <= report.kvTotalTokens;
+/** True if the run fits into the KV cache without evicting others. */
+const hasRoom = ({ report }: ReportedServer, { neededKvTokens }: RequestNeeds): boolean =>
+  report.kvTotalTokens === 0 || report.kvUsedTokens + neededKvTokens <= report.kvTotalTokens;
 
-/** The next attempt reads the prompt at the chosen server; another zone's gets the copy. */
-const buildFromPrompt = (
+/** Builds the placement of an attempt. The backup is in another availability zone. */
+const buildPlacement = (
   run: StreamRun,
   chosen: ReportedServer,
-  options: BuildOptions,
-): StreamServers => {
-  const { hasPrompt, needs, predictedMs, reported } = options;
-  const isPaceKnown = run.paces.readEnginePaces(run.context.service).readingMsPerToken > 0;
+  options: PlacementOptions,
+): StreamPlacement => {
+  const { isPromptCached, needs, predictedMs, reported } = options;
+  const isPaceKnown = run.paces.readEnginePaces(run.context.service).prefillMsPerToken > 0;
   const readingMs = isPaceKnown ? predictedMs : run.context.route.latencyGoalMs;
   const others = reported.filter(
     ({ entry, report }) =>
       entry.availabilityZone !== chosen.entry.availabilityZone &&
-      hasCopyRoom(report, needs.neededTokens),
+      hasMemoryForCopy(report, needs.neededKvTokens),
   );
-  const backup = chooseReportedServer(others, { ...needs, preferredZone: null });
+  const backup = chooseServerByReport(others, { ...needs, preferredZone: null });
   return {
     server: chosen.entry,
     copy: null,
-    hasPrompt,
+    isPromptCached,
     isFree: isIdle(chosen) && hasRoom(chosen, needs),
     estimate: {
       promptTokens: needs.promptTokens,
       waiting: chosen.report.waiting,
-      reading: countReadingRuns(chosen.report),
-      unreadTokens: chosen.unreadTokens,
+      reading: countPrefillingRuns(chosen.report),
+      unreadTokens: chosen.pendingPrefillTokens,
     },
     predictedMs,
-    // A prompt that is held needs no reading: its silence is no work.
-    expectedMs: hasPrompt ? 0 : readingMs,
+    // A cached prompt needs no prefill, so that silence is not explained by it.
+    expectedFirstEventMs: isPromptCached ? 0 : readingMs,
     backup: keepsBackups(run, chosen.entry) ? (backup?.entry ?? null) : null,
   };
 };
 
 /**
- * Picks the server for a prompt among those that answered, as of now: what this VM sent, or was told
- * of, while they were asked counts. Where all are busy the prediction decides, as what waits there
- * counts, not only how much runs.
+ * Picks the server for a prompt among those that responded. The choice counts the prompts that this
+ * VM sent, or learned of, while the servers were queried. If all servers are busy, the predicted
+ * time to the first event decides, because the waiting prompts matter and not only the running
+ * requests.
  *
- * @param holding - server that has the prompt in memory, which goes before all others
+ * @param promptHolder - server that has the prompt cached, preferred to all others
  */
 export const pickServer = (
   run: StreamRun,
-  answered: readonly AnsweringServer[],
-  holding: AnsweringServer | null,
-): StreamServers | null => {
-  const needs: ReportedNeeds = {
-    neededTokens: countNeededTokens(run.context.request),
+  responding: readonly RespondingServer[],
+  promptHolder: RespondingServer | null,
+): StreamPlacement | null => {
+  const needs: RequestNeeds = {
+    neededKvTokens: countNeededKvTokens(run.context.request),
     promptTokens: countPromptTokens(run.context.request),
   };
-  const predict = ({ report, unreadTokens }: ReportedServer): number =>
-    predictFirstEvent(report, {
+  const predict = ({ report, pendingPrefillTokens }: ReportedServer): number =>
+    predictFirstEventMs(report, {
       ...needs,
-      unreadTokens,
+      pendingPrefillTokens,
       paces: run.paces.readEnginePaces(run.context.service),
       latencyGoalMs: run.context.route.latencyGoalMs,
     });
-  const reported = answered.map((one) => addUnread(run, one));
-  const hasPrompt = holding !== null;
+  const reported = responding.map((one) => addPendingTokens(run, one));
+  const isPromptCached = promptHolder !== null;
   const { availabilityZone: preferredZone } = run.dependencies;
-  const chosen = holding
-    ? addUnread(run, holding)
-    : chooseReportedServer(reported, { ...needs, preferredZone });
+  const chosen = promptHolder
+    ? addPendingTokens(run, promptHolder)
+    : chooseServerByReport(reported, { ...needs, preferredZone });
   if (!chosen) return null;
-  const known = { server: chosen, predictedMs: predict(chosen) };
+  const initial = { server: chosen, predictedMs: predict(chosen) };
   const { predictedMs, server } =
-    hasPrompt || isIdle(chosen)
-      ? known
+    isPromptCached || isIdle(chosen)
+      ? initial
       : reported
           .map((one) => ({ server: one, predictedMs: predict(one) }))
-          .reduce((first, one) => (one.predictedMs < first.predictedMs ? one : first), known);
-  return buildFromPrompt(run, server, { reported, needs, hasPrompt, predictedMs });
+          .reduce((best, one) => (one.predictedMs < best.predictedMs ? one : best), initial);
+  return buildPlacement(run, server, {
+    reported,
+    needs,
+    isPromptCached,
+    predictedMs,
+  });
 };
--- /dev/null
+++ b/src/application/forwarding/createRetryBudget/test.ts
@@ -0,0 +1,67 @@
+import test from 'ava';
+import { createFakeClock } from '../../../../standins/fakes';
+import { createRetryBudget } from '.';
+
+const BOUNDS = { retryRatio: 0.5, retryWindowMs: 10_000, retryExtra: 10 };
+
+const acquireAll = (acquire: () => boolean): number => {
+  let count = 0;
+  while (acquire()) count += 1;
+  return count;
+};
+
+test('retries are bounded by a fraction of recent requests and a share of the extra retries', (t) => {
+  const clock = createFakeClock();
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 2 });
+  for (let index = 0; index < 20; index += 1) budget.recordRequest('s');
+  // 0.9 of 0.5 x 20 + 10 / 2.
+  t.is(
+    acquireAll(() => budget.acquireRetry('s')),
+    13,
+  );
+  t.is(
+    acquireAll(() => budget.acquireRetry('other')),
+    4,
+  );
+});
+
+// Guards against exceeding the common bound: if many VMs retry at once, none of them may take all
+// of the extra retries for itself.
+test('the extra retries are shared among the known VMs', (t) => {
+  const clock = createFakeClock();
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 10 });
+  t.false(budget.acquireRetry('s'));
+});
+
+test('old requests and retries leave the sliding window', (t) => {
+  const clock = createFakeClock();
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
+  t.is(
+    acquireAll(() => budget.acquireRetry('s')),
+    9,
+  );
+  clock.advance(9000);
+  t.false(budget.acquireRetry('s'));
+  clock.advance(2000);
+  t.is(
+    acquireAll(() => budget.acquireRetry('s')),
+    9,
+  );
+});
+
+// Guards against planned retries that use up the budget of lost runs. When many runs were migrated
+// at once, the last ones got no retry after they had been stopped, and stalled for seconds.
+test('a caller may be limited to a share of the budget, and an unused retry can be released', (t) => {
+  const clock = createFakeClock();
+  const budget = createRetryBudget({ bounds: BOUNDS, clock, countVms: () => 1 });
+  t.is(
+    acquireAll(() => budget.acquireRetry('s', { share: 0.5 })),
+    4,
+  );
+  t.is(
+    acquireAll(() => budget.acquireRetry('s')),
+    5,
+  );
+  budget.releaseRetry('s');
+  t.true(budget.acquireRetry('s'));
+});
--- a/src/application/forwarding/createServerDirectory/index.ts
+++ b/src/application/forwarding/createServerDirectory/index.ts
@@ -1,42 +1,45 @@
-import { formatIncarnation, isAddressKept, type ServerEntry } from '../../../domain/forwarding';
-import type { ServerRecord, ToldPrompt } from '../_lib/buildServerRecord';
+import { formatIncarnation, isAddressReserved, type ServerEntry } from '../../../domain/forwarding';
+import type { ServerRecord, PeerPrompt } from '../_lib/buildServerRecord';
 import { buildServerStatus } from '../_lib/buildServerStatus';
 import { createServerRecords, type ServerRecordsDependencies } from '../_lib/createServerRecords';
 import { startServerWork } from '../_lib/startServerWork';
 import type { ServerDirectory, SuspicionCause } from '../types';
 
-/** What a directory needs. */
+/** Dependencies of the server directory. */
 export interface ServerDirectoryDependencies extends ServerRecordsDependencies {
-  /** How long an address stays with its service after a server's end. */
+  /** How long an address stays with its service after the server has ended. */
   readonly reuseAfterMs: number;
   /** Called when this VM itself begins to suspect a server. */
   readonly handleSuspected: (id: string, cause: SuspicionCause) => void;
-  /** Called when this VM itself met a server that has no entry yet. */
+  /** Called when this VM itself discovers a server that has no entry yet. */
   readonly handleInferred: (entry: ServerEntry) => void;
 }
 
-/** For this long an answer to this VM weighs more than what another VM says. */
-const OWN_EVIDENCE_MS = 200;
+/** For this long, a response to this VM outweighs a suspicion that another VM reports. */
+const OWN_OBSERVATION_TTL_MS = 200;
 
-/** What was on its way when a server ended may be read this much later. */
-const LAST_WORDS_MS = 250;
+/** Data that was in transit when a server ended may be read this much later. */
+const LATE_DATA_MS = 250;
 
-/** First time for which a failed server gets work only if all others failed too; it doubles. */
-const FIRST_SUSPICION_MS = 1000;
+/**
+ * Duration of the first suspicion, during which the server gets work only if all others failed too.
+ * It doubles with every further suspicion.
+ */
+const MIN_SUSPICION_MS = 1000;
 const MAX_SUSPICION_MS = 8000;
 
-/** A server without an entry is asked for its id when it has not answered for this long. */
-const INFERRED_ASK_MS = 2000;
+/** The id of a server without an entry is checked when it has not answered for this long. */
+const INFERRED_CHECK_AFTER_MS = 2000;
 
-/** A server without an entry that has not answered for this long takes no new work. */
-const INFERRED_AGE_MS = 6000;
+/** A server without an entry that has not answered for this long gets no new work. */
+const INFERRED_TTL_MS = 6000;
 
 /**
- * A prompt that another VM sent counts for this long: reports, which are some hundred milliseconds
- * old, show it from then on. Of the prompts that met another one on the platform, nine in ten came
- * within 190 ms after it.
+ * How long a prompt of another VM counts. Afterwards reports, which are some hundred milliseconds
+ * old, include it. Of the prompts that met another one on the platform, nine in ten came within 190
+ * ms after it.
  */
-const TOLD_MS = 400;
+const PEER_PROMPT_TTL_MS = 400;
 
 /** Creates the directory of the backend servers. */
 export const createServerDirectory = (
@@ -45,21 +48,21 @@
   const { clock, handleInferred, handleSuspected, log, reuseAfterMs } = dependencies;
   const records = createServerRecords(dependencies);
 
-  const isThere = ({ aliveAtMs, entry, goneAtMs, isInferred }: ServerRecord): boolean => {
+  const isPresent = ({ aliveAtMs, entry, goneAtMs, isInferred }: ServerRecord): boolean => {
     const nowMs = clock.readMonotonicMs();
-    const isKnown = !isInferred || nowMs - aliveAtMs < INFERRED_AGE_MS;
+    const isKnown = !isInferred || nowMs - aliveAtMs < INFERRED_TTL_MS;
     return !entry.isLeaving && goneAtMs > nowMs && isKnown;
   };
 
   const isServing = (record: ServerRecord): boolean =>
-    isThere(record) && record.pausedUntilMs <= clock.readMonotonicMs();
+    isPresent(record) && record.pausedUntilMs <= clock.readMonotonicMs();
 
-  const isLimited = ({ limitedUntilMs }: ServerRecord): boolean =>
-    limitedUntilMs > clock.readMonotonicMs();
+  const isRateLimited = ({ rateLimitedUntilMs }: ServerRecord): boolean =>
+    rateLimitedUntilMs > clock.readMonotonicMs();
 
-  const listTold = ({ told }: ServerRecord): readonly ToldPrompt[] => {
-    const sinceMs = clock.readMonotonicMs() - TOLD_MS;
-    return told.filter(({ toldAtMs }) => toldAtMs > sinceMs);
+  const listRecent = ({ peerPrompts }: ServerRecord): readonly PeerPrompt[] => {
+    const sinceMs = clock.readMonotonicMs() - PEER_PROMPT_TTL_MS;
+    return peerPrompts.filter(({ receivedAtMs }) => receivedAtMs > sinceMs);
   };
 
   const recordAlive = (id: string): void => {
@@ -74,29 +77,29 @@
       return records
         .list()
         .filter((record) => record.entry.service === service)
-        .filter((record) => isServing(record) && !isLimited(record))
+        .filter((record) => isServing(record) && !isRateLimited(record))
         .map((record) => buildServerStatus(record, nowMs));
     },
     findServing: (id) => {
       const record = records.find(id);
       return record && isServing(record) ? record.entry : null;
     },
-    isTrusted: (id) => {
+    isHealthy: (id) => {
       const record = records.find(id);
       if (!record) return false;
       return isServing(record) && record.suspectedUntilMs <= clock.readMonotonicMs();
     },
     startWork: (id, options) => startServerWork(records.find(id) ?? null, options),
-    countUnreadTokens: (id) => {
+    countPendingPrefillTokens: (id) => {
       const record = records.find(id);
       if (!record) return 0;
-      return record.prefillTokens + listTold(record).reduce((sum, { tokens }) => sum + tokens, 0);
+      return record.prefillTokens + listRecent(record).reduce((sum, { tokens }) => sum + tokens, 0);
     },
-    recordToldPrompt: (id, tokens) => {
+    recordPeerPrompt: (id, tokens) => {
       const record = records.find(id);
       if (!record) return;
-      const toldAtMs = clock.readMonotonicMs();
-      record.told = [...listTold(record), { tokens, toldAtMs }];
+      const receivedAtMs = clock.readMonotonicMs();
+      record.peerPrompts = [...listRecent(record), { tokens, receivedAtMs }];
     },
     addCopy: (id) => {
       const record = records.find(id);
@@ -119,20 +122,23 @@
       record.pausedUntilMs = Math.max(record.pausedUntilMs, untilMs);
       log.info('server paused', { server: id, pauseMs: Math.round(pauseMs) });
     },
-    recordLimited: (id, waitMs) => {
+    recordRateLimited: (id, waitMs) => {
       const record = records.find(id);
-      if (record) record.limitedUntilMs = clock.readMonotonicMs() + waitMs;
+      if (record) record.rateLimitedUntilMs = clock.readMonotonicMs() + waitMs;
     },
-    isLimited: (id) => {
+    isRateLimited: (id) => {
       const record = records.find(id);
-      return record !== undefined && isLimited(record);
+      return record !== undefined && isRateLimited(record);
     },
-    readPauseMs: (service) => {
+    readShortestPauseMs: (service) => {
       const nowMs = clock.readMonotonicMs();
       const pauses = records
         .list()
-        .filter((record) => record.entry.service === service && isThere(record))
-        .map(({ limitedUntilMs, pausedUntilMs }) => Math.max(limitedUntilMs, pausedUntilMs) - nowMs)
+        .filter((record) => record.entry.service === service && isPresent(record))
+        .map(
+          ({ rateLimitedUntilMs, pausedUntilMs }) =>
+            Math.max(rateLimitedUntilMs, pausedUntilMs) - nowMs,
+        )
         .filter((pauseMs) => pauseMs > 0);
       return pauses.length === 0 ? 0 : Math.min(...pauses);
     },
@@ -140,30 +146,38 @@
       const record = records.find(id);
       if (!record) return;
       const nowMs = clock.readMonotonicMs();
-      // Several attempts that fail at once are one failure.
+      // Attempts that fail at the same time count as one failure.
       if (record.suspectedUntilMs > nowMs) return;
-      // Another VM's path to a server may be cut: what this VM saw itself just now goes first.
-      const isToldOnly = cause === 'told';
-      if (isToldOnly && nowMs - record.aliveAtMs < OWN_EVIDENCE_MS) return;
-      const holdMs = Math.min(MAX_SUSPICION_MS, FIRST_SUSPICION_MS * 2 ** record.suspicions);
-      record.suspicions += 1;
+      // Another VM may be cut off from the server: recent responses to this VM take precedence.
+      const isReportedByPeer = cause === 'told';
+      if (isReportedByPeer && nowMs - record.aliveAtMs < OWN_OBSERVATION_TTL_MS) return;
+      const holdMs = Math.min(
+        MAX_SUSPICION_MS,
+        MIN_SUSPICION_MS * 2 ** record.consecutiveSuspicions,
+      );
+      record.consecutiveSuspicions += 1;
       record.suspectedUntilMs = nowMs + holdMs;
       log.warn('server suspected', { server: id, cause, holdMs });
-      if (!isToldOnly) handleSuspected(id, cause);
+      if (!isReportedByPeer) handleSuspected(id, cause);
     },
     recordSuccess: (id) => {
       const record = records.find(id);
-      if (record) Object.assign(record, { suspicions: 0, suspectedUntilMs: 0, trials: 0 });
+      if (record)
+        Object.assign(record, { consecutiveSuspicions: 0, suspectedUntilMs: 0, probeRequests: 0 });
       recordAlive(id);
     },
     recordAlive,
     recordReplaced: (id, successorId) => {
       const record = records.find(id);
       if (!record) return;
-      records.end(id);
-      const { aliveAtMs, entry } = record;
-      const times = { aliveAtMs, nowMs: clock.readMonotonicMs(), reuseAfterMs };
-      if (successorId === null || !isAddressKept(times)) return;
+      records.endServer(id);
+      const { aliveAtMs: lastAnswerAtMs, entry } = record;
+      const times = {
+        lastAnswerAtMs,
+        nowMs: clock.readMonotonicMs(),
+        reuseAfterMs,
+      };
+      if (successorId === null || !isAddressReserved(times)) return;
       const successor = { ...entry, id: successorId, isLeaving: false, bornMs: null };
       if (records.addInferred(successor, 'met')) handleInferred(successor);
     },
@@ -172,29 +186,30 @@
         .list()
         .some(
           ({ aliveAtMs, entry }) =>
-            aliveAtMs > atMs + LAST_WORDS_MS && formatIncarnation(entry) === incarnation,
+            aliveAtMs > atMs + LATE_DATA_MS && formatIncarnation(entry) === incarnation,
         ),
-    recordBorn: records.recordBorn,
-    applyInferred: (entry) => {
+    recordStartTime: records.recordStartTime,
+    addInferred: (entry) => {
       records.addInferred(entry, 'told');
     },
-    listUncertain: () => {
+    listUnverified: () => {
       const nowMs = clock.readMonotonicMs();
       return records
         .list()
         .filter(({ pausedUntilMs }) => pausedUntilMs <= nowMs)
-        .filter(({ aliveAtMs, isInferred, suspicions }) =>
+        .filter(({ aliveAtMs, isInferred, consecutiveSuspicions }) =>
           isInferred
-            ? nowMs - aliveAtMs > INFERRED_ASK_MS
-            : suspicions > 0 && isAddressKept({ aliveAtMs, nowMs, reuseAfterMs }),
+            ? nowMs - aliveAtMs > INFERRED_CHECK_AFTER_MS
+            : consecutiveSuspicions > 0 &&
+              isAddressReserved({ lastAnswerAtMs: aliveAtMs, nowMs, reuseAfterMs }),
         )
         .map(({ entry }) => entry);
     },
-    countInferred: () => {
+    pruneInferred: () => {
       const nowMs = clock.readMonotonicMs();
       const inferred = records.list().filter(({ isInferred }) => isInferred);
-      const old = inferred.filter(({ aliveAtMs }) => nowMs - aliveAtMs >= INFERRED_AGE_MS);
-      old.forEach(({ entry }) => records.drop(entry.id));
+      const old = inferred.filter(({ aliveAtMs }) => nowMs - aliveAtMs >= INFERRED_TTL_MS);
+      old.forEach(({ entry }) => records.forgetServer(entry.id));
       return inferred.length - old.length;
     },
     countServing: () => records.list().filter(isServing).length,
--- a/src/application/generations/_lib/createAnswerRun/index.ts
+++ b/src/application/generations/_lib/createReplayRun/index.ts
@@ -6,22 +6,22 @@
 import { createTokenLog } from '../createTokenLog';
 
 /**
- * Creates a finished run from a stored answer, so that it is replayed batch by batch as it was
- * first sent, and can be resumed with a cursor like any other.
+ * Creates a finished run from a stored answer. The answer is replayed in its original batches and
+ * can be resumed with a cursor like any other run.
  *
  * @param context - Generations of this VM.
  * @param request - Repeated request.
  * @param answer - Stored answer.
  * @returns Run.
  */
-export const createAnswerRun = (
+export const createReplayRun = (
   context: GenerationsContext,
   request: GenerationRequest,
   answer: StoredAnswer,
 ): GenerationRun => {
   const { generationId } = answer;
   const chain = buildInitialChain(request, generationId);
-  const log = createTokenLog({ chain, missing: 0, prefixTokenIds: [] });
+  const log = createTokenLog({ chain, missingTokens: 0, prefixTokenIds: [] });
   let offset = 0;
   answer.texts.forEach((text, index) => {
     const end = offset + (answer.tokenCounts[index] ?? 0);
@@ -41,16 +41,16 @@
     {
       dependencies: context.dependencies,
       cancelQueue: context.cancelQueue,
-      paces: context.paces,
+      latencyHistory: context.latencyHistory,
       serverActivity: context.serverActivity,
       generationId,
       workspace: request.workspace,
       service: request.service,
       request,
-      claim: { keeper: null },
+      claim: { writer: null },
       deadlineMs: Infinity,
       log,
     },
-    { ...createGenerationState(policy, { offset }), phase: 'finished', sent: true },
+    { ...createGenerationState(policy, { offset }), phase: 'finished', mayHaveStarted: true },
   );
 };
--- a/src/application/generations/_lib/createRun/index.ts
+++ b/src/application/generations/_lib/createRun/index.ts
@@ -14,31 +14,33 @@
 import { createNotifier } from '../createNotifier';
 import { runEffect, type AttemptEffect } from '../runEffect';
 
-/** A run's part of the context, without what the run itself provides. */
+/** The part of a run's context that its creator provides. */
 export type RunOptions = Omit<RunContext, 'handles' | 'readState' | 'dispatch'>;
 
 /**
- * Creates a run: the one place where a generation's state lives. Each input goes through the pure
- * transition, and its effects are run in order before the next input is looked at.
+ * Creates a run, which owns the state of one generation. Each input is applied by a pure state
+ * transition, whose effects are executed in order before the next input is handled.
  *
- * @param options - What the run works with.
- * @param firstState - State to begin with.
- * @param taken - Handle of an engine's stream that is taken over, if any.
+ * @param options - Part of the context that the caller provides.
+ * @param firstState - Initial state.
+ * @param existingAttempt - Handle of the attempt whose stream is taken over, if any.
  * @returns Run that waits for its `started` input.
  */
 export const createRun = (
   options: RunOptions,
   firstState: GenerationState,
-  taken: AttemptHandle | null = null,
+  existingAttempt: AttemptHandle | null = null,
 ): GenerationRun => {
   const { clock } = options.dependencies;
   const { log } = options;
   const notifier = createNotifier();
-  const handles = new Map<number, AttemptHandle>(taken ? [[taken.attempt, taken]] : []);
+  const handles = new Map<number, AttemptHandle>(
+    existingAttempt ? [[existingAttempt.attempt, existingAttempt]] : [],
+  );
   const queue = createInputQueue<GenerationInput>();
   let state = firstState;
   let failure: GenerationError | null = null;
-  let leader: AttemptHandle | null = taken;
+  let lastDelivering: AttemptHandle | null = existingAttempt;
   let idleSinceMs: number | null = clock.readMonotonicMs();
   let retryAtMs: number | null = null;
   let hasStarted = false;
@@ -53,10 +55,10 @@
   const isEnded = (): boolean => state.phase === 'finished' || state.phase === 'failed';
 
   const deliver = (effect: Extract<GenerationEffect, { kind: 'deliver' }>): void => {
-    // Engines that number events instead of tokens are read by the forwarding, never by a run.
+    // Streams of engines that number events instead of tokens are forwarded, never read by a run.
     if (!('tokenIds' in effect.batch)) return;
     log.append(effect.batch);
-    leader = handles.get(effect.attempt) ?? leader;
+    lastDelivering = handles.get(effect.attempt) ?? lastDelivering;
     if (effect.batch.finishReason !== null) {
       closeAttempt(context, effect.attempt, 'finished', { cancel: false });
     }
@@ -66,15 +68,15 @@
     const offset = log.readEndOffset();
     const isMarked = log.readFinishReason() !== null;
     if (!isMarked) log.append({ offset, tokenIds: [], text: '', finishReason });
-    options.claim.keeper?.recordEnd(buildAnswer(context), { ran: true });
+    options.claim.writer?.recordOutcome(buildAnswer(context), { ran: true });
   };
 
   const fail = (error: GenerationError): void => {
     failure = error;
-    options.claim.keeper?.recordEnd(null, { ran: error.runState !== RunState.NotRun });
+    options.claim.writer?.recordOutcome(null, { ran: error.runState !== RunState.NotRun });
   };
 
-  const runOne = (effect: GenerationEffect): void => {
+  const handleEffect = (effect: GenerationEffect): void => {
     if (effect.kind === 'deliver') deliver(effect);
     else if (effect.kind === 'finish') finish(effect.finishReason);
     else if (effect.kind === 'fail') fail(effect.failure);
@@ -82,18 +84,18 @@
     else runEffect(context, effect satisfies AttemptEffect);
   };
 
-  const takeInput = (input: GenerationInput): void => {
+  const handleInput = (input: GenerationInput): void => {
     if (input.kind === 'retry-due') retryAtMs = null;
     const next = updateGeneration(state, input);
     state = next.state;
-    next.effects.forEach(runOne);
+    next.effects.forEach(handleEffect);
     const isFollowed = state.callers > 0 && !isEnded();
     if (isFollowed) idleSinceMs = null;
     else idleSinceMs ??= clock.readMonotonicMs();
     if (next.effects.length > 0 || input.kind === 'caller-left') notifier.notify();
   };
 
-  queue.setHandler(takeInput);
+  queue.setHandler(handleInput);
 
   const run: GenerationRun = {
     generationId: options.generationId,
@@ -105,8 +107,8 @@
     attempts: handles,
     readState: () => state,
     readFailure: () => failure,
-    readLeader: () => leader,
-    setClaimKeeper: (keeper) => Object.assign(options.claim, { keeper }),
+    readLastDeliveringAttempt: () => lastDelivering,
+    setClaimWriter: (writer) => Object.assign(options.claim, { writer }),
     isEnded,
     readIdleSinceMs: () => idleSinceMs,
     readRetryAtMs: () => retryAtMs,
--- a/src/application/generations/_lib/readStream/index.ts
+++ b/src/application/generations/_lib/readStream/index.ts
@@ -1,5 +1,5 @@
 import { updateGapStatistics } from '../../../../domain/detection';
-import type { Reader } from '../../../../domain/generation';
+import type { ReaderId } from '../../../../domain/generation';
 import { BackendHealth, type TokenBatch } from '../../../../domain/types';
 import type { EngineStream } from '../../../ports';
 import type { AttemptHandle, RunContext } from '../../types';
@@ -10,12 +10,12 @@
   const firstTokenMs = Math.max(1, nowMs - handle.sentAtMs);
   Object.assign(handle, { firstTokenMs });
   const { promptCharacters } = context.request;
-  context.paces.recordFirstToken(context.service, { promptCharacters, firstTokenMs });
+  context.latencyHistory.recordFirstToken(context.service, { promptCharacters, firstTokenMs });
 };
 
 const recordGap = (context: RunContext, handle: AttemptHandle, gapMs: number): void => {
   Object.assign(handle, { gaps: updateGapStatistics(handle.gaps, gapMs) });
-  context.paces.recordGap(context.service, gapMs);
+  context.latencyHistory.recordGap(context.service, gapMs);
 };
 
 const recordActivity = (context: RunContext, handle: AttemptHandle, batch: TokenBatch): void => {
@@ -24,7 +24,7 @@
   if (batch.tokenIds.length > 0) {
     recordFirstToken(context, handle, nowMs);
     if (handle.server) context.serverActivity.record(handle.server.name, nowMs);
-    // The first gap is the prefill, and would make the stream's limit far too long.
+    // The first gap includes the prefill and would make the silence limit far too long.
     if (handle.deliveredTokens > 0) recordGap(context, handle, nowMs - handle.lastActivityMs);
     const deliveredTokens = handle.deliveredTokens + batch.tokenIds.length;
     Object.assign(handle, { deliveredTokens });
@@ -32,24 +32,24 @@
   Object.assign(handle, { lastActivityMs: nowMs });
   const server = handle.server?.name ?? '';
   const state = health.readHealth(server);
-  // Tokens are better evidence than any peer's suspicion: it may be the peer that is cut off.
+  // Received tokens outweigh a peer's suspicion: it may be the peer that is cut off.
   if (state === BackendHealth.Suspected || state === BackendHealth.Dead) {
     health.recordRecovery(server);
   }
 };
 
 /**
- * Reads a stream until it ends and passes on what arrives.
+ * Reads a stream until it ends and dispatches each batch to the run.
  *
  * @param context - Run that the stream belongs to.
  * @param handle - Attempt that the stream belongs to.
- * @param reader - Connection over which it is read.
+ * @param reader - Connection over which the stream is read.
  * @param stream - Stream to read.
  */
 export const readStream = async (
   context: RunContext,
   handle: AttemptHandle,
-  reader: Reader,
+  reader: ReaderId,
   stream: EngineStream,
 ): Promise<void> => {
   for await (const result of stream.batches) {
--- a/src/application/generations/_lib/relayGeneration/index.ts
+++ b/src/application/generations/_lib/relayGeneration/index.ts
@@ -3,55 +3,55 @@
 import type { Cursor } from '../../../../domain/types';
 import type { Clock, GenerationError, GenerationEvent, GenerationFeed } from '../../../ports';
 
-/** How a peer's feed is relayed. */
+/** Options for relaying a peer's feed. */
 export interface RelayOptions {
   readonly clock: Clock;
-  /** Offset and chain digest at which the caller stands. */
+  /** Offset and chain digest of the caller's position. */
   readonly offset: number;
   readonly chain: string;
-  /** Goes on without the peer; the cursor is null if nothing has been relayed. */
-  readonly resumeElsewhere: (
+  /** Resumes without the peer; the cursor is null if nothing has been relayed. */
+  readonly resumeWithoutPeer: (
     last: Cursor | null,
     tokenIds: readonly number[],
   ) => Promise<Result<GenerationFeed, GenerationError>>;
 }
 
-/** Silence after which a peer that has begun to deliver is taken for stuck. */
-const SILENCE_LIMIT_MS = 2_000;
+/** Silence after which a peer that has started to deliver is considered stuck. */
+const SILENCE_TIMEOUT_MS = 2_000;
 
-/** Failures that tell of the peer's part in the generation and not of the generation. */
-const PEER_CODES: ReadonlySet<string> = new Set([
+/** Errors that concern the peer's copy of the generation, not the generation itself. */
+const PEER_ERROR_CODES: ReadonlySet<string> = new Set([
   'peer_lost',
   'generation_moved',
   'generation_expired',
 ]);
 
-const LOST = Symbol('lost');
+const PEER_LOST = Symbol('lost');
 
 const readNext = async (
   iterator: AsyncIterator<GenerationEvent>,
   clock: Clock,
-  limited: boolean,
-): Promise<GenerationEvent | typeof LOST> => {
+  hasTimeout: boolean,
+): Promise<GenerationEvent | typeof PEER_LOST> => {
   let stopTimer = (): void => undefined;
-  const silence = new Promise<typeof LOST>((resolve) => {
-    if (limited) stopTimer = clock.startTimer(SILENCE_LIMIT_MS, () => resolve(LOST));
+  const silence = new Promise<typeof PEER_LOST>((resolve) => {
+    if (hasTimeout) stopTimer = clock.startTimer(SILENCE_TIMEOUT_MS, () => resolve(PEER_LOST));
   });
-  const next = iterator.next().then((result) => (result.done ? LOST : result.value));
+  const next = iterator.next().then((result) => (result.done ? PEER_LOST : result.value));
   const event = await Promise.race([next, silence]);
   stopTimer();
   return event;
 };
 
 /**
- * Relays a generation that a peer holds, and goes on without the peer if it is lost.
+ * Relays a generation that a peer holds, and resumes without the peer if the peer is lost.
  *
- * Each batch is checked against the chain: a peer that holds another run of the generation, for
- * example one that was paused, would otherwise be spliced into the caller's answer.
+ * Each batch is checked against the chain. Otherwise the tokens of a peer that holds another run of
+ * the generation, for example one that was paused, would be spliced into the caller's answer.
  *
  * @param feed - Peer's feed from the caller's offset on.
- * @param options - Where the caller stands, and what to do without the peer.
- * @returns Feed of the whole rest.
+ * @param options - The caller's position, and how to resume without the peer.
+ * @returns Feed of the rest of the generation.
  */
 export const relayGeneration = (feed: GenerationFeed, options: RelayOptions): GenerationFeed => {
   let current = feed;
@@ -59,40 +59,40 @@
 
   async function* relayPeer(relayed: number[]): AsyncGenerator<GenerationEvent, Cursor | null> {
     let { offset, chain } = options;
-    let last: Cursor | null = null;
+    let lastCursor: Cursor | null = null;
     const iterator = feed.events[Symbol.asyncIterator]();
     while (isAttached) {
-      const event = await readNext(iterator, options.clock, last !== null);
-      if (event === LOST) return last;
+      const event = await readNext(iterator, options.clock, lastCursor !== null);
+      if (event === PEER_LOST) return lastCursor;
       if (event.kind === 'failed') {
-        if (PEER_CODES.has(event.error.code)) return last;
+        if (PEER_ERROR_CODES.has(event.error.code)) return lastCursor;
         yield event;
         isAttached = false;
-        return last;
+        return lastCursor;
       }
       const next = addTokensToChain(chain, event.batch.tokenIds);
-      if (event.batch.offset !== offset || event.cursor.chain !== next) return last;
+      if (event.batch.offset !== offset || event.cursor.chain !== next) return lastCursor;
       chain = next;
       offset += event.batch.tokenIds.length;
-      last = event.cursor;
+      lastCursor = event.cursor;
       relayed.push(...event.batch.tokenIds);
       yield event;
       if (event.batch.finishReason !== null) isAttached = false;
     }
-    return last;
+    return lastCursor;
   }
 
   async function* readEvents(): AsyncGenerator<GenerationEvent> {
     const relayed: number[] = [];
-    const last = yield* relayPeer(relayed);
+    const lastCursor = yield* relayPeer(relayed);
     feed.detach();
     if (!isAttached) return;
-    const elsewhere = await options.resumeElsewhere(last, relayed);
-    if (elsewhere.isErr()) {
-      yield { kind: 'failed', error: elsewhere.error };
+    const resumed = await options.resumeWithoutPeer(lastCursor, relayed);
+    if (resumed.isErr()) {
+      yield { kind: 'failed', error: resumed.error };
       return;
     }
-    current = elsewhere.value;
+    current = resumed.value;
     if (isAttached) yield* current.events;
     else current.detach();
   }
--- a/src/application/generations/_lib/startAttempt/index.ts
+++ b/src/application/generations/_lib/startAttempt/index.ts
@@ -1,5 +1,5 @@
 import { err, ok, type Result } from 'neverthrow';
-import type { GenerationEffect, Reader } from '../../../../domain/generation';
+import type { GenerationEffect, ReaderId } from '../../../../domain/generation';
 import {
   RefusalCode,
   type GenerationRequest,
@@ -15,7 +15,7 @@
 
 type OpenAttempt = Extract<GenerationEffect, { kind: 'open-attempt' }>;
 
-/** Random bytes in a stream's name: two entries may start the same attempt number. */
+/** Random bytes in a stream id, as two VMs may start the same attempt number. */
 const STREAM_ID_BYTES = 4;
 
 const isClosed = (context: RunContext, handle: AttemptHandle): boolean =>
@@ -29,15 +29,15 @@
   return err({ code: RefusalCode.UnknownService, message, retryAfterMs: 0 });
 };
 
-/** Writes who runs it: before the send where it may run only once, beside it otherwise. */
-const recordClaim = async (
+/** Records the attempt in the claim; only a non-idempotent request waits for the write. */
+const recordAttemptInClaim = async (
   context: RunContext,
   handle: AttemptHandle,
   request: GenerationRequest,
 ): Promise<Result<void, ClaimError>> => {
-  const { keeper } = context.claim;
-  if (!keeper) return ok();
-  const written = keeper.recordAttempt({
+  const { writer } = context.claim;
+  if (!writer) return ok();
+  const written = writer.recordAttempt({
     backendServer: handle.server?.name ?? '',
     streamId: handle.streamId,
     attempt: handle.attempt,
@@ -48,7 +48,7 @@
 const sendAttempt = async (
   context: RunContext,
   handle: AttemptHandle,
-  reader: Reader,
+  reader: ReaderId,
   options: { readonly request: GenerationRequest; readonly service: Service; readonly slot: Slot },
 ): Promise<void> => {
   const { dependencies } = context;
@@ -81,9 +81,10 @@
 };
 
 /**
- * Starts an attempt: gets a slot, names the stream, records the claim, sends and reads.
+ * Starts an attempt: acquires a slot, names the stream, updates the claim, sends the request and
+ * reads the stream.
  *
- * @param context - Run that it belongs to; told of each step by inputs.
+ * @param context - Run that the attempt belongs to; receives each step as an input.
  * @param effect - Attempt to open.
  */
 export const startAttempt = async (context: RunContext, effect: OpenAttempt): Promise<void> => {
@@ -93,7 +94,7 @@
   const handle = createAttemptHandle(
     reader.attempt,
     nowMs,
-    context.paces.readInitialGaps(context.service),
+    context.latencyHistory.readInitialGaps(context.service),
   );
   context.handles.set(reader.attempt, handle);
   const refuse = (refusal: Refusal): void =>
@@ -116,7 +117,7 @@
   }
   const streamId = `${context.generationId}.${reader.attempt}.${dependencies.randomness.readHex(STREAM_ID_BYTES)}`;
   Object.assign(handle, { slot, server: slot.server, streamId });
-  const recorded = await recordClaim(context, handle, request);
+  const recorded = await recordAttemptInClaim(context, handle, request);
   if (isClosed(context, handle)) return undefined;
   if (recorded.isErr()) {
     const retryAfterMs = 'retryAfterMs' in recorded.error ? recorded.error.retryAfterMs : 0;
--- a/src/application/health/createHealthRegistry/index.ts
+++ b/src/application/health/createHealthRegistry/index.ts
@@ -1,9 +1,9 @@
 import { BackendHealth, type Suspicion } from '../../../domain/types';
 import type { HealthRegistry } from '../../ports';
 
-/** What the registry needs. */
+/** Dependencies of the health registry. */
 export interface HealthRegistryDependencies {
-  /** Name of this VM: evidence under it is its own. */
+  /** Name of this VM; suspicions with this name are own evidence. */
   readonly vm: string;
 }
 
@@ -25,12 +25,12 @@
 /**
  * Creates the registry of backend servers' health.
  *
- * Each change of a server raises its epoch, as in a Lamport clock: own evidence gets the next
- * epoch, whatever number it carries, and a peer's counts only if it is newer than what is held.
- * So a suspicion that was overtaken by a recovery does not come back with a late message.
+ * Each change of a server increments its epoch, as in a Lamport clock. Own evidence always gets the
+ * next epoch; the evidence of a peer counts only if its epoch is newer. A late message therefore
+ * cannot restore a suspicion that a recovery has cleared.
  *
  * @param dependencies - Name of this VM.
- * @returns Registry, in which unknown servers are serving.
+ * @returns Registry; unknown servers count as serving.
  */
 export const createHealthRegistry = ({ vm }: HealthRegistryDependencies): HealthRegistry => {
   const records = new Map<string, ServerRecord>();
@@ -49,28 +49,29 @@
   return {
     readHealth: (backendServer) => readRecordHealth(readRecord(backendServer)),
     recordSuspicion: (suspicion) => {
-      const held = readRecord(suspicion.backendServer);
+      const current = readRecord(suspicion.backendServer);
       const isOwn = suspicion.vm === vm;
-      const isWeaker = held.suspicion?.confirmed === true && !suspicion.confirmed;
-      const isKnown = held.suspicion !== null && held.suspicion.confirmed === suspicion.confirmed;
-      if (isWeaker || isKnown) return;
-      const confirmsHeld = held.suspicion !== null && suspicion.epoch === held.epoch;
-      if (!isOwn && suspicion.epoch <= held.epoch && !confirmsHeld) return;
-      const epoch = isOwn ? held.epoch + 1 : suspicion.epoch;
+      const isWeaker = current.suspicion?.confirmed === true && !suspicion.confirmed;
+      const isDuplicate =
+        current.suspicion !== null && current.suspicion.confirmed === suspicion.confirmed;
+      if (isWeaker || isDuplicate) return;
+      const confirmsCurrent = current.suspicion !== null && suspicion.epoch === current.epoch;
+      if (!isOwn && suspicion.epoch <= current.epoch && !confirmsCurrent) return;
+      const epoch = isOwn ? current.epoch + 1 : suspicion.epoch;
       writeRecord(suspicion.backendServer, {
-        ...held,
+        ...current,
         suspicion: { ...suspicion, epoch },
         epoch,
       });
     },
     recordRecovery: (backendServer) => {
-      const held = readRecord(backendServer);
-      if (!held.suspicion) return;
-      writeRecord(backendServer, { ...held, suspicion: null, epoch: held.epoch + 1 });
+      const current = readRecord(backendServer);
+      if (!current.suspicion) return;
+      writeRecord(backendServer, { ...current, suspicion: null, epoch: current.epoch + 1 });
     },
     recordLeaving: (backendServer, leaving) => {
-      const held = readRecord(backendServer);
-      if (held.leaving !== leaving) writeRecord(backendServer, { ...held, leaving });
+      const current = readRecord(backendServer);
+      if (current.leaving !== leaving) writeRecord(backendServer, { ...current, leaving });
     },
     listSuspicions: () =>
       [...records.values()].flatMap(({ suspicion }) => (suspicion ? [suspicion] : [])),
--- a/src/application/lease/createLeaseHolder/index.ts
+++ b/src/application/lease/createLeaseHolder/index.ts
@@ -1,16 +1,16 @@
 import type { Result } from 'neverthrow';
 import {
-  addLeaseSighting,
+  updateLeaseObservation,
   decodeLeaseRow,
   encodeLeaseRow,
   isOrderAllowed,
   isTakeoverDue,
   LEASE_DURATION_MS,
   ORDER_MARGIN_MS,
-  RENEW_MS,
+  LEASE_RENEWAL_INTERVAL_MS,
   TAKEOVER_MARGIN_MS,
 } from '../../../domain/lease';
-import type { HeldLease, LeaseRow, LeaseSighting } from '../../../domain/lease';
+import type { HeldLease, LeaseRow, LeaseObservation } from '../../../domain/lease';
 import type {
   Clock,
   EventLog,
@@ -23,8 +23,8 @@
 
 /** Partition of the lease rows; the sort key is the region. */
 export const LEASE_PARTITION = 'lease';
-/** Mean time between two looks at a lease that another process holds. */
-const WATCH_MS = 4_000;
+/** Mean interval between two reads of a lease that another process holds. */
+const WATCH_INTERVAL_MS = 4_000;
 const WATCH_JITTER = 0.25;
 const HOLDER_ID_BYTES = 8;
 
@@ -41,7 +41,7 @@
   takeoverMarginMs: TAKEOVER_MARGIN_MS,
 };
 
-/** What the holder needs. */
+/** Dependencies of the lease holder. */
 export interface LeaseHolderDependencies {
   readonly region: string;
   readonly vm: string;
@@ -51,25 +51,25 @@
   readonly log: EventLog;
 }
 
-/** Holds, or waits for, the lease on a region's engine orders. */
+/** Holds, or waits for, the lease under which the engines of a region get orders. */
 export interface LeaseHolder {
   start(): void;
-  /** Gives the lease up; call it after the last order was answered. */
+  /** Releases the lease; call it after the last order was answered. */
   stop(): Promise<void>;
-  /** The fencing token if an order may be sent right now, else null. Ask before each order. */
+  /** The fencing token if an order may be sent now, or null. Must be read before each order. */
   readOrderToken(): number | null;
-  /** An engine has seen a higher token: someone else holds, or held, the lease. */
-  recordStale(fencingToken: number): void;
-  /** The row as last seen, or null. */
-  readLastSeen(): LeaseRow | null;
+  /** Records a token that an engine has seen; a higher one shows a newer holder of the lease. */
+  recordObservedToken(fencingToken: number): void;
+  /** The row as last read or written, or null. */
+  readLastObservedRow(): LeaseRow | null;
 }
 
 /**
  * Creates the holder of a region's lease.
  *
- * The row's revision grows with each renewal and is the fencing token. A reply that is lost is
- * resolved by reading the row back: if it carries this process's id at the revision that was tried,
- * the write took effect. Where that can't be read either, the lease counts as not renewed.
+ * The row's revision grows with each renewal and is the fencing token. A lost response is resolved
+ * by reading the row back: if the row has this process's id and the attempted revision, the write
+ * took effect. If the row can't be read either, the lease counts as not renewed.
  */
 export function createLeaseHolder(
   deps: LeaseHolderDependencies,
@@ -78,8 +78,8 @@
   const { region, vm, table, clock, randomness, log } = deps;
   const holder = `${vm}-${randomness.readHex(HOLDER_ID_BYTES)}`;
   let held: HeldLease | null = null;
-  let sighting: LeaseSighting | null = null;
-  let leastRevision = 0;
+  let observation: LeaseObservation | null = null;
+  let minRevision = 0;
   let stopped = false;
   let cancelTimer = (): void => {};
 
@@ -99,57 +99,60 @@
     if (read.isErr()) return false;
     const item = read.value;
     const decoded = item === null ? null : decodeLeaseRow(item.body, item.revision);
-    // A row that can't be read is not taken over: an operator must look at it first.
+    // A malformed row is not taken over, as an operator must check it first.
     if (decoded?.isErr() === true) {
       log.error('lease row is malformed', { region, reason: decoded.error.reason });
       return false;
     }
     const row = decoded === null ? null : decoded.unwrapOr(null);
-    sighting = addLeaseSighting(sighting, row, clock.readMonotonicMs());
+    observation = updateLeaseObservation(observation, row, clock.readMonotonicMs());
     return true;
   };
-  const isWritten = async (
+  const confirmWrite = async (
     written: Result<void, StoreError>,
     revision: number,
   ): Promise<boolean> => {
     if (written.isOk()) return true;
     if (written.error.kind !== 'ambiguous') return false;
     const isRead = await readRow();
-    return isRead && sighting?.row?.holder === holder && sighting.row.revision === revision;
+    return isRead && observation?.row?.holder === holder && observation.row.revision === revision;
   };
   const writeLease = async (before: LeaseRow | null): Promise<void> => {
-    const revision = Math.max((before?.revision ?? 0) + 1, leastRevision);
+    const revision = Math.max((before?.revision ?? 0) + 1, minRevision);
     const row: LeaseRow = { holder, vm, durationMs, revision };
     const condition: WriteCondition =
       before === null ? { kind: 'absent' } : { kind: 'revision', revision: before.revision };
-    // The lease counts from before the write: the table may apply it at any moment from here on.
+    // The lease starts before the write, as the table may apply the write at any time from now on.
     const renewedAtMs = clock.readMonotonicMs();
     const written = await table.writeItem(buildItem(row), condition);
-    if (!(await isWritten(written, revision))) {
+    if (!(await confirmWrite(written, revision))) {
       if (written.isErr() && written.error.kind === 'condition-failed') dropLease('taken over');
       return;
     }
     if (stopped) return;
     if (held === null) log.info('lease taken', { region, revision });
     held = { revision, renewedAtMs, durationMs };
-    sighting = addLeaseSighting(sighting, row, clock.readMonotonicMs());
+    observation = updateLeaseObservation(observation, row, clock.readMonotonicMs());
   };
-  const runTurn = async (): Promise<void> => {
+  const runCycle = async (): Promise<void> => {
     const isRead = await readRow();
-    if (isRead && !stopped && sighting !== null) {
-      const isOwn = sighting.row?.holder === holder;
+    if (isRead && !stopped && observation !== null) {
+      const isOwn = observation.row?.holder === holder;
       if (!isOwn) dropLease('another holder');
-      const isDue = isTakeoverDue(sighting, clock.readMonotonicMs(), takeoverMarginMs);
-      if (isOwn || isDue) await writeLease(sighting.row);
+      const isDue = isTakeoverDue(observation, clock.readMonotonicMs(), takeoverMarginMs);
+      if (isOwn || isDue) await writeLease(observation.row);
     }
     if (stopped) return;
     const jitter = 1 + WATCH_JITTER * (2 * randomness.readFraction() - 1);
-    cancelTimer = clock.startTimer(held === null ? WATCH_MS * jitter : RENEW_MS, runTurn);
+    cancelTimer = clock.startTimer(
+      held === null ? WATCH_INTERVAL_MS * jitter : LEASE_RENEWAL_INTERVAL_MS,
+      runCycle,
+    );
   };
 
   return {
     start: () => {
-      runTurn();
+      runCycle();
     },
     stop: async () => {
       stopped = true;
@@ -160,18 +163,18 @@
       const revision = last.revision + 1;
       const row: LeaseRow = { holder: '', vm, durationMs, revision };
       const condition: WriteCondition = { kind: 'revision', revision: last.revision };
-      // If this fails the next holder waits the lease out, as after a crash.
+      // If this write fails, the next holder waits until the lease expires, as after a crash.
       await table.writeItem(buildItem(row), condition);
     },
     readOrderToken: () =>
       isOrderAllowed(held, clock.readMonotonicMs(), orderMarginMs)
         ? (held?.revision ?? null)
         : null,
-    recordStale: (fencingToken) => {
+    recordObservedToken: (fencingToken) => {
       if (held === null || fencingToken <= held.revision) return;
-      leastRevision = fencingToken + 1;
+      minRevision = fencingToken + 1;
       dropLease('an engine has seen a higher token');
     },
-    readLastSeen: () => sighting?.row ?? null,
+    readLastObservedRow: () => observation?.row ?? null,
   };
 }
--- a/src/application/limits/createLimitOwner/index.ts
+++ b/src/application/limits/createLimitOwner/index.ts
@@ -3,74 +3,77 @@
 import type { ServerLimits } from '../createServerLimits';
 import type { PermitRequest } from '../types';
 
-/** What an owner needs. */
+/** Dependencies of the limit owner. */
 export interface LimitOwnerDependencies {
   readonly clock: Pick<Clock, 'readMonotonicMs'>;
   readonly randomness: Randomness;
   readonly limits: Pick<ServerLimits, 'readLimitPerS'>;
 }
 
-/** Keeps the rate limits of some servers for all VMs. */
+/** Enforces the rate limits of the servers that this VM owns, for all VMs together. */
 export interface LimitOwner {
-  /** Decides on a permit; one that is granted counts as a request that was sent. */
-  handlePermit(request: PermitRequest): PermitDecision;
-  /** Takes a permit back that was not used. */
+  /** Decides on a permit request. A granted permit counts as a sent request. */
+  handlePermitRequest(request: PermitRequest): PermitDecision;
+  /** Takes back a permit that was not used. */
   releasePermit(server: string): void;
 }
 
-/** Requests and VMs that an owner knows of at one server. */
-interface Window {
+/** Recent requests to one server, and the VMs that asked for permits. */
+interface ServerWindow {
   sentAtMs: readonly number[];
-  readonly askedAtMs: Map<string, number>;
+  readonly lastAskedAtMsByVm: Map<string, number>;
 }
 
-/** A VM that was turned down asks again within this time. */
-const ASKER_MS = 2000;
+/** A VM whose request was denied asks again within this time. */
+const ASKER_TTL_MS = 2000;
 
-/** A server that nobody asked about for this long is forgotten. */
-const IDLE_MS = 10_000;
+/** A server that no VM has asked about for this long is removed. */
+const IDLE_WINDOW_TTL_MS = 10_000;
 
-/** A confirmation comes some milliseconds after the permit. */
-const CONFIRMATION_SLACK = 1;
+/** A confirmation arrives some milliseconds after the first owner granted the permit. */
+const CONFIRMATION_SLACK_REQUESTS = 1;
 
-/** Creates the owner of this VM; it keeps nothing yet. */
+/** Creates the limit owner of this VM, with no servers yet. */
 export const createLimitOwner = ({
   clock,
   limits,
   randomness,
 }: LimitOwnerDependencies): LimitOwner => {
-  const windows = new Map<string, Window>();
+  const windows = new Map<string, ServerWindow>();
 
-  const dropIdle = (nowMs: number): void =>
-    windows.forEach(({ askedAtMs }, server) => {
-      if (Math.max(...askedAtMs.values()) < nowMs - IDLE_MS) windows.delete(server);
+  const removeIdleWindows = (nowMs: number): void =>
+    windows.forEach(({ lastAskedAtMsByVm }, server) => {
+      if (Math.max(...lastAskedAtMsByVm.values()) < nowMs - IDLE_WINDOW_TTL_MS)
+        windows.delete(server);
     });
 
-  const openWindow = (server: string, nowMs: number): Window => {
+  const findOrCreateWindow = (server: string, nowMs: number): ServerWindow => {
     const known = windows.get(server);
     if (known) return known;
-    dropIdle(nowMs);
-    const opened = { sentAtMs: [], askedAtMs: new Map<string, number>() };
+    removeIdleWindows(nowMs);
+    const opened = { sentAtMs: [], lastAskedAtMsByVm: new Map<string, number>() };
     windows.set(server, opened);
     return opened;
   };
 
   return {
-    handlePermit: ({ isConfirmation, limitPerS, sender, sentAgesMs, server }) => {
+    handlePermitRequest: ({ isConfirmation, limitPerS, sender, sentAgesMs, server }) => {
       const nowMs = clock.readMonotonicMs();
-      const window = openWindow(server, nowMs);
-      window.askedAtMs.set(sender, nowMs);
+      const window = findOrCreateWindow(server, nowMs);
+      window.lastAskedAtMsByVm.set(sender, nowMs);
       window.sentAtMs = [...window.sentAtMs, ...sentAgesMs.map((ageMs) => nowMs - ageMs)]
         .filter((atMs) => atMs > nowMs - PERMIT_WINDOW_MS)
         .sort((a, b) => a - b);
-      const askers = [...window.askedAtMs.values()].filter((atMs) => atMs > nowMs - ASKER_MS);
+      const recentAskers = [...window.lastAskedAtMsByVm.values()].filter(
+        (atMs) => atMs > nowMs - ASKER_TTL_MS,
+      );
       const decision = decidePermit({
         sentAtMs: window.sentAtMs,
         limitPerS: Math.min(limitPerS, limits.readLimitPerS(server) ?? Infinity),
         nowMs,
-        askers: askers.length,
+        askingVms: recentAskers.length,
         draw: randomness.readFraction(),
-        slack: isConfirmation ? CONFIRMATION_SLACK : 0,
+        slack: isConfirmation ? CONFIRMATION_SLACK_REQUESTS : 0,
       });
       if (decision.isGranted) window.sentAtMs = [...window.sentAtMs, nowMs];
       return decision;
--- /dev/null
+++ b/src/domain/forwarding/countCrashedServers/test.ts
@@ -0,0 +1,33 @@
+import test from 'ava';
+import { countCrashedServers } from '.';
+
+const buildCrash = (server: string, atMs: number, requestId = 'r-1') => ({
+  fingerprint: 'f',
+  requestId,
+  server,
+  hasCrashed: true,
+  atMs,
+});
+
+test('each crashed server counts once, however many outcomes report it', (t) => {
+  const crashes = [buildCrash('i-1', 0), buildCrash('i-2', 900, 'r-2'), buildCrash('i-1', 910)];
+  t.is(countCrashedServers(crashes), 2);
+  t.is(countCrashedServers([]), 0);
+});
+
+test('a server that answered does not count', (t) => {
+  t.is(countCrashedServers([{ ...buildCrash('i-1', 0), hasCrashed: false }]), 0);
+});
+
+test('crashes under one request all count, however quickly they follow each other', (t) => {
+  t.is(
+    countCrashedServers([buildCrash('i-1', 0), buildCrash('i-2', 40), buildCrash('i-3', 80)]),
+    3,
+  );
+});
+
+test('the loss of a rack during concurrent retries counts as one crash', (t) => {
+  const crashes = ['1', '2', '3', '4'].map((n) => buildCrash(`i-${n}`, 10 * Number(n), `r-${n}`));
+  t.is(countCrashedServers(crashes), 1);
+  t.is(countCrashedServers([...crashes, buildCrash('i-9', 700, 'r-9')]), 2);
+});
--- a/src/domain/generation/_lib/handleCallerAttached/index.ts
+++ b/src/domain/generation/_lib/handleCallerAttached/index.ts
@@ -2,13 +2,13 @@
 import { recoverGeneration } from '../recoverGeneration';
 
 /**
- * Handles a caller that follows the generation from now on; a parked one goes on.
+ * Adds a caller that follows the generation; a parked generation continues.
  *
- * @param state - Generation.
+ * @param state - State of the generation.
  * @returns The next step.
  */
 export const handleCallerAttached = (state: GenerationState): Transition => {
   const attached = { ...state, callers: state.callers + 1 };
   if (state.phase !== 'parked') return { state: attached, effects: [] };
-  return recoverGeneration({ ...attached, phase: 'running', fruitlessAttempts: 0 });
+  return recoverGeneration({ ...attached, phase: 'running', attemptsWithoutProgress: 0 });
 };
--- a/src/domain/generation/_lib/handleStreamGone/index.ts
+++ b/src/domain/generation/_lib/handleStreamGone/index.ts
@@ -1,12 +1,12 @@
 import type { GenerationInput, GenerationState, Transition } from '../../types';
 import { findAttempt } from '../findAttempt';
-import { replaceCrashed } from '../replaceCrashed';
+import { replaceCrashedAttempt } from '../replaceCrashedAttempt';
 
 /**
- * Handles a stream that its engine no longer has, for example because it was restarted.
+ * Handles a stream that its engine no longer has, for example after a restart.
  *
- * @param state - Generation.
- * @param input - Where it was asked for.
+ * @param state - State of the generation.
+ * @param input - Attempt and connection that requested the stream.
  * @returns The next step.
  */
 export const handleStreamGone = (
@@ -14,5 +14,5 @@
   input: Extract<GenerationInput, { kind: 'stream-gone' }>,
 ): Transition => {
   const attempt = findAttempt(state, input.reader);
-  return attempt ? replaceCrashed(state, attempt) : { state, effects: [] };
+  return attempt ? replaceCrashedAttempt(state, attempt) : { state, effects: [] };
 };
--- a/src/domain/request/buildGenerationRequest/index.ts
+++ b/src/domain/request/buildGenerationRequest/index.ts
@@ -1,11 +1,11 @@
 import type { Endpoint, GenerationRequest, Service } from '../../types';
 import { computePrefixDigests } from '../../routing';
-import { computePromptText } from '../computePromptText';
+import { extractPromptText } from '../extractPromptText';
 import { computeRequestDigest } from '../computeRequestDigest';
 import type { ChatBody, CompletionBody, RequestOptions } from '../types';
 
-/** What a generation request is built from; all parts are checked. */
-export interface GenerationSource {
+/** Validated parts from which a generation request is built. */
+export interface GenerationRequestParts {
   readonly requestId: string;
   readonly workspace: string;
   readonly service: Service;
@@ -14,12 +14,12 @@
   readonly options: RequestOptions;
 }
 
-/** Builds the request that the generations run, with its digest, prefixes and defaults. */
-export const buildGenerationRequest = (source: GenerationSource): GenerationRequest => {
-  const { body, endpoint, options, service, workspace } = source;
-  const prompt = computePromptText(endpoint, body);
+/** Builds a generation request with its digest, its prefixes and the defaults of the service. */
+export const buildGenerationRequest = (parts: GenerationRequestParts): GenerationRequest => {
+  const { body, endpoint, options, service, workspace } = parts;
+  const prompt = extractPromptText(endpoint, body);
   return {
-    requestId: source.requestId,
+    requestId: parts.requestId,
     workspace,
     service: service.name,
     endpoint,
--- a/src/domain/request/computePromptText/index.ts
+++ b/src/domain/request/extractPromptText/index.ts
@@ -9,11 +9,11 @@
 };
 
 /**
- * Gives the text of a prompt as prefix digests and estimates count it.
+ * Extracts the text of a prompt for prefix digests and estimates.
  *
  * @returns the prompt of a completion; the messages of a chat, each as `role\ncontent\n`
  */
-export const computePromptText = (endpoint: Endpoint, body: ChatBody | CompletionBody): string => {
+export const extractPromptText = (endpoint: Endpoint, body: ChatBody | CompletionBody): string => {
   if (endpoint === Endpoint.Completion) return (body as CompletionBody).prompt;
   return (body as ChatBody).messages
     .map((message) => `${message.role}\n${readContent(message.content)}\n`)
--- a/src/programs/entry/startEntry/index.ts
+++ b/src/programs/entry/startEntry/index.ts
@@ -1,6 +1,6 @@
 import { err, ok, type Result } from 'neverthrow';
 import { startPeerServer } from '../../../adapters/connect';
-import { createCallerApp, startCallerServer, type CursorCodec } from '../../../adapters/http';
+import { createCallerApp, startCallerServer, type CursorSigner } from '../../../adapters/http';
 import { createProber } from '../../../application/health';
 import { createMembershipFollower } from '../../../application/membership';
 import { createLoadPoller } from '../../../application/routing';
@@ -8,29 +8,29 @@
 import { signCursor, verifyCursor } from '../../../domain/cursor';
 import { buildStatus } from '../_lib/buildStatus';
 import { createDeferredPeerServices } from '../_lib/createDeferredPeerServices';
-import { wireBase, type EntryBase } from '../_lib/wireBase';
-import { wireParts, type EntryParts } from '../_lib/wireParts';
-import type { Entry, EntryOverrides, EntrySettings, StartError } from '../types';
+import { wireInfrastructure, type EntryInfrastructure } from '../_lib/wireInfrastructure';
+import { wireEntry, type EntryParts } from '../_lib/wireEntry';
+import type { Entry, EntryOverrides, EntrySettings, EntryStartError } from '../types';
 
-/** Bound of a drain before a configuration names one. */
-const DEFAULT_DRAIN_MS = 30_000;
+/** Timeout of a drain until a configuration is in force. */
+const DEFAULT_DRAIN_TIMEOUT_MS = 30_000;
 
-/** Longest wait of a drain for the answers of ended generations to be stored. */
-const END_WRITE_MS = 5000;
+/** Timeout of a drain's wait until the answers of ended generations are stored. */
+const ANSWER_WRITE_TIMEOUT_MS = 5000;
 
-const createCursorCodec = (keys: EntrySettings['cursorKeys']): CursorCodec => ({
+const createCursorCodec = (keys: EntrySettings['cursorKeys']): CursorSigner => ({
   sign: (cursor) => signCursor(cursor, keys),
   verify: (text) => verifyCursor(text, keys),
 });
 
-/** Starts what an entry does by itself; the returned function stops it. */
-const startLoops = (
-  base: EntryBase,
+/** Starts the background loops of an entry; the returned function stops them. */
+const startBackgroundLoops = (
+  infrastructure: EntryInfrastructure,
   parts: EntryParts,
   settings: EntrySettings,
   handleOwnLeaving: () => void,
 ): (() => Promise<void>) => {
-  const { clock, health, load, log, randomness, shutdown, stores } = base;
+  const { clock, health, load, log, randomness, shutdown, stores } = infrastructure;
   const { configuration, engineClient, exchange, self } = parts;
   const membership = createMembershipFollower({
     readSelf: () => ({ ...self, leaving: shutdown.isDraining() }),
@@ -67,11 +67,11 @@
   };
 };
 
-const addGauges = ({ metrics, shutdown }: EntryBase, parts: EntryParts): void =>
+const addGauges = ({ metrics, shutdown }: EntryInfrastructure, parts: EntryParts): void =>
   metrics.addGauges({
     countRunningGenerations: parts.generations.countRunning,
-    countRunningWork: shutdown.countRunning,
-    countWaiting: parts.router.countWaiting,
+    countRunningRequests: shutdown.countRunning,
+    countWaitingDemands: parts.router.countWaiting,
     readConfigurationVersion: parts.configuration.readVersion,
     isReady: () =>
       !shutdown.isDraining() && parts.configuration.readCurrent() !== null && !parts.isCutOff(),
@@ -80,16 +80,17 @@
 /**
  * Starts an entry: wires its parts and listens.
  *
- * @param settings - as read from the settings file; port 0 takes a free one
- * @param overrides - for tests, the demo and benches, which run several in one process
- * @returns the entry, listening; it takes new work once it has read a configuration
+ * @param settings - settings from the settings file; port 0 binds a free port
+ * @param overrides - replacements of parts, for tests, the demo and benchmarks, which run several
+ *   entries in one process
+ * @returns the listening entry, which accepts work once it has read a configuration
  */
 export const startEntry = async (
   settings: EntrySettings,
   overrides: EntryOverrides = {},
-): Promise<Result<Entry, StartError>> => {
-  const base = await wireBase(settings, overrides);
-  const { decisions, health, load, log, shutdown, stores } = base;
+): Promise<Result<Entry, EntryStartError>> => {
+  const infrastructure = await wireInfrastructure(settings, overrides);
+  const { decisions, health, load, log, shutdown, stores } = infrastructure;
   const deferred = createDeferredPeerServices();
   const peerServer = await startPeerServer({ ...settings.peers, services: deferred.services });
   if (peerServer.isErr()) {
@@ -97,14 +98,14 @@
     return err({ kind: 'cannot-listen', reason: peerServer.error.reason });
   }
   const { address: peerAddress } = peerServer.value;
-  const parts = wireParts(base, settings, peerAddress);
+  const parts = wireEntry(infrastructure, settings, peerAddress);
   const { configuration, exchange, generations, isCutOff } = parts;
 
   const drain = async (): Promise<DrainOutcome> => {
     exchange.recordOwnLeaving(true);
     const limits = configuration.readCurrent()?.configuration.limits;
-    const outcome = await shutdown.drain(limits?.drainMs ?? DEFAULT_DRAIN_MS);
-    await generations.waitForEnds(END_WRITE_MS);
+    const outcome = await shutdown.drain(limits?.drainMs ?? DEFAULT_DRAIN_TIMEOUT_MS);
+    await generations.waitForPendingWrites(ANSWER_WRITE_TIMEOUT_MS);
     return outcome;
   };
   deferred.setTarget({
@@ -132,9 +133,9 @@
       return shutdown.countRunning();
     },
   });
-  addGauges(base, parts);
+  addGauges(infrastructure, parts);
   const app = createCallerApp({
-    ...base,
+    ...infrastructure,
     ...parts,
     cursors: createCursorCodec(settings.cursorKeys),
   });
@@ -153,7 +154,7 @@
     await stopConnections();
     return err({ kind: 'cannot-listen', reason: callers.error.reason });
   }
-  const stopLoops = startLoops(base, parts, settings, () => {
+  const stopBackgroundLoops = startBackgroundLoops(infrastructure, parts, settings, () => {
     drain();
   });
   log.info('entry started', { vm: settings.vm.name, callers: callers.value.url, peerAddress });
@@ -169,13 +170,13 @@
     drain,
     waitForDrain: () =>
       new Promise((resolve) => {
-        const follow = (): void => resolve(drain());
-        shutdown.addListener(follow);
-        // The platform's list may have begun the drain before anybody waited for it.
-        if (shutdown.isDraining()) follow();
+        const resolveWithDrain = (): void => resolve(drain());
+        shutdown.addListener(resolveWithDrain);
+        // The platform's VM list may have started a drain before this call.
+        if (shutdown.isDraining()) resolveWithDrain();
       }),
     stop: async () => {
-      await stopLoops();
+      await stopBackgroundLoops();
       await callers.value.stop();
       await stopConnections();
     },
--- a/src/programs/gateway/_lib/startEndpoints/index.ts
+++ b/src/programs/gateway/_lib/startEndpoints/index.ts
@@ -1,13 +1,17 @@
 import { Hono } from 'hono';
 import { err, ok, type Result } from 'neverthrow';
-import { startCallerServer, type CallerServer, type ListenError } from '../../../../adapters/http';
+import {
+  startCallerServer,
+  type ListeningServer,
+  type ListenError,
+} from '../../../../adapters/http';
 import { createGatewayHandlers, startGatewayServer } from '../../../../adapters/connect';
-import { CALLS } from '../../../../../platform';
+import { PATHS } from '../../../../../platform';
 import type { GatewaySettings } from '../../../../domain/forwarding';
 import type { GatewayParts } from '../../types';
 import { parseAddress } from '../parseAddress';
 
-/** What the endpoints tell of. */
+/** Parts that the endpoints serve. */
 export interface EndpointParts extends Pick<
   GatewayParts,
   | 'directory'
@@ -23,7 +27,7 @@
   readonly isReady: () => boolean;
 }
 
-/** Endpoints that listen. */
+/** Listening endpoints. */
 export interface Endpoints {
   readonly readinessUrl: string;
   readonly metricsUrl: string;
@@ -33,7 +37,7 @@
 const READY_STATUS = 200;
 const NOT_READY_STATUS = 503;
 
-/** Starts the readiness and metrics addresses, and the one for other gateways. */
+/** Starts the servers for readiness checks, for metrics and for calls of other gateways. */
 export const startEndpoints = async (
   settings: GatewaySettings,
   {
@@ -50,22 +54,22 @@
   }: EndpointParts,
 ): Promise<Result<Endpoints, ListenError>> => {
   const readiness = new Hono();
-  readiness.get(CALLS.ready, (call) =>
+  readiness.get(PATHS.ready, (call) =>
     call.text(isReady() ? 'ready' : 'not ready', isReady() ? READY_STATUS : NOT_READY_STATUS),
   );
   const metricsApp = new Hono();
   metricsApp.get('/metrics', async (call) =>
     call.body(await metrics.render(), READY_STATUS, { 'content-type': metrics.contentType }),
   );
-  const servers: CallerServer[] = [];
+  const servers: ListeningServer[] = [];
   const stop = async (): Promise<void> => {
     await Promise.all(servers.map((server) => server.stop()));
   };
-  const listens = [
+  const listeners = [
     { app: readiness, address: settings.readinessAddress },
     { app: metricsApp, address: settings.metricsAddress },
   ];
-  for (const { address, app } of listens) {
+  for (const { address, app } of listeners) {
     const started = await startCallerServer(app, parseAddress(address));
     if (started.isErr()) {
       await stop();
@@ -79,9 +83,9 @@
       handlers: createGatewayHandlers({
         handleKnowledge: gossip.handleKnowledge,
         lendRetry: lender.lendRetry,
-        recordToldPrompt: directory.recordToldPrompt,
+        recordToldPrompt: directory.recordPeerPrompt,
         handleReservation: places.handleReservation,
-        handlePermit: limitOwner.handlePermit,
+        handlePermit: limitOwner.handlePermitRequest,
         releasePermit: limitOwner.releasePermit,
         handleReport: rolloutJudge.handleReport,
         handleRequest: sharing.handleRequest,
--- a/src/programs/gateway/_lib/startSettingsWatch/index.ts
+++ b/src/programs/gateway/_lib/startSettingsWatch/index.ts
@@ -3,28 +3,28 @@
 import type { GatewaySettings } from '../../../../domain/forwarding';
 import { readGatewaySettings } from '../readGatewaySettings';
 
-/** What a watch needs. */
+/** Dependencies of a settings watch. */
 export interface SettingsWatchDependencies {
   readonly file: string;
-  /** Settings in force. */
+  /** Settings in force at the start. */
   readonly settings: GatewaySettings;
   readonly clock: Clock;
   readonly log: EventLog;
-  /** Takes settings that changed, and says which of their keys need a restart. */
+  /** Applies changed settings and returns the keys that take effect only after a restart. */
   readonly applySettings: (settings: GatewaySettings) => readonly string[];
 }
 
-/** Follows a settings file. */
+/** Watches a settings file. */
 export interface SettingsWatch {
-  /** Reads the file now; resolves when what it says is in force, or refused. */
+  /** Reads the file; resolves when its settings are applied or rejected. */
   readNow(): Promise<void>;
   stop(): void;
 }
 
-/** The file may change without a signal: it is read this often, which costs nothing. */
-const READ_MS = 5000;
+/** Interval between reads of the file, which may also change without a signal. */
+const READ_INTERVAL_MS = 5000;
 
-/** Follows the settings file; one that can't be used leaves the settings before in force. */
+/** Watches the settings file. Invalid settings are rejected, and the earlier ones stay in force. */
 export const startSettingsWatch = ({
   applySettings,
   clock,
@@ -36,7 +36,7 @@
   let lastProblem = '';
   let isStopped = false;
 
-  const takeSettings = (next: GatewaySettings): void => {
+  const acceptSettings = (next: GatewaySettings): void => {
     lastProblem = '';
     const text = JSON.stringify(next);
     if (text === inForce) return;
@@ -44,28 +44,28 @@
     log.info('settings in force', { file, needRestart: applySettings(next).join(' ') });
   };
 
-  const takeProblems = (problems: readonly string[]): void => {
+  const rejectSettings = (problems: readonly string[]): void => {
     const reason = problems.join('; ');
-    // The same fault is told once, not at each look.
+    // The same problem is logged once, not at every read.
     if (reason !== lastProblem) log.error('settings refused', { file, reason });
     lastProblem = reason;
   };
 
   const readNow = async (): Promise<void> => {
     const read = await readGatewaySettings(file);
-    if (!isStopped) read.match(takeSettings, takeProblems);
+    if (!isStopped) read.match(acceptSettings, rejectSettings);
   };
 
   const stopLoop = startLoop({
     clock,
-    firstDelayMs: READ_MS,
+    firstDelayMs: READ_INTERVAL_MS,
     runStep: async () => {
       await readNow();
-      return READ_MS;
+      return READ_INTERVAL_MS;
     },
     handleFailure: (reason) => {
-      takeProblems([reason]);
-      return READ_MS;
+      rejectSettings([reason]);
+      return READ_INTERVAL_MS;
     },
   });
   return {
--- a/src/programs/gateway/_lib/wireCrashes/index.ts
+++ b/src/programs/gateway/_lib/wireCrashes/index.ts
@@ -2,7 +2,7 @@
   createCrashHistory,
   createCrashProbe,
   createQuarantineRows,
-  CRASHES_KEPT_MS,
+  CRASH_RETENTION_MS,
   type CrashHistory,
   type CrashProbe,
   type QuarantineRows,
@@ -13,7 +13,7 @@
 import type { Clock, EventLog, ForwardClient, Randomness } from '../../../../application/ports';
 import { TABLES, type StoreClient } from '../../../../../platform';
 
-/** What the parts work with. */
+/** Dependencies of the crash parts. */
 export interface CrashPartsDependencies {
   readonly client: ForwardClient;
   readonly clock: Clock;
@@ -22,17 +22,17 @@
   readonly randomness: Randomness;
   readonly store: StoreClient;
   readonly tables: RouteTableHolder;
-  readonly tellOutcome: Gossip['sendOutcome'];
+  readonly publishOutcome: Gossip['sendOutcome'];
 }
 
-/** The parts that know of requests which end their servers. */
+/** Parts that track requests which crash their servers. */
 export interface CrashParts {
   readonly crashes: CrashHistory;
   readonly crashProbe: CrashProbe;
   readonly quarantineRows: QuarantineRows;
 }
 
-/** Wires what knows of requests that end their servers. */
+/** Wires the parts that track requests which crash their servers. */
 export const wireCrashes = ({
   client,
   clock,
@@ -41,14 +41,14 @@
   randomness,
   store,
   tables,
-  tellOutcome,
+  publishOutcome,
 }: CrashPartsDependencies): CrashParts => {
   let writeQuarantine: QuarantineRows['startWrite'] = () => undefined;
   const crashes = createCrashHistory({
     clock,
     log,
     hasAnsweredSince: directory.hasAnsweredSince,
-    tellOutcome,
+    publishOutcome,
     handleQuarantine: (fingerprint) => writeQuarantine(fingerprint),
   });
   const quarantineRows = createQuarantineRows({
@@ -57,7 +57,7 @@
     crashes,
     clock,
     log,
-    keptMs: CRASHES_KEPT_MS,
+    retentionMs: CRASH_RETENTION_MS,
   });
   writeQuarantine = quarantineRows.startWrite;
   const crashProbe = createCrashProbe({
--- a/src/programs/gateway/_lib/wireGateway/index.ts
+++ b/src/programs/gateway/_lib/wireGateway/index.ts
@@ -5,12 +5,12 @@
 import {
   createForwarder,
   createIdentityWatch,
-  createPromptPlaces,
+  createPromptReservations,
   createRouteTableHolder,
   createServerDirectory,
 } from '../../../../application/forwarding';
 import { createGossip, type Gossip } from '../../../../application/gossip';
-import { createFollowerPair, createSharedReading } from '../../../../application/rows';
+import { createFollowerPair, createZoneReplication } from '../../../../application/rows';
 import {
   CONFIGURATION_KEY,
   createServerClient,
@@ -25,13 +25,13 @@
 import { wireRollouts } from '../wireRollouts';
 import type { GatewayOverrides, GatewayParts } from '../../types';
 import {
-  computeBurstPause,
-  computeFollowWait,
-  computeSharing,
+  computeBatchDelayMs,
+  computeLongPollMs,
+  computeStalenessLimits,
   type GatewaySettings,
 } from '../../../../domain/forwarding';
 
-/** Wires the parts of a gateway; nothing runs yet. */
+/** Wires the parts of a gateway without starting them. */
 export const wireGateway = (
   settings: GatewaySettings,
   overrides: GatewayOverrides,
@@ -43,7 +43,7 @@
   const store = overrides.store ?? createStoreClient(settings.storeUrl, { clock });
   const client = createServerClient({ clock });
   const tables = createRouteTableHolder({ key: CONFIGURATION_KEY, decode: decodeRouteTable, log });
-  // The gossip tells of the followers' rows, which the directory takes: it is wired last.
+  // Gossip depends on the followers and these on the directory, so gossip is wired last.
   let sendSuspicion: Gossip['sendSuspicion'] = () => undefined;
   let sendInferred: Gossip['sendInferred'] = () => undefined;
   let sendOutcome: Gossip['sendOutcome'] = () => undefined;
@@ -59,7 +59,7 @@
     self: settings,
     listPeers: () => listMembers(),
     calls,
-    tellLimit: (limit) => sendLimit(limit),
+    publishLimit: (limit) => sendLimit(limit),
     clock,
     log,
     randomness,
@@ -70,8 +70,8 @@
     log,
     handleGone: (id) => {
       client.removeServer(id);
-      limits.drop(id);
-      permits.drop(id);
+      limits.forgetServer(id);
+      permits.forgetServer(id);
     },
     reuseAfterMs: settings.bounds.reuseAfterMs,
     handleSuspected: (id, cause) => {
@@ -83,8 +83,8 @@
       startIdentityWatch();
     },
   });
-  const identities = createIdentityWatch({ client, clock, directory, log, tables });
-  startIdentityWatch = identities.start;
+  const identityWatch = createIdentityWatch({ client, clock, directory, log, tables });
+  startIdentityWatch = identityWatch.start;
   let sendVerdict: Gossip['sendVerdict'] = () => undefined;
   const { judge: rolloutJudge, rollouts } = wireRollouts({
     settings,
@@ -95,7 +95,7 @@
     randomness,
     sendReport: calls.reportTrial,
     store,
-    tellVerdict: (verdict) => sendVerdict(verdict),
+    publishVerdict: (verdict) => sendVerdict(verdict),
   });
   const { crashes, crashProbe, quarantineRows } = wireCrashes({
     client,
@@ -105,22 +105,22 @@
     randomness,
     store,
     tables,
-    tellOutcome: (outcome) => sendOutcome(outcome),
+    publishOutcome: (outcome) => sendOutcome(outcome),
   });
-  // The configuration guards the servers' table: its changes are the rarer ones, and it is always there.
-  const shared = computeSharing(settings.bounds);
-  let handleAdvance = (): void => undefined;
+  // The configuration is the primary table: it changes less often, and it always exists.
+  const stalenessLimits = computeStalenessLimits(settings.bounds);
+  let handleUpdate = (): void => undefined;
   const pair = createFollowerPair({
     store,
     clock,
     randomness,
     log,
-    aloneWaitMs: computeFollowWait(settings.bounds),
-    freshMs: shared?.freshMs ?? Infinity,
-    staleMs: shared?.staleMs ?? Infinity,
-    burstPauseMs: computeBurstPause(settings.bounds),
-    handleAdvance: () => handleAdvance(),
-    guard: {
+    shortWaitMs: computeLongPollMs(settings.bounds),
+    freshMs: stalenessLimits?.freshMs ?? Infinity,
+    staleMs: stalenessLimits?.staleMs ?? Infinity,
+    burstPauseMs: computeBatchDelayMs(settings.bounds),
+    handleUpdate: () => handleUpdate(),
+    primary: {
       table: TABLES.operator,
       handleRows: (rows) => {
         tables.applyRows(rows);
@@ -128,9 +128,9 @@
       },
       handleRestored: quarantineRows.startRewrite,
     },
-    guarded: { table: TABLES.servers, handleRows: directory.applyRows },
+    secondary: { table: TABLES.servers, handleRows: directory.applyRows },
   });
-  const { guard: configuration, guarded: servers } = pair;
+  const { primary: configuration, secondary: servers } = pair;
   const followers = new Map([
     [TABLES.operator, configuration],
     [TABLES.servers, servers],
@@ -154,8 +154,8 @@
     log,
     handleSuspicion: ({ server }) => directory.recordSuspicion(server, 'told'),
     handleInferred: (server) => {
-      directory.applyInferred(server);
-      identities.start();
+      directory.addInferred(server);
+      identityWatch.start();
     },
   });
   sendSuspicion = gossip.sendSuspicion;
@@ -164,27 +164,27 @@
   sendVerdict = gossip.sendVerdict;
   sendLimit = gossip.sendLimit;
   listMembers = gossip.listMembers;
-  const sharing = createSharedReading({
+  const sharing = createZoneReplication({
     self,
-    sharing: shared,
+    sharing: stalenessLimits,
     pair,
     followers,
     listMembers: gossip.listMembers,
-    askVm: calls.followTables,
+    requestStatements: calls.followTables,
     clock,
     randomness,
     log,
   });
-  handleAdvance = sharing.handleAdvance;
+  handleUpdate = sharing.handleUpdate;
   const { bounds } = settings;
   const { lender, retries } = wireRetries({ bounds, calls, clock, gossip, log });
-  const places = createPromptPlaces({
+  const places = createPromptReservations({
     self: settings.vm,
     listPeers: gossip.listMembers,
     tellPeer: calls.tellPrompt,
     askPeer: calls.reservePrompt,
-    countUnreadTokens: directory.countUnreadTokens,
-    recordToldPrompt: directory.recordToldPrompt,
+    countPendingPrefillTokens: directory.countPendingPrefillTokens,
+    recordPeerPrompt: directory.recordPeerPrompt,
   });
   const forwarder = createForwarder({
     lender,
@@ -225,7 +225,7 @@
       rolloutJudge.stop();
       sharing.stop();
       gossip.stop();
-      identities.stop();
+      identityWatch.stop();
       calls.close();
       await Promise.all([client.stop(), store.stop()]);
     },
--- a/src/programs/gateway/_lib/wireRetries/index.ts
+++ b/src/programs/gateway/_lib/wireRetries/index.ts
@@ -1,30 +1,30 @@
 import type { GatewayClient } from '../../../../adapters/connect';
 import {
-  createRetryAllowance,
+  createRetryBudget,
   createRetryLender,
-  type RetryAllowance,
+  type RetryBudget,
   type RetryLender,
 } from '../../../../application/forwarding';
 import type { Gossip } from '../../../../application/gossip';
 import type { Clock, EventLog } from '../../../../application/ports';
 import type { GatewayBounds } from '../../../../domain/forwarding';
 
-/** What the parts work with. */
+/** Dependencies of the retry parts. */
 export interface RetryPartsDependencies {
   readonly bounds: GatewayBounds;
-  readonly calls: Pick<GatewayClient, 'askRetry'>;
+  readonly calls: Pick<GatewayClient, 'borrowRetry'>;
   readonly clock: Clock;
   readonly gossip: Pick<Gossip, 'countVms' | 'drawAddresses'>;
   readonly log: EventLog;
 }
 
-/** The parts that keep the bound on repeats. */
+/** Parts that enforce the retry budget. */
 export interface RetryParts {
-  readonly retries: RetryAllowance;
+  readonly retries: RetryBudget;
   readonly lender: RetryLender;
 }
 
-/** Wires what keeps the bound on repeats. */
+/** Wires the parts that enforce the retry budget. */
 export const wireRetries = ({
   bounds,
   calls,
@@ -32,12 +32,12 @@
   gossip,
   log,
 }: RetryPartsDependencies): RetryParts => {
-  const retries = createRetryAllowance({ bounds, clock, countVms: () => gossip.countVms() });
+  const retries = createRetryBudget({ bounds, clock, countVms: () => gossip.countVms() });
   const lender = createRetryLender({
     retries,
     log,
-    drawPeers: gossip.drawAddresses,
-    askPeer: calls.askRetry,
+    pickPeers: gossip.drawAddresses,
+    askPeer: calls.borrowRetry,
   });
   return { retries, lender };
 };
--- a/src/programs/gateway/runGatewayCli/index.ts
+++ b/src/programs/gateway/runGatewayCli/index.ts
@@ -9,7 +9,8 @@
 
 class GatewayCommand extends Command {
   static override usage = Command.Usage({
-    description: "Forwards callers' requests at one VM until SIGTERM, then lets them end.",
+    description:
+      "Forwards callers' requests on one VM until SIGTERM, then lets running requests end.",
     examples: [['Start with the settings file of the platform', '$0 --settings boot.toml']],
   });
 
@@ -28,7 +29,7 @@
     const { lines, log } = await createGatewayLog(settings.value.vm);
     const started = await startGateway(settings.value, {
       log,
-      countDroppedLines: lines.countDropped,
+      countDroppedLines: lines.countDroppedLines,
     });
     if (started.isErr()) {
       this.context.stderr.write(`${started.error.address}: ${started.error.reason}\n`);
@@ -50,7 +51,7 @@
     watch.stop();
     await started.value.drain();
     await started.value.stop();
-    await lines.waitForEmpty();
+    await lines.waitUntilEmpty();
     return SERVICE_EXIT_CODES.done;
   }
 }
--- a/src/programs/jackdaw/buildOverview/index.ts
+++ b/src/programs/jackdaw/buildOverview/index.ts
@@ -1,6 +1,6 @@
 import { listMissingModels } from '../../../domain/order';
 import type { LoadedModel } from '../../../domain/types';
-import type { AskedVm, ProcessStatus } from '../readStatuses';
+import type { VmStatusResult, ProcessStatus } from '../readStatuses';
 
 /** A VM as the overview shows it. */
 export interface OverviewVm {
@@ -10,7 +10,7 @@
   readonly state: string;
   readonly version: number;
   readonly running: number;
-  /** VMs that hear it, of those that answered. */
+  /** Number of VMs, among those that answered, that hear this VM. */
   readonly heardBy: number;
 }
 
@@ -18,26 +18,26 @@
 export interface OverviewServer {
   readonly name: string;
   readonly availabilityZone: string;
-  /** The worst health that any VM sees. */
+  /** The worst health that any VM reports. */
   readonly health: string;
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
   readonly desired: readonly LoadedModel[];
   readonly actual: readonly LoadedModel[];
-  /** False: it holds something else than the configuration's target, or says nothing. */
+  /** False if the loaded models differ from the configuration's target, or are unknown. */
   readonly asDesired: boolean;
 }
 
 /** Holder of a region's lease on engine orders. */
 export interface OverviewLease {
   readonly region: string;
-  /** Empty: nobody holds it. */
+  /** VM of the holder, empty if nobody holds the lease. */
   readonly vm: string;
   readonly fencingToken: number;
 }
 
-/** What `jackdaw status` shows. */
+/** Overview of a deployment, as `jackdaw status` shows it. */
 export interface Overview {
   readonly deployment: string;
   /** The highest version in force at any VM. */
@@ -55,9 +55,9 @@
 
 type ServerStatus = ProcessStatus['backendServers'][number];
 
-/** A VM counts as heard if it was heard within this time. */
-const HEARD_LIMIT_MS = 5_000;
-const HEALTH_ORDER: readonly string[] = ['dead', 'suspected', 'leaving', 'serving'];
+/** A VM counts as heard if its last message is younger than this. */
+const MAX_HEARD_AGE_MS = 5_000;
+const HEALTH_FROM_WORST: readonly string[] = ['dead', 'suspected', 'leaving', 'serving'];
 
 const readState = (status: ProcessStatus): string => {
   if (status.draining) return 'draining';
@@ -66,11 +66,11 @@
 
 function isHeardIn(status: ProcessStatus, vm: string): boolean {
   const view = status.vms.find((other) => other.vm === vm);
-  return view !== undefined && view.heardAgeMs !== null && view.heardAgeMs < HEARD_LIMIT_MS;
+  return view !== undefined && view.heardAgeMs !== null && view.heardAgeMs < MAX_HEARD_AGE_MS;
 }
 
-function buildVm(asked: AskedVm, statuses: readonly ProcessStatus[]): OverviewVm {
-  const { vm, peerAddress, status } = asked;
+function buildVm(result: VmStatusResult, statuses: readonly ProcessStatus[]): OverviewVm {
+  const { vm, peerAddress, status } = result;
   return {
     vm,
     peerAddress,
@@ -90,11 +90,12 @@
     status.backendServers.filter((server) => server.name === name),
   );
   const byHealth = [...views].sort(
-    (left, right) => HEALTH_ORDER.indexOf(left.health) - HEALTH_ORDER.indexOf(right.health),
+    (left, right) =>
+      HEALTH_FROM_WORST.indexOf(left.health) - HEALTH_FROM_WORST.indexOf(right.health),
   );
-  const report = views.reduce<ServerStatus['report']>((held, view) => held ?? view.report, null);
+  const report = views.reduce<ServerStatus['report']>((found, view) => found ?? view.report, null);
   const actual = report?.models ?? [];
-  const isSame =
+  const matchesTarget =
     desired !== null &&
     listMissingModels(desired, actual).length === 0 &&
     listMissingModels(actual, desired).length === 0;
@@ -107,20 +108,20 @@
     slots: report?.slots ?? 0,
     desired: desired ?? [],
     actual,
-    asDesired: desired === null || isSame,
+    asDesired: desired === null || matchesTarget,
   };
 }
 
 /**
- * Builds the overview of a deployment from what its VMs said.
+ * Builds the overview of a deployment from the statuses of its VMs.
  *
- * Places, services and targets are those of the VM with the highest version.
+ * Places, services and targets are taken from the VM with the highest version.
  */
 export function buildOverview(
-  asked: readonly AskedVm[],
+  results: readonly VmStatusResult[],
   leases: readonly OverviewLease[],
 ): Overview {
-  const statuses = asked.flatMap(({ status }) => (status === null ? [] : [status]));
+  const statuses = results.flatMap(({ status }) => (status === null ? [] : [status]));
   const [newest] = [...statuses].sort(
     (left, right) => (right.configuration?.version ?? 0) - (left.configuration?.version ?? 0),
   );
@@ -132,7 +133,7 @@
     version: newest?.configuration?.version ?? 0,
     places: newest?.places ?? [],
     services: newest?.services ?? [],
-    vms: asked.map((vm) => buildVm(vm, statuses)),
+    vms: results.map((vm) => buildVm(vm, statuses)),
     backendServers: (newest?.backendServers ?? []).map(({ name }) =>
       buildServer(name, statuses, targets.get(name) ?? null),
     ),
--- a/src/programs/jackdaw/explainLog/test.ts
+++ b/src/programs/jackdaw/explainLog/test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test, { type ExecutionContext } from 'ava';
-import { renderStory } from '../renderStory';
+import { renderTimeline } from '../renderTimeline';
 import { explainLog } from '.';
 
 const buildLine = (vm: string, time: number, message: string, fields: object = {}): string =>
@@ -19,7 +19,7 @@
   return files.map(({ file }) => file);
 };
 
-test('a story is in the order of time over all VMs, and holds what each VM believed', async (t) => {
+test('a timeline is sorted by time over all VMs and shows the beliefs of each VM', async (t) => {
   const files = await writeLogs(t, {
     'vm-2.log': [buildLine('vm-2', 5000, 'request refused', { requestId: 'r-1', kind: 'not-run' })],
     'vm-1.log': [
@@ -35,8 +35,8 @@
       buildLine('vm-1', 6000, 'stream ended', { requestId: 'r-1', outcome: 'answered' }),
     ],
   });
-  const story = (await explainLog('r-1', files))._unsafeUnwrap();
-  t.deepEqual(renderStory(story), [
+  const timeline = (await explainLog('r-1', files))._unsafeUnwrap();
+  t.deepEqual(renderTimeline(timeline), [
     '00:00:03.000 vm-1: stream sent  server=i-1',
     '    configuration: configuration in force version=7, for 2.0 s',
     '    i-1: server suspected cause=silent, for 0.5 s',
@@ -47,11 +47,11 @@
   ]);
 });
 
-test('a request that no line tells of has no story', async (t) => {
+test('the timeline of a request without log lines is empty', async (t) => {
   const files = await writeLogs(t, { 'vm-1.log': [buildLine('vm-1', 1, 'gateway started')] });
   t.deepEqual((await explainLog('r-1', files))._unsafeUnwrap(), []);
 });
 
-test('a file that cannot be read is named', async (t) => {
+test('the error names the file that cannot be read', async (t) => {
   t.regex((await explainLog('r-1', ['nowhere.log']))._unsafeUnwrapErr(), /^nowhere\.log: /);
 });
--- a/src/programs/keeper/startKeeper/index.ts
+++ b/src/programs/keeper/startKeeper/index.ts
@@ -9,14 +9,14 @@
 import { createConfigurationFollower } from '../../../application/configuration';
 import { createKeeper } from '../../../application/keeper';
 import { createLeaseHolder } from '../../../application/lease';
-import { createGuardedTableStore, TABLE_POLICY } from '../../../application/store';
+import { createResilientTableStore, TABLE_POLICY } from '../../../application/store';
 import { createMonitorApp } from '../_lib/createMonitorApp';
 import type { KeeperOverrides, KeeperProcess, KeeperSettings, KeeperStartError } from '../types';
 
-/** Without a good read of the table for this long, the keeper says that it is not ready. */
-const READY_LIMIT_MS = 15_000;
+/** Maximum age of the latest successful read of the table at which the keeper is ready. */
+const MAX_TABLE_READ_AGE_MS = 15_000;
 
-/** The keeper takes the configuration from the table alone: without the table it can't order. */
+/** The keeper reads the configuration from the table only: it cannot send orders without it. */
 const NO_PEERS = { readConfiguration: async () => ok(null) };
 
 async function wireKeeper(settings: KeeperSettings, overrides: KeeperOverrides) {
@@ -25,7 +25,7 @@
   const logger = overrides.logger ?? (await createRoarrLogger('jackdaw-keeper'));
   const log = createEventLog(logger);
   const dispatcher = createPlatformDispatcher();
-  const table = createGuardedTableStore(
+  const table = createResilientTableStore(
     createDynamoTableStore(settings.table, { clock, dispatcher }),
     TABLE_POLICY,
     { clock, randomness, eventLog: log },
@@ -53,13 +53,13 @@
     maxLoads: settings.maxConcurrentLoads,
   });
   metrics.addGauges({
-    isHolder,
+    isLeaseHolder: isHolder,
     countWaitingEngines: () => keeper.readPlan()?.waiting.length ?? 0,
     readConfigurationVersion: configuration.readVersion,
   });
   const isReady = (): boolean => {
     const readAtMs = configuration.readTableReadAtMs();
-    const isFresh = readAtMs !== null && clock.readMonotonicMs() - readAtMs < READY_LIMIT_MS;
+    const isFresh = readAtMs !== null && clock.readMonotonicMs() - readAtMs < MAX_TABLE_READ_AGE_MS;
     return isFresh && configuration.readCurrent() !== null;
   };
   return { log, dispatcher, configuration, lease, engines, keeper, metrics, isHolder, isReady };
@@ -68,8 +68,8 @@
 /**
  * Starts a keeper: wires its parts and serves health, readiness and metrics.
  *
- * @param settings - as read from the settings file; port 0 takes a free one
- * @param overrides - for tests and the demo
+ * @param settings - settings from the settings file; port 0 binds a free port
+ * @param overrides - replacements of parts, for tests and the demo
  */
 export async function startKeeper(
   settings: KeeperSettings,
@@ -90,7 +90,7 @@
     monitorUrl: monitor.value.url,
     isHolder: parts.isHolder,
     stop: async () => {
-      // The lease goes last: an order under way must be answered while it is still held.
+      // Released after the keeper stops: a running order must end while the lease is still held.
       await keeper.stop();
       await lease.stop();
       configuration.stop();
