--- a/standins/limits/types/index.ts
+++ b/standins/limits/types/index.ts
@@ -1,35 +1,35 @@
-/** How VMs keep a limit: the way that stands, and those that it is compared with. */
+/** How VMs enforce a limit: the implemented policy and the alternatives it is compared with. */
 export const LimitPolicy = {
-  /** A owner for each server, and a second one that confirms. */
+  /** Each server has an owner VM, and a second VM confirms its permits. This is the policy in use. */
   Confirmed: 'confirmed',
-  /** One owner, whom nobody confirms. */
-  OneOwner: 'one-owner',
-  /** Each VM keeps to its even part. */
-  EvenParts: 'even-parts',
-  /** Each VM keeps to the whole limit by itself. */
-  Alone: 'alone',
+  /** Each server has one owner VM, whose permits need no confirmation. */
+  UnconfirmedOwner: 'one-owner',
+  /** Each VM enforces an equal share of the limit by itself. */
+  EqualShares: 'even-parts',
+  /** Each VM enforces the full limit by itself. */
+  Uncoordinated: 'alone',
 } as const;
 
 export type LimitPolicy = (typeof LimitPolicy)[keyof typeof LimitPolicy];
 
-/** What happens to VMs, as part of all of them. */
-export interface LimitTrouble {
+/** A fault that affects a fraction of the VMs. */
+export interface VmFault {
   readonly kind: 'restart' | 'freeze' | 'cut' | 'join';
-  readonly part: number;
+  readonly fraction: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
-/** Requests for servers of which some name a limit, in virtual time. */
-export interface LimitModel {
+/** A simulation, in virtual time, of requests for servers of which some advertise a limit. */
+export interface LimitSimulation {
   readonly seed: number;
   readonly vms: number;
-  /** Requests a second for each server from all VMs together. */
+  /** Requests per second for each server from all VMs together. */
   readonly requestsPerS: number;
-  /** Limit of each server, from `limitFromMs` to `limitUntilMs`. */
+  /** Limit of each server, advertised from `limitFromMs` to `limitUntilMs`. */
   readonly limitsPerS: readonly number[];
   readonly policy?: LimitPolicy;
-  readonly troubles?: readonly LimitTrouble[];
+  readonly faults?: readonly VmFault[];
   readonly limitFromMs?: number;
   readonly limitUntilMs?: number;
   readonly durationMs?: number;
@@ -41,14 +41,14 @@
   readonly vm: string;
 }
 
-/** What servers saw. */
-export interface LimitModelResult {
-  /** By server. */
+/** Results of the simulation, as the servers observed them. */
+export interface LimitSimulationResult {
+  /** Arrived requests, by server. */
   readonly arrivals: readonly (readonly LimitArrival[])[];
-  /** VMs that were in trouble, or had just been, at some time. */
-  readonly isExcused: (vm: string, atMs: number) => boolean;
-  /** By server: when each VM first got an answer that named a limit. */
-  readonly toldAtMs: readonly ReadonlyMap<string, number>[];
-  /** Calls from VM to VM for permits. */
+  /** Tells whether a VM was affected by a fault at a time, or had not yet recovered from one. */
+  readonly isAffected: (vm: string, atMs: number) => boolean;
+  /** By server: when each VM first received an answer that advertised a limit. */
+  readonly limitLearnedAtMs: readonly ReadonlyMap<string, number>[];
+  /** Number of permit calls between VMs. */
   readonly calls: number;
 }
--- a/standins/model/createModelCaller/index.ts
+++ b/standins/model/createSimulatedCaller/index.ts
@@ -2,37 +2,37 @@
 import type { Clock } from '../../../src/application/ports';
 import type { ForwardedRequest } from '../../../src/domain/forwarding';
 
-/** What became of one caller. */
+/** Result of one caller's request. */
 export interface CallerOutcome {
-  readonly isWhole: boolean;
-  /** From its first attempt to its first event; null if none came. */
+  readonly isComplete: boolean;
+  /** Time from the first attempt to the first event; null if no event arrived. */
   readonly firstEventMs: number | null;
   readonly refusals: number;
 }
 
-/** What a caller sends, and where. */
-export interface ModelCallerOptions {
+/** Options of a simulated caller. */
+export interface SimulatedCallerOptions {
   readonly id: string;
   readonly clock: Clock;
   readonly deadlineMs: number;
   readonly promptTokens: number;
-  /** Gateway of each attempt: a caller that comes back reaches another one. */
+  /** Picks the gateway of each attempt: a retry reaches another gateway. */
   readonly pickForwarder: (attempt: number) => Forwarder;
 }
 
-/** Callers come back once, no later than at this part of the time that they have left. */
-const HONOURED_PART = 1 / 3;
+/** A caller waits for its retry at most this fraction of the time left to its deadline. */
+const MAX_RETRY_WAIT_FRACTION = 1 / 3;
 
 const MAX_OUTPUT_TOKENS = 840;
 
-/** Starts a caller that comes back once when it is refused and told when to. */
-export const createModelCaller = ({
+/** Starts a caller that retries once after a refusal, after the `Retry-After` time it was given. */
+export const createSimulatedCaller = ({
   clock,
   deadlineMs,
   id,
   pickForwarder,
   promptTokens,
-}: ModelCallerOptions): Promise<CallerOutcome> =>
+}: SimulatedCallerOptions): Promise<CallerOutcome> =>
   new Promise((resolve) => {
     const startedAtMs = clock.readMonotonicMs();
     let firstEventMs: number | null = null;
@@ -57,10 +57,10 @@
       const left = new AbortController();
       let isOpen = true;
       let hasBegun = false;
-      const end = (isWhole: boolean): void => {
+      const end = (isComplete: boolean): void => {
         if (!isOpen) return;
         isOpen = false;
-        resolve({ isWhole, firstEventMs, refusals });
+        resolve({ isComplete, firstEventMs, refusals });
       };
       const handleRefusal = ({ kind, retryAfterMs }: Refusal): void => {
         if (!isOpen) return;
@@ -71,7 +71,7 @@
           return;
         }
         isOpen = false;
-        const waitMs = Math.min(retryAfterMs, leftMs * HONOURED_PART);
+        const waitMs = Math.min(retryAfterMs, leftMs * MAX_RETRY_WAIT_FRACTION);
         clock.startTimer(waitMs, () => send(attempt + 1));
       };
       const reply: CallerReply = {
