--- a/standins/gateway/buildGatewaySettings/index.ts
+++ b/standins/gateway/buildGatewaySettings/index.ts
@@ -1,6 +1,6 @@
 import type { GatewaySettings } from '../../../src/domain/forwarding';
 
-/** Settings of a gateway on free ports of loopback, with a stand-in's store. */
+/** Builds the settings of a gateway on free loopback ports that uses a stand-in store. */
 export const buildGatewaySettings = (storeUrl: string): GatewaySettings => ({
   vm: 'vm-1',
   availabilityZone: 'z1',
--- a/standins/gateway/buildWireConfiguration/index.ts
+++ b/standins/gateway/buildWireConfiguration/index.ts
@@ -1,9 +1,9 @@
 import type { StandInServer } from '../createStandInServer';
 
-/** The key that every test request carries. */
+/** API key of every test request. */
 export const TEST_KEY = 'key-1';
 
-/** A configuration with a repeatable, a non-idempotent and a streaming route of one service. */
+/** Builds a configuration with an idempotent, a non-idempotent and a streaming route. */
 export const buildWireConfiguration = (change: object = {}): object => {
   const route = { host: 'a.example', service: 's', timeout_ms: 5000, max_attempts: 3 };
   return {
@@ -40,7 +40,7 @@
   };
 };
 
-/** The entry that a server writes of itself. */
+/** Builds the entry that a server registers for itself. */
 export const buildWireEntry = (server: StandInServer, change: object = {}): object => ({
   service: 's',
   address: server.address,
--- a/standins/gateway/createStandInServer/index.ts
+++ b/standins/gateway/createStandInServer/index.ts
@@ -3,52 +3,52 @@
 import type { AddressInfo, Socket } from 'node:net';
 import { PATHS, HEADERS } from '../../../platform';
 
-/** A request as the server got it. */
+/** A request as the server received it. */
 export interface ReceivedRequest {
   readonly method: string;
   readonly target: string;
   readonly headers: IncomingMessage['headers'];
   readonly rawHeaders: readonly string[];
   readonly body: string;
-  /** The connection that it came on. */
+  /** The connection of the request. */
   readonly socket: Socket;
   readonly response: ServerResponse;
   /** Resolves when the caller has closed the connection. */
   readonly closed: Promise<void>;
 }
 
-/** A stand-in of a backend server that a test drives event by event. */
+/** A stand-in backend server that a test controls event by event. */
 export interface StandInServer {
   readonly id: string;
   /** IP:PORT. */
   readonly address: string;
-  /** Resolves with the next request that is no question about the server itself. */
+  /** Resolves with the next request that is not a status request. */
   nextRequest(): Promise<ReceivedRequest>;
-  /** Resolves, with the connection, when it is asked about itself. */
-  nextQuestion(): Promise<Socket>;
-  /** Takes a request that has come, if there is one. */
+  /** Resolves with the connection of the next status request: report, cache, copy or health. */
+  nextStatusRequest(): Promise<Socket>;
+  /** Takes the oldest received request, or null if there is none. */
   takeRequest(): ReceivedRequest | null;
-  /** Calls `listener` at each request. */
+  /** Calls `listener` on each request. */
   addListener(listener: () => void): void;
   countRequests(): number;
   countConnections(): number;
-  /** Sends a whole answer, signed. */
+  /** Sends a complete, signed answer. */
   answer(request: ReceivedRequest, status: number, body: string, headers?: Headers): void;
-  /** Begins a stream, signed. */
-  begin(request: ReceivedRequest): void;
+  /** Sends the signed head of a stream. */
+  startStream(request: ReceivedRequest): void;
   /** Sends the events with ids from `first` to `last`. */
-  emit(request: ReceivedRequest, first: number, last: number): void;
-  /** Makes so many events of a run, of which none reaches the caller. */
-  loseEvents(request: ReceivedRequest, events: number): void;
-  /** Stops runs that are moved, but never answers that the rest is copied. */
-  holdRests(): void;
+  sendEvents(request: ReceivedRequest, first: number, last: number): void;
+  /** Counts events of a run as generated without sending them to the caller. */
+  recordUnsentEvents(request: ReceivedRequest, events: number): void;
+  /** From now on, leaves the final copy request of a moved run unanswered. */
+  withholdFinalCopies(): void;
   /** Ends the process: all connections are reset, and new ones refused. */
   crash(): Promise<void>;
-  /** From now on all its answers say that it leaves. */
+  /** From now on, marks all answers with the leaving header. */
   leave(): void;
-  /** Answers requests, but no questions about itself. */
-  muteReports(): void;
-  /** Falls silent: connections stay open, and nothing is answered any more. */
+  /** From now on, leaves status requests unanswered. */
+  ignoreStatusRequests(): void;
+  /** From now on, answers nothing; connections stay open. */
   freeze(): void;
   stop(): Promise<void>;
 }
@@ -57,9 +57,9 @@
 
 const HEALTH_PATH = '/healthz';
 
-const STAMP = 'stand-in-stamp';
+const SIGNATURE = 'stand-in-stamp';
 
-/** Formats an event as the engines do. */
+/** Formats a server-sent event as the engines do. */
 export const formatStandInEvent = (id: number): string => `id: ${id}\ndata: piece ${id}\n\n`;
 
 const readBody = async (request: IncomingMessage): Promise<string> => {
@@ -68,13 +68,13 @@
   return Buffer.concat(chunks).toString('utf8');
 };
 
-const NODE_IDLE_MS = 5000;
+const DEFAULT_IDLE_MS = 5000;
 
 /**
- * Starts a stand-in of a backend server, on a free port unless one is given.
+ * Starts a stand-in backend server, by default on a free port.
  *
- * @param id - its id; requests that expect another one get 421
- * @param options.idleMs - connections that are idle for this long are closed
+ * @param id - the server's id; requests that expect another server get 421
+ * @param options.idleMs - time after which idle connections are closed
  */
 export const createStandInServer = async (
   id: string,
@@ -82,18 +82,18 @@
 ): Promise<StandInServer> => {
   const sockets = new Set<Socket>();
   const received: ReceivedRequest[] = [];
-  /** Events made, by the id of each run. */
+  /** Number of generated events, by the id of the run. */
   const runs = new Map<string, number>();
   const listeners: (() => void)[] = [];
-  const questions: ((connection: Socket) => void)[] = [];
+  const statusWaiters: ((connection: Socket) => void)[] = [];
   let requests = 0;
   let connections = 0;
   let isFrozen = false;
-  let isMute = false;
+  let ignoresStatusRequests = false;
   let isLeaving = false;
-  let holdsRests = false;
+  let withholdsFinalCopies = false;
 
-  const readId = ({ headers }: Pick<ReceivedRequest, 'headers'>): string =>
+  const readRequestId = ({ headers }: Pick<ReceivedRequest, 'headers'>): string =>
     String(headers[HEADERS.requestId] ?? '');
 
   const sendReport = (response: ServerResponse): void => {
@@ -104,11 +104,11 @@
 
   const sendHandle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     const { id: run, last } = JSON.parse(await readBody(request)) as { id: string; last: boolean };
-    if (last && holdsRests) return;
+    if (last && withholdsFinalCopies) return;
     response.end(JSON.stringify({ handle: `handle-${run}`, created: 1 }));
   };
 
-  const OWN_CALLS: Readonly<
+  const STATUS_HANDLERS: Readonly<
     Record<string, (request: IncomingMessage, response: ServerResponse) => void>
   > = {
     [PATHS.report]: (_request, response) => sendReport(response),
@@ -124,12 +124,12 @@
 
   const receive = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     if (isLeaving) response.setHeader(HEADERS.leaving, '1');
-    const own = OWN_CALLS[request.url ?? ''];
-    if (own) questions.splice(0).forEach((resolve) => resolve(request.socket));
+    const handleStatus = STATUS_HANDLERS[request.url ?? ''];
+    if (handleStatus) statusWaiters.splice(0).forEach((resolve) => resolve(request.socket));
     if (isFrozen) return;
-    if (own && isMute) return;
-    if (own) {
-      own(request, response);
+    if (handleStatus && ignoresStatusRequests) return;
+    if (handleStatus) {
+      handleStatus(request, response);
       return;
     }
     const taken: ReceivedRequest = {
@@ -150,8 +150,8 @@
       return;
     }
     requests += 1;
-    runs.set(readId(taken), 0);
-    response.on('close', () => runs.delete(readId(taken)));
+    runs.set(readRequestId(taken), 0);
+    response.on('close', () => runs.delete(readRequestId(taken)));
     received.push(taken);
     listeners.forEach((listener) => listener());
   };
@@ -159,11 +159,11 @@
   const server = createServer((request, response) => {
     receive(request, response);
   });
-  server.keepAliveTimeout = options.idleMs ?? NODE_IDLE_MS;
+  server.keepAliveTimeout = options.idleMs ?? DEFAULT_IDLE_MS;
   server.on('connection', (socket) => {
     connections += 1;
     sockets.add(socket);
-    // Each request on a kept connection waits for its end.
+    // Each request on a keep-alive connection adds a listener for its close.
     socket.setMaxListeners(0);
     socket.on('error', () => socket.destroy());
     socket.on('close', () => sockets.delete(socket));
@@ -173,8 +173,8 @@
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
 
   const buildHeaders = (request: ReceivedRequest, headers: Headers = {}): Headers => ({
-    [HEADERS.requestId]: readId(request),
-    [HEADERS.signature]: STAMP,
+    [HEADERS.requestId]: readRequestId(request),
+    [HEADERS.signature]: SIGNATURE,
     ...headers,
   });
   const stop = async (): Promise<void> => {
@@ -187,9 +187,9 @@
   return {
     id,
     address,
-    nextQuestion: () =>
+    nextStatusRequest: () =>
       new Promise((resolve) => {
-        questions.push(resolve);
+        statusWaiters.push(resolve);
       }),
     takeRequest: () => received.shift() ?? null,
     addListener: (listener) => {
@@ -198,14 +198,14 @@
     nextRequest: () =>
       new Promise((resolve) => {
         let isTaken = false;
-        const look = (): void => {
+        const takeNext = (): void => {
           const first = isTaken ? undefined : received.shift();
           if (!first) return;
           isTaken = true;
           resolve(first);
         };
-        listeners.push(look);
-        look();
+        listeners.push(takeNext);
+        takeNext();
       }),
     countRequests: () => requests,
     countConnections: () => connections,
@@ -216,31 +216,31 @@
       });
       request.response.end(body);
     },
-    begin: (request) => {
+    startStream: (request) => {
       request.response.writeHead(
         200,
         buildHeaders(request, { 'content-type': 'text/event-stream' }),
       );
       request.response.flushHeaders();
     },
-    emit: (request, first, last) => {
+    sendEvents: (request, first, last) => {
       for (let event = first; event <= last; event += 1) {
         request.response.write(formatStandInEvent(event));
       }
-      runs.set(readId(request), last);
+      runs.set(readRequestId(request), last);
     },
-    loseEvents: (request, events) => {
-      runs.set(readId(request), events);
+    recordUnsentEvents: (request, events) => {
+      runs.set(readRequestId(request), events);
     },
     crash: stop,
     leave: () => {
       isLeaving = true;
     },
-    muteReports: () => {
-      isMute = true;
+    ignoreStatusRequests: () => {
+      ignoresStatusRequests = true;
     },
-    holdRests: () => {
-      holdsRests = true;
+    withholdFinalCopies: () => {
+      withholdsFinalCopies = true;
     },
     freeze: () => {
       isFrozen = true;
--- a/tests/gateway/_lib/crashNext/index.ts
+++ b/tests/gateway/_lib/crashNext/index.ts
@@ -7,7 +7,7 @@
   { begins }: { readonly begins: boolean } = { begins: true },
 ): Promise<Taken> => {
   const taken = await nextAnywhere(servers);
-  if (begins) taken.server.begin(taken.request);
+  if (begins) taken.server.startStream(taken.request);
   await taken.server.crash();
   return taken;
 };
--- a/tests/gateway/_lib/sendEvents/index.ts
+++ b/tests/gateway/_lib/sendEvents/index.ts
@@ -2,7 +2,7 @@
 
 /** Answers with the events from `first` to `last`, and ends the stream. */
 export const sendEvents = ({ request, server }: Taken, first: number, last: number): void => {
-  server.begin(request);
-  server.emit(request, first, last);
+  server.startStream(request);
+  server.sendEvents(request, first, last);
   request.response.end();
 };
--- a/tests/gateway/crashingRequests.test.ts
+++ b/tests/gateway/crashingRequests.test.ts
@@ -128,8 +128,8 @@
   const followed = bench.follow(buildStream());
   for (let crashed = 0; crashed < 3; crashed += 1) {
     const { request, server } = await nextAnywhere(bench.servers);
-    server.begin(request);
-    server.emit(request, crashed + 1, crashed + 1);
+    server.startStream(request);
+    server.sendEvents(request, crashed + 1, crashed + 1);
     await followed.waitForText(formatStandInEvent(crashed + 1));
     clock.advance(1100);
     await server.crash();
--- a/tests/gateway/restarts.test.ts
+++ b/tests/gateway/restarts.test.ts
@@ -15,8 +15,8 @@
   const bench = await startTestGateway({ serverIds: ['i-1'] });
   const followed = bench.follow(buildStream());
   const first = await nextAnywhere(bench.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 3);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 3);
   await followed.waitForText('piece 3');
   await first.server.crash();
   const port = Number(first.server.address.split(':')[1]);
--- a/tests/gateway/streamLosses.test.ts
+++ b/tests/gateway/streamLosses.test.ts
@@ -17,7 +17,7 @@
   const bench = await startTestGateway();
   const followed = bench.follow(buildStream());
   const first = await nextAnywhere(bench.servers);
-  first.server.loseEvents(first.request, 5);
+  first.server.recordUnsentEvents(first.request, 5);
   const second = await nextAnywhere(listOthers(bench, first.server));
   t.is((await bench.waitForLine('server silent')).cause, 'run lost');
   await first.request.closed;
@@ -68,7 +68,7 @@
 // Cause: the copy that is there already counts only once the rest has arrived.
 test('a moved run goes on from the copy that is there when the rest is overdue', async (t) => {
   const bench = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
-  bench.servers.forEach((server) => server.holdRests());
+  bench.servers.forEach((server) => server.withholdFinalCopies());
   const followed = bench.follow(buildStream());
   const { first } = await removeBackup(bench, followed);
   const second = await nextAnywhere(listOthers(bench, first.server));
@@ -88,9 +88,9 @@
 // Cause: only the state of the stream was looked at, which does not end with its caller.
 test('a prompt is not sent once its caller has left', async (t) => {
   const bench = await startTestGateway();
-  bench.servers.forEach((server) => server.muteReports());
+  bench.servers.forEach((server) => server.ignoreStatusRequests());
   const followed = bench.follow(buildStream());
-  const asked = bench.servers.map((server) => server.nextQuestion());
+  const asked = bench.servers.map((server) => server.nextStatusRequest());
   await Promise.all(asked);
   followed.leave();
   await bench.waitForLine('stream not sent');
--- a/tests/gateway/streams.test.ts
+++ b/tests/gateway/streams.test.ts
@@ -15,10 +15,10 @@
   const bench = await startTestGateway();
   const followed = bench.follow(buildStream());
   const { request, server } = await nextAnywhere(bench.servers);
-  server.begin(request);
-  server.emit(request, 1, 1);
+  server.startStream(request);
+  server.sendEvents(request, 1, 1);
   await followed.waitForText(formatStandInEvent(1));
-  server.emit(request, 2, 3);
+  server.sendEvents(request, 2, 3);
   request.response.end();
   const answer = await followed.done;
   t.is(answer.status, 200);
@@ -38,8 +38,8 @@
   const first = await nextAnywhere(bench.servers);
   const backup = String(first.request.headers[HEADERS.kvBackup]);
   t.true(listOthers(bench, first.server).some(({ address }) => address === backup));
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 5);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 5);
   // A server that dies may stop within an event: what has no end is never handed on.
   first.request.response.write('id: 6\ndata: ha');
   await followed.waitForText(formatStandInEvent(5));
@@ -63,8 +63,8 @@
   const bench = await startTestGateway();
   const followed = bench.follow(buildStream());
   const first = await nextAnywhere(bench.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 4);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 4);
   await followed.waitForText(formatStandInEvent(4));
   first.request.socket.resetAndDestroy();
   const second = await nextAnywhere(bench.servers);
@@ -80,9 +80,9 @@
   const bench = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
   const followed = bench.follow(buildStream());
   const first = await nextAnywhere(bench.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 2);
-  first.server.emit(first.request, 4, 4);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 2);
+  first.server.sendEvents(first.request, 4, 4);
   const second = await nextAnywhere(bench.servers);
   t.is(second.request.headers[HEADERS.lastEventId], '2');
   sendEvents(second, 3, 4);
@@ -97,8 +97,8 @@
   const bench = await startTestGateway();
   const followed = bench.follow(buildStream());
   const first = await nextAnywhere(bench.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 2);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 2);
   await followed.waitForText(formatStandInEvent(2));
   first.server.freeze();
   const second = await nextAnywhere(listOthers(bench, first.server));
@@ -165,8 +165,8 @@
   const bench = await startTestGateway({ configuration: { routes } });
   const followed = bench.follow(buildStream());
   const first = await nextAnywhere(bench.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 2);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 2);
   await followed.waitForText(formatStandInEvent(2));
   first.request.socket.resetAndDestroy();
   const answer = await followed.done;
@@ -180,8 +180,8 @@
   const followed = bench.follow(buildStream({ [HEADERS.lastEventId]: '7' }));
   const { request, server } = await nextAnywhere(bench.servers);
   t.is(request.headers[HEADERS.lastEventId], '7');
-  server.begin(request);
-  server.emit(request, 8, 9);
+  server.startStream(request);
+  server.sendEvents(request, 8, 9);
   request.response.end();
   t.is((await followed.done).body, listEvents(8, 9));
   await bench.stop();
@@ -191,8 +191,8 @@
   const bench = await startTestGateway();
   const followed = bench.follow(buildStream({ [HEADERS.deadlineMs]: '2500' }));
   const { request, server } = await nextAnywhere(bench.servers);
-  server.begin(request);
-  server.emit(request, 1, 1);
+  server.startStream(request);
+  server.sendEvents(request, 1, 1);
   await followed.waitForText(formatStandInEvent(1));
   t.false((await followed.done).isWhole);
   await request.closed;
@@ -204,11 +204,11 @@
 // Cause: a server that was not heard in time is not chosen, and none was heard.
 test('a prompt is sent although no server answered the questions before it', async (t) => {
   const bench = await startTestGateway();
-  bench.servers.forEach((server) => server.muteReports());
+  bench.servers.forEach((server) => server.ignoreStatusRequests());
   const followed = bench.follow(buildStream());
   const { request, server } = await nextAnywhere(bench.servers);
-  server.begin(request);
-  server.emit(request, 1, 2);
+  server.startStream(request);
+  server.sendEvents(request, 1, 2);
   request.response.end();
   t.is((await followed.done).body, listEvents(1, 2));
   await bench.stop();
