--- a/standins/_lib/createLoopbackServer/index.ts
+++ b/standins/_lib/createLoopbackServer/index.ts
@@ -11,7 +11,7 @@
   /** The port, once started. */
   readPort(): number;
   start(handleRequest: FetchCallback): Promise<void>;
-  /** Destroys every open connection; new ones are taken. */
+  /** Destroys every open connection; new ones are accepted. */
   destroyConnections(): void;
   /** Destroys every connection and refuses new ones. */
   stop(): Promise<void>;
@@ -41,8 +41,8 @@
   };
   const destroyConnections = () =>
     sockets.forEach((socket) => {
-      // What was written before still leaves, as after the death of a process; a connection whose
-      // other side does not read is not waited for.
+      // Data written earlier is still sent, as after the crash of a process. The server does not
+      // wait for a peer that does not read.
       socket.destroySoon();
       setImmediate(() => socket.destroy());
     });
--- a/standins/_lib/findFreePort/index.ts
+++ b/standins/_lib/findFreePort/index.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { createServer, type AddressInfo } from 'node:net';
 
-/** Finds a port of loopback that nothing listens on. */
+/** Finds a free port on loopback. */
 export const findFreePort = async (): Promise<number> => {
   const server = createServer().listen(0, '127.0.0.1');
   await once(server, 'listening');
--- a/standins/engine/_lib/buildControlRoutes/index.ts
+++ b/standins/engine/_lib/buildControlRoutes/index.ts
@@ -14,7 +14,7 @@
 
 const dropSchema = z.object({ count: z.number().int().nonnegative() });
 
-/** Builds the routes by which a test in another process switches faults and reads the log. */
+/** Builds the routes through which tests in other processes inject faults and read the log. */
 export function buildControlRoutes(engine: StandInEngine): Hono {
   const app = new Hono();
   app.onError((error, c) =>
@@ -22,7 +22,7 @@
   );
   app.post('/fault/:fault', (c) => {
     const fault = faultSchema.parse(c.req.param('fault'));
-    // Deferred: a kill destroys the connection that carries this answer.
+    // Deferred, since a kill destroys the connection of this answer.
     setImmediate(() => engine.applyFault(fault));
     return c.body(null, 202);
   });
--- a/standins/engine/_lib/buildEngineRoutes/index.ts
+++ b/standins/engine/_lib/buildEngineRoutes/index.ts
@@ -21,7 +21,7 @@
 
 const RETRY_AFTER_S = '1';
 
-/** What answers a request: the engine, and the faults that stand before it. */
+/** The engine and the faults that are applied before it answers. */
 interface Handlers {
   readonly core: EngineCore;
   readonly faults: FaultSwitch;
--- a/standins/engine/_lib/createEngineCore/index.ts
+++ b/standins/engine/_lib/createEngineCore/index.ts
@@ -15,11 +15,11 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Points at which faults strike. */
+/** Hooks at the points where faults are injected. */
 export interface CoreHooks {
-  /** A stream began its prefill or has a token more, which is not yet sent. True: cut its event. */
+  /** Called before sending, when a prefill begins or a token is added. True: cut the event. */
   handlePoint(stream: TokenStream): boolean;
-  /** The same, after it was sent. */
+  /** Called at the same points, after sending. */
   handleSent(stream: TokenStream): void;
 }
 
@@ -29,19 +29,19 @@
   readonly scheduler: Scheduler;
   readonly models: ModelHolder;
   readonly cache: PrefixCache;
-  /** Takes a request in; null if the queue is full. */
+  /** Accepts a request; null if the queue is full. */
   startStream(start: StreamStart): TokenStream | null;
   cancelStream(streamId: string): void;
   /** Body of an answer to `GET /load`. */
   buildLoad(): object;
-  /** Loses everything, as the death of the process does, and stands still; the log stays. */
+  /** Drops all state but the log and pauses, as a crash of the process does. */
   clear(): void;
   isLeaving(): boolean;
   updateLeaving(leaving: boolean): void;
   waitForTokens(count: number, streamId: string): Promise<AttemptRecord>;
 }
 
-/** Creates the core. */
+/** Creates the engine without its HTTP interface. */
 export function createEngineCore(
   settings: EngineSettings,
   dependencies: { readonly clock: Clock; readonly randomness: Randomness },
--- a/standins/engine/_lib/createFaultSwitch/index.ts
+++ b/standins/engine/_lib/createFaultSwitch/index.ts
@@ -1,18 +1,18 @@
 import { AttemptState, FaultKind, type PlannedFault, type TokenStream } from '../../types';
 import type { CoreHooks, EngineCore } from '../createEngineCore';
 
-/** Faults that are brought about at once, or when a stream reaches a point. */
+/** Injects faults at once, or when a stream reaches a point. */
 export interface FaultSwitch extends CoreHooks {
   applyFault(fault: FaultKind): void;
   addPlannedFault(planned: PlannedFault): void;
   /** Resolves at once unless the whole process is frozen. */
   waitUntilThawed(): Promise<void>;
   dropAnswers(count: number): void;
-  /** True if the answer to the request at hand is to be dropped. */
+  /** Returns true if the answer to the current request must be dropped. */
   takeDroppedAnswer(): boolean;
 }
 
-/** What faults act on. */
+/** Parts of the engine that faults act on. */
 export interface FaultTargets {
   readonly readCore: () => EngineCore;
   readonly destroyConnections: () => void;
@@ -36,7 +36,7 @@
   const handlers: Readonly<Record<FaultKind, () => void>> = {
     freeze: () => {
       targets.readCore().scheduler.pause();
-      // A second freeze must leave the requests held by the first to the same thaw.
+      // Requests held by an earlier freeze must be released by the same unfreeze.
       thawed ??= new Promise((resolve) => {
         resolveThawed = resolve;
       });
@@ -54,7 +54,7 @@
     kill: targets.kill,
     leave: () => targets.readCore().updateLeaving(true),
   };
-  /** Takes out the planned faults that the stream has reached; only a cut comes before sending. */
+  /** Removes and returns the planned faults that the stream reached; only cuts precede sending. */
   const takeReached = (stream: TokenStream, beforeSending: boolean): readonly PlannedFault[] => {
     const reached = plan.filter(
       (planned) =>
--- a/standins/engine/_lib/createLoadHistory/index.ts
+++ b/standins/engine/_lib/createLoadHistory/index.ts
@@ -8,10 +8,10 @@
   readonly tokensPerSecond: number;
 }
 
-/** Load figures that are published only after a lag. */
+/** Load figures that are published with a delay. */
 export interface LoadHistory {
   recordSnapshot(snapshot: LoadSnapshot): void;
-  /** The figures as they were one lag ago. */
+  /** Reads the figures as of one lag ago. */
   readSnapshot(): LoadSnapshot;
 }
 
--- a/standins/engine/types/AttemptRecord.ts
+++ b/standins/engine/types/AttemptRecord.ts
@@ -5,14 +5,14 @@
   Decoding: 'decoding',
   Finished: 'finished',
   Cancelled: 'cancelled',
-  /** The engine died with it. */
+  /** The engine crashed during the attempt. */
   Lost: 'lost',
 } as const;
 
 /** One of the states. */
 export type AttemptState = (typeof AttemptState)[keyof typeof AttemptState];
 
-/** Entry of the engine's log: one attempt that it took. */
+/** Entry of the engine's log: one accepted attempt. */
 export interface AttemptRecord {
   readonly streamId: string;
   readonly model: string;
--- a/standins/engine/types/EngineSettings.ts
+++ b/standins/engine/types/EngineSettings.ts
@@ -7,7 +7,7 @@
   readonly port: number;
   /** Generations that run at once. */
   readonly slots: number;
-  /** Generations that may wait for a slot; past it, 429. */
+  /** Generations that may wait for a slot; further ones get 429. */
   readonly queueLimit: number;
   /** Time from the slot to the first token of a prompt that is not in the cache. */
   readonly firstTokenMs: number;
@@ -18,7 +18,7 @@
   /** Age of the figures that `/load` gives. */
   readonly loadLagMs: number;
   readonly cacheLagMs: number;
-  /** Each so many cache events one is left out; 0 leaves out none. */
+  /** Every nth cache event is left out; 0 leaves out none. */
   readonly cacheGapEvery: number;
   /** Prefix digests that the cache holds. */
   readonly cacheEntries: number;
@@ -26,13 +26,13 @@
   readonly checksFencing: boolean;
   readonly models: readonly LoadedModel[];
   readonly role: string;
-  /** Part by which a gap grows when all slots are busy: 1 doubles it. */
+  /** Fraction by which a gap grows when all slots are busy: 1 doubles it. */
   readonly slowdown: number;
   /** Base URL of the weight store; empty loads models at once. */
   readonly weightStoreUrl: string;
 }
 
-/** Settings of an engine of which nothing else is said. */
+/** Default settings of a stand-in engine. */
 export const DEFAULT_ENGINE_SETTINGS: EngineSettings = {
   name: 'engine',
   port: 0,
--- a/standins/engine/types/Fault.ts
+++ b/standins/engine/types/Fault.ts
@@ -1,15 +1,15 @@
-/** Faults of a stand-in engine; each is switched by the test. */
+/** Faults of a stand-in engine, injected by tests. */
 export const FaultKind = {
-  /** Nothing is emitted or answered; connections stay, and new ones are taken. */
+  /** Nothing is sent or answered; connections stay open, and new ones are accepted. */
   Freeze: 'freeze',
   Unfreeze: 'unfreeze',
-  /** Tokens stop, while the other requests are answered as before. */
+  /** Token generation pauses; other requests are still answered. */
   FreezeStreams: 'freeze-streams',
-  /** Connections are destroyed; the engine goes on generating. */
+  /** Connections are destroyed; the engine continues to generate. */
   Cut: 'cut',
-  /** The event of the token at hand is cut in the middle, and its connection destroyed. */
+  /** The current token's event is sent in part, and its connection destroyed. */
   CutMidEvent: 'cut-mid-event',
-  /** Everything is lost, and connections are refused. */
+  /** All state is lost, and connections are refused. */
   Kill: 'kill',
   Leave: 'leave',
 } as const;
@@ -17,7 +17,7 @@
 /** One of the faults. */
 export type FaultKind = (typeof FaultKind)[keyof typeof FaultKind];
 
-/** A fault that strikes once, when a stream reaches a point. */
+/** A fault that is injected once, when a stream reaches a point. */
 export interface PlannedFault {
   readonly fault: FaultKind;
   /** During the prefill, or after so many tokens of the generation. */
--- a/standins/engine/types/StandInEngine.ts
+++ b/standins/engine/types/StandInEngine.ts
@@ -5,17 +5,17 @@
 export interface StandInEngine {
   readonly name: string;
   readonly port: number;
-  /** Base URL by IP number. */
+  /** Base URL with an IP address. */
   readonly url: string;
-  /** Brings about a fault now. */
+  /** Injects a fault now. */
   applyFault(fault: FaultKind): void;
-  /** Brings about a fault when a stream reaches a point. */
+  /** Injects a fault when a stream reaches a point. */
   addPlannedFault(planned: PlannedFault): void;
   /** Multiplies first-token time and gaps from now on; 1 is normal. */
   updateSlowness(multiplier: number): void;
-  /** The next `count` requests for a generation run, but their answers never leave. */
+  /** Runs the next `count` generation requests, but never sends their answers. */
   dropAnswers(count: number): void;
-  /** Serves again after a kill, with nothing kept. */
+  /** Serves again after a kill, with empty state. */
   restart(): Promise<void>;
   /** All attempts since the engine was created, also those before a kill. */
   listAttempts(): readonly AttemptRecord[];
--- a/standins/fakes/_lib/createStoreFaults/index.ts
+++ b/standins/fakes/_lib/createStoreFaults/index.ts
@@ -1,15 +1,15 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { StoreError } from '../../../../src/application/ports';
 
-/** How a store in memory fails. */
+/** Outages of an in-memory store. */
 export type StoreOutage = 'none' | 'unavailable' | 'hang';
 
 /** Switches for the faults of a store in memory, and its counts. */
 export interface StoreFaults {
   setOutage(outage: StoreOutage): void;
-  /** The next `count` writes take effect, and their answer is lost. */
+  /** The next `count` writes take effect, but fail as ambiguous. */
   loseNextAnswers(count: number): void;
-  /** The next `count` writes have no effect, and this cannot be told from a lost answer. */
+  /** The next `count` writes have no effect and fail as ambiguous, like a lost answer. */
   dropNextWrites(count: number): void;
   /** The next `count` writes take effect, and no answer ever comes. */
   hangNextAnswers(count: number): void;
--- a/standins/fakes/buildServerReport/index.ts
+++ b/standins/fakes/buildServerReport/index.ts
@@ -1,6 +1,6 @@
 import type { ServerReport } from '../../../src/domain/forwarding';
 
-/** The report of a server without work, its KV memory free, with changes. */
+/** Builds the report of an idle server with a free KV cache, with changes. */
 export const buildServerReport = (change: Partial<ServerReport> = {}): ServerReport => ({
   waiting: 0,
   running: 0,
--- a/standins/fakes/buildServerStatus/index.ts
+++ b/standins/fakes/buildServerStatus/index.ts
@@ -1,6 +1,6 @@
 import type { ServerStatus } from '../../../src/domain/forwarding';
 
-/** A server without work that nobody suspects, with changes. */
+/** Builds the status of an idle, unsuspected server, with changes. */
 export const buildServerStatus = (
   id: string,
   zone: string,
--- a/standins/fakes/createDirectoryFixture/index.ts
+++ b/standins/fakes/createDirectoryFixture/index.ts
@@ -3,10 +3,10 @@
 import { QUIET_LOG } from '../quietLog';
 import { createServerDirectory } from '../../../src/application/forwarding';
 
-/** Rows that the store told, which was never away. */
+/** Origin of rows from the store, without an outage. */
 export const STORE = { source: 'store', outageEndedAtMs: null, isRestored: false } as const;
 
-/** Creates a directory for tests, with what it reported. */
+/** Creates a directory for tests that records its notifications. */
 export const createDirectoryFixture = () => {
   const clock = createFakeClock();
   const gone: string[] = [];
--- a/standins/fakes/createFakeClock/index.ts
+++ b/standins/fakes/createFakeClock/index.ts
@@ -1,12 +1,12 @@
 import type { Clock } from '../../../src/application/ports';
 
-/** A clock that a test moves by hand. */
+/** A clock that a test advances explicitly. */
 export interface FakeClock extends Clock {
-  /** Moves both times on and calls the timers that are due, in their order. */
+  /** Advances both times and calls the due timers in order. */
   advance(durationMs: number): void;
   /** As `advance`, but lets pending promises settle after each timer. */
   advanceAsync(durationMs: number): Promise<void>;
-  /** Sets the wall time only: it jumps, monotonic time does not. */
+  /** Sets the wall time; monotonic time stays. */
   jumpWall(wallMs: number): void;
   countTimers(): number;
 }
@@ -17,7 +17,7 @@
   readonly callback: () => void;
 }
 
-/** Lets everything run that waits on already settled promises or on the loop's next turn. */
+/** Runs callbacks of settled promises and of the event loop's next turns. */
 async function runPending(): Promise<void> {
   for (let turn = 0; turn < 3; turn += 1) {
     await new Promise<void>((resolve) => {
--- a/standins/fakes/createScheduledTableStore/index.ts
+++ b/standins/fakes/createScheduledTableStore/index.ts
@@ -6,7 +6,7 @@
   schedule<T>(task: Promise<T>, label: string): Promise<T>;
 }
 
-/** What becomes of a write: all goes well, its answer is lost, or it arrives after it was given up. */
+/** Outcome of a write: it succeeds, its answer is lost, or it takes effect after its timeout. */
 export type WriteFate = 'none' | 'answer' | 'late';
 
 const LOST: StoreError = { kind: 'ambiguous', reason: 'the answer was lost' };
@@ -14,7 +14,7 @@
 /**
  * Creates a table whose calls happen in the scheduler's order, over another table.
  *
- * @param fates of the writes in the order in which they happen; those beyond go well
+ * @param fates of the writes in the order in which they happen; any further ones succeed
  */
 export function createScheduledTableStore(
   inner: TableStore,
--- a/standins/http/createFaultyServer/index.ts
+++ b/standins/http/createFaultyServer/index.ts
@@ -17,7 +17,7 @@
   readonly delayMs: number;
   /** The next N writes take effect, and their answer is lost. */
   readonly loseAnswers: number;
-  /** How an answer is lost: the connection is cut, or it stays silent. */
+  /** How an answer is lost: the connection is closed, or stays open without an answer. */
   readonly loseBy: 'cut' | 'silence';
   /** The next N writes are cut off before they take effect. */
   readonly dropRequests: number;
@@ -29,7 +29,7 @@
   readonly writes: number;
 }
 
-/** A server whose faults a test switches. */
+/** A server whose faults are set by tests. */
 export interface FaultyServer {
   readonly port: number;
   readonly url: string;
@@ -85,7 +85,7 @@
  * Creates a server on a free port of 127.0.0.1 that runs `app` under switchable faults.
  *
  * @param app routes of the stand-in
- * @param isWrite tells requests that change something
+ * @param isWrite tells whether a request changes state
  */
 export async function createFaultyServer(
   app: Hono<ServerEnv>,
--- a/standins/platform/_lib/createControlApp/index.ts
+++ b/standins/platform/_lib/createControlApp/index.ts
@@ -3,7 +3,7 @@
 import type { FaultyServer, ServerEnv } from '../../../http';
 import type { StandInVmList } from '../../../vm-list';
 
-/** The stand-ins that the control interface switches. */
+/** The stand-ins that the control interface controls. */
 export interface ControlledServers {
   readonly table: FaultyServer;
   readonly objects: FaultyServer;
--- a/standins/platform/createStandInPlatform/index.ts
+++ b/standins/platform/createStandInPlatform/index.ts
@@ -9,7 +9,7 @@
   readonly table: StandInTable;
   readonly objects: StandInObjects;
   readonly vmList: StandInVmList;
-  /** Never has faults itself. */
+  /** Control interface, which has no faults itself. */
   readonly control: FaultyServer;
   close(): Promise<void>;
 }
--- a/standins/platform/main.ts
+++ b/standins/platform/main.ts
@@ -11,7 +11,7 @@
 process.stdout.write(`${JSON.stringify(ports)}\n`);
 
 const stop = (): void => {
-  // The loop ends by itself once no server listens.
+  // The process exits by itself once no server listens.
   platform.close();
 };
 process.once('SIGTERM', stop);
--- a/standins/table/_lib/checkCondition/index.ts
+++ b/standins/table/_lib/checkCondition/index.ts
@@ -1,6 +1,6 @@
 import { err, ok, type Result } from 'neverthrow';
 
-/** An attribute value of the DynamoDB JSON protocol, as far as the product uses them. */
+/** An attribute value of the DynamoDB JSON protocol, limited to the types that the product uses. */
 export interface AttributeValue {
   readonly S?: string;
   readonly N?: string;
@@ -9,14 +9,14 @@
 /** An item of the DynamoDB JSON protocol. */
 export type Attributes = Readonly<Record<string, AttributeValue>>;
 
-/** Why an item may not be written. */
+/** Reason why a write is refused. */
 export type ConditionError =
   | { readonly kind: 'condition-failed' }
   | { readonly kind: 'unsupported'; readonly expression: string };
 
 type Condition = (current: Attributes | undefined, values: Attributes) => boolean;
 
-/** The forms that the product sends. */
+/** Condition expressions that the product sends. */
 const CONDITIONS: ReadonlyMap<string, Condition> = new Map<string, Condition>([
   ['', () => true],
   ['attribute_not_exists(pk)', (current) => current === undefined],
--- a/standins/table/_lib/createTableOperations/index.ts
+++ b/standins/table/_lib/createTableOperations/index.ts
@@ -1,6 +1,6 @@
 import { checkCondition, type Attributes, type ConditionError } from '../checkCondition';
 
-/** Body of a request, as far as the product sends it. */
+/** Body of a request, limited to the fields that the product sends. */
 export interface TableRequest {
   readonly Key?: Attributes;
   readonly Item?: Attributes;
@@ -35,7 +35,7 @@
   unsupported: () => renderError('ValidationException'),
 };
 
-/** Creates the operations over rows in memory, by their name in the protocol. */
+/** Creates the operations on in-memory rows, by their name in the protocol. */
 export function createTableOperations(): ReadonlyMap<string, TableOperation> {
   const partitions = new Map<string, Map<string, Attributes>>();
   const openPartition = (partition: string): Map<string, Attributes> => {
--- a/standins/vm-list/createStandInVmList/index.ts
+++ b/standins/vm-list/createStandInVmList/index.ts
@@ -7,7 +7,7 @@
   setVms(vms: readonly VmRecord[]): void;
   markLeaving(vm: string): void;
   removeVm(vm: string): void;
-  /** Changes are seen this much later. */
+  /** Sets the delay after which changes become visible. */
   setLagMs(lagMs: number): void;
 }
 
@@ -24,7 +24,7 @@
   leaving: vm.leaving,
 });
 
-/** Creates a VM list that lags behind its changes by a time that can be set. */
+/** Creates a VM list whose changes become visible after a configurable delay. */
 export async function createStandInVmList(
   options: { readonly readMs?: () => number } = {},
 ): Promise<StandInVmList> {
--- a/standins/weights/createStandInWeightStore/index.ts
+++ b/standins/weights/createStandInWeightStore/index.ts
@@ -28,7 +28,7 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Creates a weight store that refuses fetches past its rate, and starts it on 127.0.0.1. */
+/** Creates a weight store that refuses fetches above its rate limit, and starts it on 127.0.0.1. */
 export async function createStandInWeightStore(
   options: StandInWeightStoreOptions = {},
 ): Promise<StandInWeightStore> {
