--- a/tests/gateway/storeRestores.test.ts
+++ b/tests/gateway/storeRestores.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 import { PATHS, CONFIGURATION_KEY, HEADERS, TABLES } from '../../platform';
 import { buildWireConfiguration, buildWireEntry, type StandInServer } from '../../standins/gateway';
-import { callServer } from './_lib/callServer';
+import { callAnyServer } from './_lib/callAnyServer';
 import { startTestGateway, type TestGateway } from './_lib/startTestGateway';
 
 /** Whole reads after which what the store holds must be known; a sound VM makes two. */
@@ -88,7 +88,8 @@
     ({ era, table }) => era === 2 && table === TABLES.servers,
   );
   await Promise.race([counted, isTold]);
-  for (let call = 0; call < CALLS_SENT; call += 1) await callServer(bench, { id: `call-${call}` });
+  for (let call = 0; call < CALLS_SENT; call += 1)
+    await callAnyServer(bench, { id: `call-${call}` });
   t.true(reads < MAX_READS, `${reads} reads`);
 });
 
@@ -106,7 +107,7 @@
   bench.store.restoreSnapshot();
   await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   for (let call = 0; call < CALLS_SENT; call += 1) {
-    t.not((await callServer(bench, { id: `call-${call}` })).id, leaving.id);
+    t.not((await callAnyServer(bench, { id: `call-${call}` })).id, leaving.id);
   }
 });
 
@@ -120,7 +121,7 @@
   bench.store.restoreSnapshot();
   await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   for (let call = 0; call < CALLS_SENT; call += 1) {
-    t.not((await callServer(bench, { id: `call-${call}` })).id, gone.id);
+    t.not((await callAnyServer(bench, { id: `call-${call}` })).id, gone.id);
   }
 });
 
@@ -135,10 +136,10 @@
   await bench.waitForLine('server gone', ({ server }) => server === kept.id);
   bench.store.restoreSnapshot();
   await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
-  t.is((await callServer(bench, { id: 'meanwhile' })).id, late.id);
+  t.is((await callAnyServer(bench, { id: 'meanwhile' })).id, late.id);
   bench.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
   t.is(
-    (await callServer(bench, { id: 'after', headers: { [HEADERS.load]: '0,0,8' } })).id,
+    (await callAnyServer(bench, { id: 'after', headers: { [HEADERS.load]: '0,0,8' } })).id,
     late.id,
   );
 });
--- a/tests/model/_lib/checkRowsWorld/index.ts
+++ b/tests/model/_lib/listRowsViolations/index.ts
@@ -8,7 +8,7 @@
 }
 
 /** What was known of the world when it is looked at. */
-export interface WorldView {
+export interface RowsObservation {
   readonly world: RowsFleet;
   readonly changes: readonly AcknowledgedChange[];
   readonly changeMs: number;
@@ -37,12 +37,12 @@
 };
 
 /** Lists what must hold and does not. */
-export const listBrokenRules = ({
+export const listRowsViolations = ({
   changeMs,
   changes,
   isInTouch,
   world,
-}: WorldView): readonly string[] => {
+}: RowsObservation): readonly string[] => {
   const nowMs = world.clock.readMonotonicMs();
   return world.vms
     .filter((vm) => vm.isAlive())
--- a/tests/model/_lib/playRowsSchedule/index.ts
+++ b/tests/model/_lib/runRowsSchedule/index.ts
@@ -1,7 +1,7 @@
 import { createSeededRandomness } from '../../../../standins/fakes';
 import { createRowsFleet, type RowsVm, type RowsFleet } from '../../../../standins/rows';
 import type { EventLog } from '../../../../src/application/ports';
-import { listBrokenRules, type AcknowledgedChange } from '../checkRowsWorld';
+import { listRowsViolations, type AcknowledgedChange } from '../listRowsViolations';
 
 /** A schedule of changes and disturbances, drawn from its seed. */
 export interface ScheduleOptions {
@@ -12,7 +12,7 @@
 }
 
 /** What a play showed. */
-export interface SchedulePlay {
+export interface ScheduleResult {
   /** What did not hold, the first ones. */
   readonly broken: readonly string[];
   readonly steps: readonly string[];
@@ -42,11 +42,11 @@
 }
 
 /** Plays a schedule. */
-export const playRowsSchedule = async ({
+export const runRowsSchedule = async ({
   hasRestores = false,
   log,
   seed,
-}: ScheduleOptions): Promise<SchedulePlay> => {
+}: ScheduleOptions): Promise<ScheduleResult> => {
   const randomness = createSeededRandomness(seed);
   const draw = (least: number, most: number): number =>
     Math.floor(least + randomness.readFraction() * (most - least));
@@ -214,7 +214,7 @@
     const nextMs = Math.min(nowMs + LOOK_MS, Math.max(nowMs, left[0]?.atMs ?? Infinity));
     await clock.advanceAsync(nextMs - nowMs);
     while (left[0] && left[0].atMs <= nextMs) left.shift()?.run();
-    broken.push(...listBrokenRules({ world, changes, changeMs: bounds.changeMs, isInTouch }));
+    broken.push(...listRowsViolations({ world, changes, changeMs: bounds.changeMs, isInTouch }));
   }
   world.vms.forEach((vm) => vm.kill());
   return {
