--- a/client/_lib/computeRetryDelay/index.ts
+++ b/client/_lib/computeRetryDelay/index.ts
@@ -4,19 +4,20 @@
 /**
  * Computes how long to wait before the next request, in milliseconds.
  *
- * The first request after a break goes out at once: a lost entry is the common cause, and another
- * one can go on. Later ones are spread, so that the callers of a lost zone do not come as one.
+ * The first retry is immediate, because the usual cause is a lost entry and another entry can
+ * continue. Later retries use exponential backoff with jitter, so that the callers of a lost
+ * availability zone do not retry at the same moment.
  *
- * @param fruitless - Requests in a row that brought no token, this one counted; at least 1.
- * @param retryAfterMs - What the system asked for; it is never undercut.
- * @param fraction - Random number from 0 to 1.
+ * @param fruitlessRequests - Consecutive requests without a token, including this one; at least 1.
+ * @param retryAfterMs - Minimum delay that the system asked for.
+ * @param fraction - Random number from 0 to 1, for the jitter.
  */
 export function computeRetryDelay(
-  fruitless: number,
+  fruitlessRequests: number,
   retryAfterMs: number,
   fraction: number,
 ): number {
-  if (fruitless <= 1) return retryAfterMs;
-  const limit = Math.min(MAX_DELAY_MS, BASE_DELAY_MS * 2 ** (fruitless - 1));
+  if (fruitlessRequests <= 1) return retryAfterMs;
+  const limit = Math.min(MAX_DELAY_MS, BASE_DELAY_MS * 2 ** (fruitlessRequests - 1));
   return retryAfterMs + limit * fraction;
 }
--- a/client/_lib/convertResponseFailure/index.ts
+++ b/client/_lib/convertResponseFailure/index.ts
@@ -15,13 +15,13 @@
   }
 };
 
-/** Converts an answer that is no stream into a failure; `Retry-After` is taken in seconds. */
+/** Converts an error response into a failure. Reads `Retry-After` as a number of seconds. */
 export async function convertResponseFailure(response: Response): Promise<StreamFailure> {
   const { error } = await readErrorBody(response);
   const retryAfterS = Number(response.headers.get('retry-after') ?? 0);
   return {
     code: error?.code ?? `http_${response.status}`,
-    message: error?.message ?? `the system answered ${response.status}`,
+    message: error?.message ?? `the system responded with status ${response.status}`,
     runState: response.headers.get('jackdaw-run-state') ?? 'unknown',
     requestId: response.headers.get('jackdaw-request-id') ?? '',
     retryable: RETRYABLE_STATUSES.includes(response.status),
--- a/client/_lib/decodeServerSentEvents/index.ts
+++ b/client/_lib/decodeServerSentEvents/index.ts
@@ -13,10 +13,10 @@
 };
 
 /**
- * Decodes a `text/event-stream` body as it arrives. An event without its closing blank line is
- * dropped: the connection was cut within it, so that its tokens may be incomplete.
+ * Decodes a `text/event-stream` body incrementally. Drops a trailing event without its closing
+ * blank line: the connection broke within the event, so its tokens may be incomplete.
  *
- * @param chunks - Body bytes, cut anywhere.
+ * @param chunks - Body bytes, split at arbitrary positions.
  */
 export async function* decodeServerSentEvents(
   chunks: AsyncIterable<Uint8Array>,
--- a/client/_lib/parseGenerationEvent/index.ts
+++ b/client/_lib/parseGenerationEvent/index.ts
@@ -5,7 +5,7 @@
   StreamFailure,
 } from '../../types';
 
-/** What one event means for the client. */
+/** Result of parsing one event. */
 export type ParsedEvent =
   | { readonly kind: 'batch'; readonly batch: GenerationBatch }
   | { readonly kind: 'failure'; readonly failure: StreamFailure }
@@ -53,7 +53,7 @@
 /**
  * Parses one event of a generation's stream.
  *
- * @param progress - What the client held before the event.
+ * @param progress - Progress of the generation before the event.
  */
 export function parseGenerationEvent(
   event: ServerSentEvent,
@@ -62,7 +62,10 @@
   if (event.data === '[DONE]') return { kind: 'ignored' };
   const wire = parseJson(event.data);
   if (wire === null) {
-    return { kind: 'failure', failure: buildFailure('response_malformed', 'an event is no JSON') };
+    return {
+      kind: 'failure',
+      failure: buildFailure('response_malformed', 'an event is not valid JSON'),
+    };
   }
   if (wire.error !== undefined) {
     const { code = 'unknown', message = 'no reason given', run_state: runState } = wire.error;
@@ -74,13 +77,13 @@
     };
   }
   const choice = wire.choices?.[0];
-  // A chunk without tokens (a role or a usage report) moves no cursor.
+  // A chunk without tokens (a role or a usage report) does not advance the cursor.
   if (choice === undefined) return { kind: 'ignored' };
   const tokenIds = choice.token_ids ?? [];
   if (!isTokenList(tokenIds)) {
     return {
       kind: 'failure',
-      failure: buildFailure('response_malformed', 'token_ids is no list of numbers'),
+      failure: buildFailure('response_malformed', 'token_ids is not an array of integers'),
     };
   }
   const finishReason = choice.finish_reason ?? null;
--- a/client/_lib/readChunks/index.ts
+++ b/client/_lib/readChunks/index.ts
@@ -1,10 +1,10 @@
 /**
- * Reads a body chunk by chunk and gives up on silence.
+ * Reads a body chunk by chunk and throws if no chunk arrives within the idle timeout.
  *
- * A paused entry keeps its connection open and sends nothing: without a limit the caller would
- * wait for ever, although another entry could go on.
+ * A paused entry keeps its connection open and sends nothing. Without a timeout the caller would
+ * wait indefinitely, although another entry could continue.
  *
- * @param idleTimeoutMs - Longest wait for one chunk, in milliseconds.
+ * @param idleTimeoutMs - Maximum wait for one chunk, in milliseconds.
  */
 export async function* readChunks(
   body: ReadableStream<Uint8Array>,
@@ -14,10 +14,15 @@
   try {
     for (;;) {
       let timer: ReturnType<typeof setTimeout> | undefined;
-      const silence = new Promise<never>((_resolve, reject) => {
-        timer = setTimeout(() => reject(new Error('the stream fell silent')), idleTimeoutMs);
+      const idleTimeout = new Promise<never>((_resolve, reject) => {
+        timer = setTimeout(
+          () => reject(new Error('no data arrived within the idle timeout')),
+          idleTimeoutMs,
+        );
       });
-      const read = await Promise.race([reader.read(), silence]).finally(() => clearTimeout(timer));
+      const read = await Promise.race([reader.read(), idleTimeout]).finally(() =>
+        clearTimeout(timer),
+      );
       if (read.done) return;
       yield read.value;
     }
--- a/client/_lib/sendRequest/index.ts
+++ b/client/_lib/sendRequest/index.ts
@@ -2,7 +2,7 @@
 import type { GenerationProgress, StreamFailure, StreamGenerationOptions } from '../../types';
 import { convertResponseFailure } from '../convertResponseFailure';
 
-/** A connection on which events of the generation arrive. */
+/** An open connection that streams the events of the generation. */
 export interface OpenStream {
   readonly body: ReadableStream<Uint8Array>;
   readonly requestId: string;
@@ -39,10 +39,10 @@
 };
 
 /**
- * Sends the request that begins the generation or, with a cursor, goes on with it.
+ * Sends the request that starts the generation or, if there is a cursor, resumes it.
  *
  * @param baseUrl - Base URL of one entry.
- * @param signal - Ends the connection.
+ * @param signal - Aborts the connection.
  */
 export async function sendRequest(
   baseUrl: string,
@@ -67,12 +67,12 @@
     });
     if (!response.ok) return err(await convertResponseFailure(response));
     if (response.body === null) {
-      return err(buildFailure('response_malformed', 'the answer has no body', true));
+      return err(buildFailure('response_malformed', 'the response has no body', true));
     }
     const requestId = response.headers.get('jackdaw-request-id') ?? '';
     return ok({ body: response.body, requestId });
   } catch {
-    // The platform's `fetch` names no cause that could be relied on; the text may hold the URL only.
+    // `fetch` reports no portable cause, and its message may contain only the URL.
     return err(buildFailure('connection_failed', 'the entry could not be reached', true));
   }
 }
--- a/client/streamGeneration/index.ts
+++ b/client/streamGeneration/index.ts
@@ -14,9 +14,9 @@
 const DEFAULT_MAX_FRUITLESS_REQUESTS = 10;
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 
-const CUT: StreamFailure = {
+const CONNECTION_ENDED: StreamFailure = {
   code: 'connection_failed',
-  message: 'the connection ended before the generation did',
+  message: 'the connection ended before the generation finished',
   runState: 'unknown',
   requestId: '',
   retryable: true,
@@ -34,7 +34,7 @@
   tokenIds: [...progress.tokenIds, ...batch.tokenIds],
 });
 
-/** Yields the batches of one connection; returns why it ended, or null after the last batch. */
+/** Yields the batches of one connection. Returns why it ended, or null after the last batch. */
 async function* readConnection(
   stream: OpenStream,
   start: GenerationProgress,
@@ -52,21 +52,21 @@
       }
     }
   } catch {
-    // A cut connection rejects the read: what arrived before it is whole, and the cursor names it.
+    // A broken connection rejects the read. Events before it are complete and have a cursor.
   }
-  return { ...CUT, requestId: stream.requestId };
+  return { ...CONNECTION_ENDED, requestId: stream.requestId };
 }
 
 /**
- * Streams one generation and goes on with it, whatever breaks, at any of several entries.
+ * Streams one generation and resumes it at the next entry after a failure.
  *
- * The first request carries an idempotency key; until a token has arrived it is repeated as it
- * is. After that each request carries the last cursor and the tokens received, so that any entry
- * can go on after exactly these, also when the entry and the engine died together.
+ * The first request carries an idempotency key and is retried unchanged until a token arrives.
+ * Later requests carry the last cursor and the tokens received, so that any entry can continue
+ * after exactly these tokens, even if the entry and the engine failed together.
  *
- * @param options - Where, as whom and what; see `StreamGenerationOptions`.
- * @returns Batches in order, each token once, ending after the batch with a finish reason.
- * @throws GenerationLostError when the answer cannot be had whole.
+ * @param options - Entries, credentials and request body; see `StreamGenerationOptions`.
+ * @returns Batches in order, each token once; the last batch has a finish reason.
+ * @throws GenerationLostError if the generation cannot be completed.
  *
  * @example
  * for await (const batch of streamGeneration({ baseUrls, apiKey, body: { model, messages } })) {
@@ -76,32 +76,35 @@
 export async function* streamGeneration(
   options: StreamGenerationOptions,
 ): AsyncGenerator<GenerationBatch, void, undefined> {
-  const keyed = { ...options, idempotencyKey: options.idempotencyKey ?? crypto.randomUUID() };
-  const maxFruitless = options.maxFruitlessRequests ?? DEFAULT_MAX_FRUITLESS_REQUESTS;
+  const keyedOptions = {
+    ...options,
+    idempotencyKey: options.idempotencyKey ?? crypto.randomUUID(),
+  };
+  const maxFruitlessRequests = options.maxFruitlessRequests ?? DEFAULT_MAX_FRUITLESS_REQUESTS;
   const idleTimeoutMs = options.idleTimeoutMs ?? DEFAULT_IDLE_TIMEOUT_MS;
   const wait = options.wait ?? waitForDelay;
   let progress: GenerationProgress = { generationId: '', cursor: '', tokenIds: [] };
-  let fruitless = 0;
+  let fruitlessRequests = 0;
   for (let request = 0; ; request += 1) {
     const baseUrl = options.baseUrls[request % options.baseUrls.length] ?? '';
     const connection = new AbortController();
     const signal = options.signal
       ? AbortSignal.any([options.signal, connection.signal])
       : connection.signal;
-    fruitless += 1;
+    fruitlessRequests += 1;
     let failure: StreamFailure | null;
-    // A paused entry accepts the connection and never answers.
-    const opening = setTimeout(() => connection.abort(), idleTimeoutMs);
+    // A paused entry accepts the connection and never responds.
+    const openTimer = setTimeout(() => connection.abort(), idleTimeoutMs);
     try {
-      const stream = await sendRequest(baseUrl, progress, keyed, signal);
-      clearTimeout(opening);
+      const stream = await sendRequest(baseUrl, progress, keyedOptions, signal);
+      clearTimeout(openTimer);
       if (stream.isErr()) {
         failure = stream.error;
       } else {
         const batches = readConnection(stream.value, progress, idleTimeoutMs);
         let next = await batches.next();
         while (!next.done) {
-          fruitless = 0;
+          fruitlessRequests = 0;
           progress = addBatch(progress, next.value);
           yield next.value;
           next = await batches.next();
@@ -109,14 +112,15 @@
         failure = next.value;
       }
     } finally {
-      clearTimeout(opening);
+      clearTimeout(openTimer);
       connection.abort();
     }
     if (failure === null) return;
-    if (options.signal?.aborted) failure = { ...CUT, code: 'aborted', retryable: false };
-    if (!failure.retryable || fruitless >= maxFruitless) {
+    if (options.signal?.aborted)
+      failure = { ...CONNECTION_ENDED, code: 'aborted', retryable: false };
+    if (!failure.retryable || fruitlessRequests >= maxFruitlessRequests) {
       throw new GenerationLostError(failure, progress.tokenIds.length);
     }
-    await wait(computeRetryDelay(fruitless, failure.retryAfterMs, Math.random()));
+    await wait(computeRetryDelay(fruitlessRequests, failure.retryAfterMs, Math.random()));
   }
 }
--- a/client/streamGeneration/test.ts
+++ b/client/streamGeneration/test.ts
@@ -5,7 +5,7 @@
   readonly status?: number;
   readonly headers?: Record<string, string>;
   readonly body: string;
-  /** Cuts the connection after the body. */
+  /** Breaks the connection after the body. */
   readonly cut?: boolean;
 }
 
@@ -65,10 +65,10 @@
   return { sent, waits, error, tokens: batches.flatMap((batch) => batch.tokenIds) };
 };
 
-// Symptom: a caller sees the token after a break twice, or misses the one that was cut.
-// Sequence: entry-1 sends two tokens and half of the third event, and dies; entry-2 goes on.
-// Cause: a client that repeats the request, or that counts an incomplete event.
-test('goes on at the next entry with cursor and prefix, each token once', async (t) => {
+// Symptom: after a broken connection the caller gets a token twice or misses one.
+// Sequence: entry-1 sends two tokens and half of the third event, then fails; entry-2 continues.
+// Cause: the client repeats the request, or counts an incomplete event.
+test('resumes at the next entry with cursor and prefix, each token once', async (t) => {
   const run = await runClient([
     { body: buildEvent(1, 11) + buildEvent(2, 12) + buildEvent(3, 13).slice(0, -9), cut: true },
     { body: buildEvent(3, 13) + buildEvent(4, 14, 'stop') },
@@ -84,10 +84,10 @@
   t.deepEqual(second?.body.request, { model: 'review', messages: [], stream: true });
 });
 
-// Symptom: a generation is begun a second time under another key.
-// Sequence: entry-1 refuses the connection, entry-2 is full and names a time, entry-1 serves.
-// Cause: before the first token there is no cursor; only the key tells that it is the same work.
-test('repeats the request under one key, and not before the time the system named', async (t) => {
+// Symptom: a generation is started a second time under another key.
+// Sequence: entry-1 refuses the connection, entry-2 is full and sends Retry-After, entry-1 serves.
+// Cause: there is no cursor before the first token; only the key identifies the same work.
+test('retries under the same idempotency key and not before Retry-After', async (t) => {
   const run = await runClient([
     'refused',
     { status: 429, headers: { 'retry-after': '3' }, body: '{"error":{"code":"queue_full"}}' },
@@ -99,7 +99,7 @@
   t.true((run.waits[1] ?? 0) >= 3000);
 });
 
-test('gives a typed error when asking again cannot help', async (t) => {
+test('throws a typed error if a retry cannot succeed', async (t) => {
   const headers = { 'jackdaw-run-state': 'ran', 'jackdaw-request-id': 'req_1' };
   const run = await runClient([
     { body: buildEvent(1, 11), cut: true },
@@ -111,7 +111,7 @@
   t.is(run.sent.length, 2);
 });
 
-test('an answer cut before its last token is never taken for a finished one', async (t) => {
+test('an answer without a finish reason is never treated as complete', async (t) => {
   const run = await runClient([{ body: buildEvent(1, 11) }], 3);
   t.is((run.error as GenerationLostError).code, 'connection_failed');
   t.is(run.sent.length, 4);
--- a/client/types/GenerationLostError.ts
+++ b/client/types/GenerationLostError.ts
@@ -1,20 +1,20 @@
 import type { StreamFailure } from './StreamFailure';
 
 /**
- * Ends the iteration when the generation cannot be had whole. Thrown rather than yielded: an
- * answer that was cut short must not be taken for a finished one by a loop that ignores it.
+ * Ends the iteration if the generation cannot be completed. Thrown rather than yielded, so that a
+ * loop that ignores failures cannot treat a truncated answer as complete.
  */
 export class GenerationLostError extends Error {
   /** The system's stable error code, or `connection_failed`, `response_malformed`, `aborted`. */
   readonly code: string;
 
-  /** What is known of whether the request ran: `not-run`, `ran` or `unknown`. */
+  /** Whether the request ran, as far as is known: `not-run`, `ran` or `unknown`. */
   readonly runState: string;
 
-  /** The system's id of the last request, or empty. */
+  /** Request id that the system gave the last request, or empty. */
   readonly requestId: string;
 
-  /** Tokens that were yielded before. */
+  /** Number of tokens yielded before the failure. */
   readonly tokensReceived: number;
 
   constructor(failure: StreamFailure, tokensReceived: number) {
--- a/client/types/GenerationProgress.ts
+++ b/client/types/GenerationProgress.ts
@@ -1,4 +1,4 @@
-/** What the client holds of a generation; enough to go on at any entry. */
+/** State that the client keeps of a generation; enough to resume at any entry. */
 export interface GenerationProgress {
   readonly generationId: string;
   /** Last cursor received; empty before the first batch. */
--- a/client/types/StreamFailure.ts
+++ b/client/types/StreamFailure.ts
@@ -1,11 +1,11 @@
-/** Why one connection ended before the generation did. */
+/** Why a connection ended before the generation finished. */
 export interface StreamFailure {
   readonly code: string;
   readonly message: string;
   readonly runState: string;
   readonly requestId: string;
-  /** False: asking again cannot help. */
+  /** False if a retry cannot succeed. */
   readonly retryable: boolean;
-  /** Time the system asked for before the next request, in milliseconds; 0 if it named none. */
+  /** Minimum delay before the next request, in milliseconds; 0 if the system asked for none. */
   readonly retryAfterMs: number;
 }
