--- a/tests/generations/crashingGenerations.test.ts
+++ b/tests/generations/crashingGenerations.test.ts
@@ -1,6 +1,7 @@
-// Symptom: one generation ends up to 24 engines, and the streams that run there with it.
-// Sequence: each engine that begins it ends before its first token; the next one gets it.
-// Cause: attempts without a token are counted together, whether an engine ended under them or refused.
+// Symptom: one generation crashes up to 24 engines and breaks the other streams on them.
+// Sequence: each engine that starts the generation crashes before the first token; the generation
+//   is then sent to the next engine.
+// Cause: the limit on attempts without a token does not tell crashes from refused connections.
 import test from 'ava';
 import { createFakeClock } from '../../standins/fakes';
 import { createScriptedEngines } from '../support/createScriptedEngines';
@@ -19,7 +20,7 @@
   return { clock, engines, entry };
 };
 
-test('a generation that crashed three engines is sent to no fourth one', async (t) => {
+test('a generation that crashed three engines is not sent to a fourth', async (t) => {
   const { clock, engines, entry } = setUp();
   const { signal } = new AbortController();
   const opening = entry.generations.startGeneration(buildRequest(), signal);
@@ -33,7 +34,7 @@
   t.is(opened._unsafeUnwrapErr().code, 'engines_crashed');
 });
 
-test('a generation whose tokens came from each engine that was lost goes on', async (t) => {
+test('a generation that got a token from every lost engine is resumed each time', async (t) => {
   const { engines, entry } = setUp();
   const { signal } = new AbortController();
   const opening = entry.generations.startGeneration(buildRequest(), signal);
--- a/tests/generations/engineLoss.test.ts
+++ b/tests/generations/engineLoss.test.ts
@@ -30,8 +30,8 @@
 
 // Symptom: the caller's stream ends in the middle of an answer.
 // Sequence: the engine is killed after 3 tokens; its port refuses connections.
-// Cause: an entry that has no other copy of the tokens than the engine.
-test('a killed engine is replaced from the tokens held', async (t) => {
+// Cause: only the engine has a copy of the tokens.
+test('a generation resumes on another engine with the received tokens as prefix', async (t) => {
   const { engines, entry, start } = setUp();
   const { reader } = await start();
   engines.kill('engine-1');
@@ -48,10 +48,10 @@
   );
 });
 
-// Symptom: tokens are generated twice, and paid for twice.
-// Sequence: only the connection breaks; the engine goes on with the stream.
-// Cause: an entry that takes each broken connection for a dead engine.
-test('a cut connection is resumed on the same stream', async (t) => {
+// Symptom: tokens are generated and billed twice.
+// Sequence: only the connection breaks; the engine continues the stream.
+// Cause: the entry treats every broken connection as a dead engine.
+test('after a broken connection the same stream is resumed', async (t) => {
   const { engines, start } = setUp();
   const { first, reader } = await start();
   engines.cut('engine-1');
@@ -64,9 +64,9 @@
   t.is(engines.starts.length, 1);
 });
 
-// Symptom: the caller waits without end, or later gets text of two runs mixed.
-// Sequence: the engine freezes; another goes on; the first wakes and sends its late tokens.
-// Cause: silence that is not noticed; late tokens whose offsets fit.
+// Symptom: the caller waits indefinitely, or gets the text of two attempts mixed.
+// Sequence: the engine freezes; another engine continues; the first thaws and sends late tokens.
+// Cause: the silence is not detected, or late tokens are accepted because their offsets match.
 for (const mode of Object.values(SurvivalMode)) {
   test(`a frozen engine is replaced and its late tokens are dropped: ${mode}`, async (t) => {
     const { clock, engines, start, entry } = setUp(mode);
@@ -94,10 +94,10 @@
   });
 }
 
-// Symptom: a caller waits five seconds for its next token, others half a second.
-// Sequence: a stream freezes after its first token, when others of the service have run steadily.
-// Cause: a limit that follows from the stream's own gaps only, of which it has none yet.
-test('a stream that freezes at its first token is given up at the pace of the service', async (t) => {
+// Symptom: one caller waits five seconds for its next token, other callers half a second.
+// Sequence: a stream freezes after its first token; other streams of the service ran steadily.
+// Cause: the silence limit depends only on token gaps of the same stream, which has none yet.
+test('the silence limit of a stream with one token follows the token gaps of its service', async (t) => {
   const { clock, engines, entry, signal, start } = setUp();
   const { first, reader } = await start();
   for (let index = 4; index < 40; index += 1) {
@@ -119,9 +119,9 @@
 });
 
 // Symptom: a burst of requests takes every engine out of service, and lookups are refused.
-// Sequence: an engine delivers to one stream, while another waits there for its prefill.
-// Cause: a limit for the first token that knows nothing of the queue in an engine.
-test('a prefill that waits on an engine at work is no evidence against it', async (t) => {
+// Sequence: an engine sends tokens on one stream while another stream waits for its prefill.
+// Cause: the limit for the first token ignores the queue inside the engine.
+test('a queued prefill on an engine that sends tokens does not make the engine suspected', async (t) => {
   const { clock, engines, entry, signal, start } = setUp(SurvivalMode.Latency);
   const { first, reader } = await start();
   const opening = entry.generations.startGeneration(buildRequest({ requestId: 'req_2' }), signal);
--- a/tests/generations/entryLoss.test.ts
+++ b/tests/generations/entryLoss.test.ts
@@ -2,10 +2,10 @@
 import { buildRequest } from '../support/createTestEntry';
 import { createTestDeployment } from '../support/createTestDeployment';
 
-// Symptom: a caller whose entry died gets its text from the start again, or not at all.
-// Sequence: entry-1 dies after 3 tokens; the caller comes to entry-22 with its cursor only.
-// Cause: the only copy of a running generation in the memory of one entry.
-test('another entry reads the stream of the engine on', async (t) => {
+// Symptom: a caller whose entry failed gets its text from the start again, or not at all.
+// Sequence: entry-1 fails after 3 tokens; the caller sends only its cursor to entry-22.
+// Cause: a running generation exists only in the memory of one entry.
+test('another entry resumes the stream on the engine', async (t) => {
   const { engines, network, first, second, open, resume, readFeed } = createTestDeployment();
   const { stream, reader } = await open(first, 3);
   network.remove('entry-1');
@@ -17,10 +17,10 @@
   t.is(engines.starts.length, 1);
 });
 
-// Symptom: minutes of work are lost with a zone.
-// Sequence: entry-1 and the engine die together; the caller sends request and prefix to entry-22.
-// Cause: no copy of the tokens outside of the zone.
-test('entry and engine lost together: the prefix of the caller is the copy', async (t) => {
+// Symptom: the loss of an availability zone loses minutes of work.
+// Sequence: entry-1 and the engine fail together; the caller sends request and prefix to entry-22.
+// Cause: there is no copy of the tokens outside the zone.
+test('if entry and engine fail together, the generation resumes from the prefix of the caller', async (t) => {
   const { engines, network, first, second, open, resume, readFeed } = createTestDeployment();
   const { reader } = await open(first, 3);
   const prefixTokenIds = [...reader.tokenIds];
@@ -48,10 +48,10 @@
   t.deepEqual([...prefixTokenIds, ...rest.tokenIds], next.tokenIds);
 });
 
-// Symptom: a caller that was moved to another entry stops when the first entry dies later.
-// Sequence: entry-22 relays from entry-1, which then stands still; the engine goes on.
-// Cause: a relay that has no way to go on without the peer.
-test('a relay goes on without the peer', async (t) => {
+// Symptom: a caller that moved to another entry gets no more tokens when the first entry fails.
+// Sequence: entry-22 relays from entry-1, which then stops responding; the engine continues.
+// Cause: the relay cannot resume from the engine without the peer.
+test('a relay resumes from the engine when its peer fails', async (t) => {
   const { clock, engines, network, first, second, open, resume, readFeed } = createTestDeployment();
   const { stream, reader } = await open(first, 3);
   const relay = readFeed((await resume(second, reader))._unsafeUnwrap());
@@ -81,11 +81,11 @@
   reading?.end();
 });
 
-// Symptom: text of two runs in one answer.
-// Sequence: entry-22 goes on from token 3 on another engine, as entry-1 seems dead; entry-1 wakes
-//   with 5 tokens of the first run; the caller comes back to it with the cursor of the second.
-// Cause: a copy that is taken for the right one by its offset.
-test('a copy of another run is never spliced in', async (t) => {
+// Symptom: one answer contains text of two attempts.
+// Sequence: entry-1 seems dead, so entry-22 continues from token 3 on another engine; entry-1
+//   returns with 5 tokens of the first attempt; the caller sends it the cursor of the second.
+// Cause: entry-1 checks only the offset of the cursor, not which attempt it belongs to.
+test('tokens of another attempt are never spliced into an answer', async (t) => {
   const { engines, network, first, second, open, resume, readFeed } = createTestDeployment();
   const { stream, reader } = await open(first, 3);
   const prefixTokenIds = [...reader.tokenIds];
--- a/tests/generations/keyed.test.ts
+++ b/tests/generations/keyed.test.ts
@@ -4,10 +4,11 @@
 
 const KEYED = { idempotencyKey: 'key' };
 
-// Symptom: two generations of one key, and two letters.
+// Symptom: one idempotency key gets two generations, and the customer two letters.
 // Sequence: the same POST reaches two entries at once.
-// Cause: a claim that is looked at before it is written, or a holder that cannot be attached to yet.
-test('two simultaneous POSTs of one key give one generation', async (t) => {
+// Cause: the claim is read before it is written instead of atomically, or callers cannot attach to
+//   its holder yet.
+test('simultaneous POSTs with one idempotency key give one generation', async (t) => {
   const { engines, first, second, readFeed, signal } = createTestDeployment();
   const openings = [first, second, first].map(({ generations }) =>
     generations.startGeneration(buildRequest(KEYED), signal),
@@ -22,10 +23,10 @@
   t.is(engines.starts.length, 1);
 });
 
-// Symptom: a repeat of a finished request generates again, or another body gets the first answer.
-// Sequence: the answer is stored; the key comes again at another entry.
-// Cause: keys that are kept only in the memory of one entry.
-test('a finished answer is replayed, and another request under its key is refused', async (t) => {
+// Symptom: a repeated request is generated again, or another body gets the first answer.
+// Sequence: the answer is stored; a request with the same key arrives at another entry.
+// Cause: keys are kept only in the memory of one entry.
+test('a stored answer is replayed, and a different request with its key is refused', async (t) => {
   const { clock, engines, first, second, open, readFeed, signal } = createTestDeployment();
   const { stream, reader } = await open(first, 2, KEYED);
   engines.emit(stream, 1, 'stop');
@@ -41,10 +42,10 @@
   t.is(engines.starts.length, 1);
 });
 
-// Symptom: a repeat of a request that an entry finished in its shutdown finds no answer.
-// Sequence: the store is slow to come back; the last token leaves; the entry is drained and exits.
-// Cause: a drain that ends with the last token, while the answer is still being written.
-test('a drain waits until answers are stored, and not longer than its bound', async (t) => {
+// Symptom: the answer of a request that finished during a shutdown is not found by its repeat.
+// Sequence: the store is down; the last token is sent; the entry is drained and exits.
+// Cause: the drain ends with the last token, while the answer is still being written.
+test('a drain waits until answers are stored, but not past its timeout', async (t) => {
   const { clock, engines, first, second, tableStore, open, readFeed, signal } =
     createTestDeployment();
   const { stream, reader } = await open(first, 2, KEYED);
@@ -70,10 +71,10 @@
   t.is(engines.starts.length, 1);
 });
 
-// Symptom: a paused entry goes on with work that another one has, and writes over its claim.
-// Sequence: entry-1 stands still; entry-22 takes the claim over; the engine dies; entry-1 wakes.
-// Cause: an entry that does not ask whether the claim is still its own.
-test('an entry that lost its claim starts nothing more', async (t) => {
+// Symptom: a paused entry continues work that another entry took over, and overwrites its claim.
+// Sequence: entry-1 pauses; entry-22 takes over the claim; the engine fails; entry-1 resumes.
+// Cause: the entry does not check whether it still holds the claim.
+test('an entry that lost its claim starts no further attempt', async (t) => {
   const { clock, engines, network, first, second, open, readFeed, signal } = createTestDeployment();
   const { stream, reader } = await open(first, 2, KEYED);
   await clock.advanceAsync(0);
@@ -93,10 +94,10 @@
   t.deepEqual(own[0]!.tokenIds.slice(0, 2), stream.tokenIds);
 });
 
-// Symptom: work that bills runs twice, or a caller is told "not run" of work that ran.
-// Sequence: the engine dies before and after the first token; the store is down; the key repeats.
-// Cause: a retry of work that may have begun.
-test('non-idempotent work is sent once, and the caller is told what is known', async (t) => {
+// Symptom: billable work runs twice, or the caller is told "not run" about work that ran.
+// Sequence: the engine fails after the first token; the key is repeated; then the store is down.
+// Cause: work that may have started is retried.
+test('non-idempotent work is sent once, and errors report the known run state', async (t) => {
   const { engines, first, second, open, signal, tableStore } = createTestDeployment();
   const once = { idempotent: false, idempotencyKey: 'once' };
   const { reader } = await open(first, 2, once);
--- a/tests/generations/placement.test.ts
+++ b/tests/generations/placement.test.ts
@@ -2,11 +2,11 @@
 import { createTestDeployment } from '../support/createTestDeployment';
 import { createTestEntry } from '../support/createTestEntry';
 
-// Symptom: a review goes on in a place that its workspace may no longer use.
-// Sequence: entry-1 dies; a new configuration takes the place away; the caller comes to entry-2 with
-// a cursor that names the engine there.
-// Cause: the stream named in a cursor was read on without asking where it runs.
-test('a stream in a place that is not allowed any more is not read on', async (t) => {
+// Symptom: a review continues in a place that its workspace may no longer use.
+// Sequence: entry-1 fails; a new configuration disallows the place; the caller sends entry-2 a
+//   cursor that names an engine there.
+// Cause: the stream named in a cursor was resumed without a check of its place.
+test('a stream in a place that is no longer allowed is not resumed', async (t) => {
   const { clock, engines, network, first, open, resume } = createTestDeployment();
   const { reader } = await open(first, 3);
   const second = createTestEntry({
--- a/tests/lease/_lib/createLeasePair/index.ts
+++ b/tests/lease/_lib/createLeasePair/index.ts
@@ -10,25 +10,25 @@
 import { createPausableClock } from '../../../_lib/createPausableClock';
 import type { PausableClock } from '../../../_lib/createPausableClock';
 
-/** Longest time that an order is under way. */
+/** Maximum time that an order may be in flight. */
 export const ORDER_CALL_MS = 2_000;
 
-/** A process that may hold the lease, on a clock that can be paused. */
+/** A process that competes for the lease, on a clock that can be paused. */
 export interface TestHolder extends PausableClock {
   readonly holder: LeaseHolder;
-  /** The token under which it would send an order now; null also while it is paused. */
-  readToken(): number | null;
+  /** Fencing token for an order sent now; null without the lease or while paused. */
+  readOrderToken(): number | null;
 }
 
-/** Two processes over one table, and a watch over the orders that they may send. */
+/** Two processes that compete for one lease, and a check of the orders they could send. */
 export interface LeasePair {
   readonly clock: FakeClock;
   readonly table: MemoryTableStore;
   readonly holders: readonly [TestHolder, TestHolder];
-  /** Lets time pass in small steps; after each, notes who may order. */
+  /** Advances time in small steps and records after each step which process could send orders. */
   advance(durationMs: number): Promise<void>;
-  /** Overlaps of two holders' orders, and orders with a token that went down. */
-  listFaults(): readonly string[];
+  /** Lists overlapping orders of two holders, and orders with a lower token than an earlier one. */
+  listViolations(): readonly string[];
 }
 
 interface Order {
@@ -51,11 +51,11 @@
   return {
     ...clock,
     holder,
-    readToken: () => (clock.isPaused() ? null : holder.readOrderToken()),
+    readOrderToken: () => (clock.isPaused() ? null : holder.readOrderToken()),
   };
 }
 
-/** Creates two processes that want the same lease. */
+/** Creates two processes that compete for the same lease. */
 export function createLeasePair(times?: LeaseTimes): LeasePair {
   const clock = createFakeClock();
   const table = createMemoryTableStore();
@@ -64,7 +64,7 @@
     createHolder('b', { clock, table, times }),
   ] as const;
   const orders: Order[] = [];
-  const faults: string[] = [];
+  const violations: string[] = [];
 
   const recordOrder = (name: string, token: number): void => {
     const order = { name, token, atMs: clock.readMonotonicMs() };
@@ -72,13 +72,17 @@
       (other) => other.name !== name && order.atMs - other.atMs < ORDER_CALL_MS,
     );
     const newer = orders.find((other) => other.token > token);
-    if (overlap) faults.push(`${name} orders at ${order.atMs} beside ${overlap.name}`);
-    if (newer) faults.push(`${name} orders with ${token} after ${newer.token}`);
+    if (overlap)
+      violations.push(
+        `${name} sends an order at ${order.atMs} ms that overlaps with one of ${overlap.name}`,
+      );
+    if (newer)
+      violations.push(`${name} sends an order with token ${token} after token ${newer.token}`);
     orders.push(order);
   };
   const recordOrders = (): void =>
     holders.forEach((holder, index) => {
-      const token = holder.readToken();
+      const token = holder.readOrderToken();
       if (token !== null) recordOrder(`holder ${index}`, token);
     });
 
@@ -88,13 +92,13 @@
     holders: [holders[0], holders[1]],
     advance: async (durationMs) => {
       for (let passedMs = 0; passedMs < durationMs; passedMs += STEP_MS) {
-        // A process that is back may order before it has read anything.
+        // A resumed process may send an order before it reads the lease row.
         recordOrders();
         holders.forEach(({ runDelayed }) => runDelayed());
         await clock.advanceAsync(STEP_MS);
         recordOrders();
       }
     },
-    listFaults: () => faults,
+    listViolations: () => violations,
   };
 }
