--- a/tests/callers/backpressure.test.ts
+++ b/tests/callers/backpressure.test.ts
@@ -11,7 +11,7 @@
 const EVENTS = 4000;
 const EVENT_CHARACTERS = 64_000;
 
-/** Far more than sockets hold, far less than all events together. */
+/** Far more events than the socket buffers hold, far fewer than the feed has. */
 const MAX_PULLED = 1000;
 
 const BODY = JSON.stringify({
@@ -29,7 +29,7 @@
   BODY,
 ].join('\r\n');
 
-/** Creates a feed that always has a next event, and counts how many were taken. */
+/** Creates a feed whose next event is always ready, and counts the events that were read. */
 const createEndlessFeed = () => {
   const counts = { pulled: 0, detached: 0 };
   async function* follow(): AsyncGenerator<GenerationEvent> {
@@ -56,18 +56,22 @@
   return { counts, feed };
 };
 
-/** Waits until so many turns of the loop in a row changed nothing. */
-const waitUntilStill = async (read: () => number): Promise<void> => {
-  for (let still = 0, last = -1; still < 200; still = read() === last ? still + 1 : 0) {
+/** Waits until the value has not changed for 200 turns of the event loop. */
+const waitUntilStable = async (read: () => number): Promise<void> => {
+  for (
+    let unchanged = 0, last = -1;
+    unchanged < 200;
+    unchanged = read() === last ? unchanged + 1 : 0
+  ) {
     last = read();
     await waitForTurn();
   }
 };
 
-// Symptom: an entry's memory grows until it is killed, and every stream on it breaks.
-// Sequence: a caller stops reading; the engine goes on; each event is queued for the caller.
-// Cause: events were written without a look at whether the caller takes them.
-test('a caller that does not read holds up its own feed only, and detaches when it goes', async (t) => {
+// Symptom: the memory of an entry grows until the entry is killed, and all its streams break.
+// Sequence: a caller stops reading; the engine continues; each event is queued for the caller.
+// Cause: events were written without regard to backpressure.
+test('a caller that does not read stalls only its own feed, and detaches when it disconnects', async (t) => {
   const { counts, feed } = createEndlessFeed();
   const generations = { ...createScriptedGenerations(), startGeneration: async () => ok(feed) };
   const server = await startTestCallerServer({ generations });
@@ -75,7 +79,7 @@
   socket.pause();
   socket.write(REQUEST);
   while (counts.pulled === 0) await waitForTurn();
-  await waitUntilStill(() => counts.pulled);
+  await waitUntilStable(() => counts.pulled);
   t.true(counts.pulled < MAX_PULLED, String(counts.pulled));
   t.is(counts.detached, 0);
   socket.destroy();
--- a/tests/callers/generation.test.ts
+++ b/tests/callers/generation.test.ts
@@ -9,7 +9,7 @@
 const BODY = { model: 'review', messages: [{ role: 'user', content: 'seal' }] };
 const CURSOR = buildTestCursor(1);
 
-test('an unmodified OpenAI client gets a chat streamed, whole, with usage, and the models', async (t) => {
+test('an unmodified OpenAI client gets streamed and unstreamed answers, usage and models', async (t) => {
   const server = await startTestCallerServer();
   server.generations.pushText(['A ', 'good ', 'seal.']);
   server.generations.end();
@@ -76,11 +76,11 @@
   { title: 'malformed JSON', body: '{"model":', status: 400, code: 'malformed_json' },
   { title: 'wrong type', body: { ...BODY, max_tokens: 'x' }, status: 400, code: 'invalid_field' },
   { title: 'no messages', body: { model: 'review' }, status: 400, code: 'invalid_field' },
-  { title: 'no object', body: '[1]', status: 400, code: 'invalid_field' },
+  { title: 'body that is not an object', body: '[1]', status: 400, code: 'invalid_field' },
   { title: 'oversized body', body: 'x'.repeat(10_001), status: 413, code: 'body_too_large' },
   { title: 'unknown model', body: { ...BODY, model: 'no' }, status: 404, code: 'model_not_found' },
   {
-    title: 'model of others',
+    title: 'model of another workspace',
     body: { ...BODY, model: 'hidden' },
     status: 403,
     code: 'service_not_allowed',
@@ -100,7 +100,7 @@
   { title: 'unknown path', path: '/v1/embeddings', status: 404, code: 'unknown_path' },
 ] as const;
 
-test('each bad request gets its code, was not run, and no generation starts', async (t) => {
+test('each invalid request gets its error code and run state not-run, and starts no generation', async (t) => {
   const logged: string[] = [];
   const info = (_message: string, fields: EventFields): void => {
     logged.push(JSON.stringify(fields));
@@ -123,7 +123,7 @@
   t.false(logged.some((line) => line.includes('seal') || line.includes('nobody')));
 });
 
-test('a broken, forged or foreign cursor is refused and reaches no generation', async (t) => {
+test('a malformed, forged or foreign cursor is refused and resumes no generation', async (t) => {
   const server = await startTestCallerServer();
   const sign = (change: Partial<typeof CURSOR>): string =>
     signCursor({ ...CURSOR, ...change }, [...TEST_CURSOR_KEYS]);
@@ -146,7 +146,7 @@
   await server.stop();
 });
 
-test('a failure before the first token has its own status; a later one is an error event', async (t) => {
+test('a failure before the first token sets the HTTP status; a later one is an error event', async (t) => {
   const error = {
     code: 'queue_full',
     message: 'full',
@@ -179,10 +179,10 @@
   await broken.stop();
 });
 
-// Symptom: a caller takes half an answer for the whole one.
+// Symptom: a caller treats a truncated answer as complete.
 // Sequence: the feed ends without a finish reason.
-// Cause: the end of the feed alone was taken for the end of the generation.
-test('a feed that ends early is an error, streamed and whole', async (t) => {
+// Cause: the end of the feed was treated as the end of the generation.
+test('a feed that ends without a finish reason is an error, streamed and unstreamed', async (t) => {
   const server = await startTestCallerServer();
   server.generations.push({
     kind: 'tokens',
@@ -197,7 +197,7 @@
   await server.stop();
 });
 
-test('an entry that is cut off or has no configuration is not ready and takes no work', async (t) => {
+test('an entry that is cut off or has no configuration is not ready and refuses work', async (t) => {
   const view = { readCurrent: () => null, addListener: () => () => undefined };
   const cases = [
     { change: { isCutOff: () => true }, code: 'cut_off' },
--- a/tests/callers/shutdown.test.ts
+++ b/tests/callers/shutdown.test.ts
@@ -5,7 +5,7 @@
 
 const BODY = { model: 'review', messages: [{ role: 'user', content: 'seal' }], stream: true };
 
-/** Reads a stream until it holds the text. */
+/** Reads a stream until its text contains `wanted`. */
 const readUntil = async (
   reader: ReadableStreamDefaultReader<Uint8Array>,
   wanted: string,
@@ -19,17 +19,20 @@
   return text;
 };
 
-const pushOne = (server: Awaited<ReturnType<typeof startTestCallerServer>>, at: number): void =>
+const pushToken = (
+  server: Awaited<ReturnType<typeof startTestCallerServer>>,
+  offset: number,
+): void =>
   server.generations.push({
     kind: 'tokens',
-    batch: { offset: at, tokenIds: [at], text: `w${at} `, finishReason: null },
-    cursor: buildTestCursor(at + 1),
+    batch: { offset, tokenIds: [offset], text: `w${offset} `, finishReason: null },
+    cursor: buildTestCursor(offset + 1),
   });
 
-test('a shutdown refuses new work as not run and lets a stream go to its end', async (t) => {
+test('a shutdown refuses new work as not-run and lets a running stream finish', async (t) => {
   const server = await startTestCallerServer();
   t.is((await server.send('/readyz')).status, 200);
-  pushOne(server, 0);
+  pushToken(server, 0);
   const answer = await server.post('/v1/chat/completions', BODY);
   const reader = answer.body!.getReader();
   await readUntil(reader, 'w0');
@@ -51,12 +54,12 @@
   await server.stop();
 });
 
-// Symptom: a review that is still running at the bound of a drain is cut off.
-// Sequence: SIGTERM, the bound passes, the process ends in mid-generation.
-// Cause: a stream that ends with its process tells the caller nothing to go on with.
-test('past the bound a stream is handed over by cursor, and is not cancelled', async (t) => {
+// Symptom: a review that still runs at the drain timeout is cut off.
+// Sequence: SIGTERM; the timeout passes; the process exits during the generation.
+// Cause: a stream that ends with its process gives the caller no cursor to resume from.
+test('at the drain timeout a stream is handed over by cursor and not cancelled', async (t) => {
   const server = await startTestCallerServer();
-  pushOne(server, 0);
+  pushToken(server, 0);
   const answer = await server.post('/v1/chat/completions', BODY);
   const reader = answer.body!.getReader();
   const before = await readUntil(reader, 'w0');
@@ -71,9 +74,9 @@
   await server.stop();
 });
 
-test('past the bound an unstreamed answer gives the tokens and a cursor to go on with', async (t) => {
+test('at the drain timeout an unstreamed answer contains its tokens and a cursor to resume from', async (t) => {
   const server = await startTestCallerServer();
-  pushOne(server, 0);
+  pushToken(server, 0);
   const pending = server.post('/v1/chat/completions', { ...BODY, stream: false });
   await server.generations.waiting;
   server.shutdown.drain(1000);
@@ -90,7 +93,7 @@
   await server.stop();
 });
 
-test('a plain call is waited for past the bound, since it has no cursor', async (t) => {
+test('a drain waits for a plain call past the timeout, since it has no cursor', async (t) => {
   let finish: () => void = () => undefined;
   const released = new Promise<void>((resolve) => {
     finish = resolve;
@@ -122,11 +125,11 @@
   await server.stop();
 });
 
-// Symptom: the last words of an answer are missing after a restart of the entry.
-// Sequence: the answer is complete and still on its way to a slow caller; the drain ends; the
-// process closes its connections.
-// Cause: work was counted as ended when the answer was handed to the socket, not when it was sent.
-test('a drain waits until a slow caller has been sent the whole answer', async (t) => {
+// Symptom: the end of an answer is missing after a restart of the entry.
+// Sequence: the answer is complete but not yet sent to a slow caller; the drain ends; the process
+//   closes its connections.
+// Cause: work counted as finished when the answer was written to the socket, not when it was sent.
+test('a drain waits until the whole answer is sent to a slow caller', async (t) => {
   const server = await startTestCallerServer();
   const length = 32_000_000;
   server.generations.pushText(['x'.repeat(length)]);
@@ -140,7 +143,7 @@
   await server.stop();
 });
 
-test('a caller that reads nothing does not hold a drain past the bound', async (t) => {
+test('a caller that does not read cannot delay a drain past its timeout', async (t) => {
   const server = await startTestCallerServer();
   server.generations.pushText(['x'.repeat(32_000_000)]);
   await server.post('/v1/chat/completions', BODY);
@@ -151,11 +154,11 @@
   await server.stop();
 });
 
-// Symptom: two generations of one dossier.
-// Sequence: a stream breaks; its caller comes back with the cursor to an entry that shuts down, is
-// told `not-run`, and sends the dossier anew.
-// Cause: the refusal spoke of the request to go on, not of the generation.
-test('a caller that comes back to a leaving entry is not told that nothing ran', async (t) => {
+// Symptom: one dossier gets two generations.
+// Sequence: a stream breaks; its caller sends the cursor to an entry in shutdown, gets `not-run`
+//   and sends the dossier as a new request.
+// Cause: the run state in the refusal described the resume request, not the generation.
+test('an entry that shuts down refuses a resume with run state unknown', async (t) => {
   const server = await startTestCallerServer();
   server.shutdown.drain(1000);
   const answer = await server.send('/v1/generations/gen_1/events', {
--- a/tests/keeper/_lib/createFakeEngine/index.ts
+++ b/tests/keeper/_lib/createFakeEngine/index.ts
@@ -5,22 +5,22 @@
 
 const LOAD_MS = 3_000;
 
-/** An engine in memory that takes orders. */
+/** An in-memory engine that accepts orders. */
 export interface FakeEngine {
   readonly name: string;
   readLoad(): Result<LoadReport, EngineError>;
-  takeOrder(order: EngineOrder): Result<void, EngineError>;
+  handleOrder(order: EngineOrder): Result<void, EngineError>;
   listModels(): readonly LoadedModel[];
-  /** Orders that it took, in order. */
-  readonly taken: EngineOrder[];
+  /** Accepted orders, oldest first. */
+  readonly acceptedOrders: EngineOrder[];
   countLoading(): number;
-  faults: { down: boolean; loseNextAnswer: boolean; retryAfterMs: number; room: number };
+  faults: { down: boolean; loseNextResponse: boolean; retryAfterMs: number; maxModels: number };
 }
 
 const isSame = (left: LoadedModel, right: LoadedModel): boolean =>
   left.model === right.model && left.version === right.version && left.adapter === right.adapter;
 
-/** Creates an engine; each load takes 3 s, and is tried again while there is no room. */
+/** Creates an engine. Each load takes 3 s and is retried while the engine is at its capacity. */
 export function createFakeEngine(
   name: string,
   options: {
@@ -30,10 +30,10 @@
   },
 ): FakeEngine {
   const { clock, checksFencing } = options;
-  const taken: EngineOrder[] = [];
-  const faults = { down: false, loseNextAnswer: false, retryAfterMs: 0, room: 9 };
-  let held = options.models;
-  let wanted = options.models;
+  const acceptedOrders: EngineOrder[] = [];
+  const faults = { down: false, loseNextResponse: false, retryAfterMs: 0, maxModels: 9 };
+  let loadedModels = options.models;
+  let desiredModels = options.models;
   let role = 'serve';
   let fencingToken = 0;
   let loading = 0;
@@ -42,26 +42,30 @@
     loading += 1;
     clock.startTimer(LOAD_MS, () => {
       loading -= 1;
-      if (!wanted.some((other) => isSame(other, item))) return;
-      if (held.length < faults.room) held = [...held, item];
+      if (!desiredModels.some((other) => isSame(other, item))) return;
+      if (loadedModels.length < faults.maxModels) loadedModels = [...loadedModels, item];
       else load(item);
     });
   };
   const applyOrder = (order: EngineOrder): void => {
-    taken.push(order);
+    acceptedOrders.push(order);
     fencingToken = Math.max(fencingToken, order.fencingToken);
     role = order.role;
-    const added = order.models.filter((item) => !wanted.some((other) => isSame(other, item)));
-    wanted = order.models;
-    held = held.filter((item) => wanted.some((other) => isSame(other, item)));
+    const added = order.models.filter(
+      (item) => !desiredModels.some((other) => isSame(other, item)),
+    );
+    desiredModels = order.models;
+    loadedModels = loadedModels.filter((item) =>
+      desiredModels.some((other) => isSame(other, item)),
+    );
     added.forEach(load);
   };
 
   return {
     name,
-    taken,
+    acceptedOrders,
     faults,
-    listModels: () => held,
+    listModels: () => loadedModels,
     countLoading: () => loading,
     readLoad: () =>
       faults.down
@@ -74,14 +78,14 @@
             slots: 8,
             cacheUse: 0,
             tokensPerSecond: 0,
-            models: held,
+            models: loadedModels,
             role,
             leaving: false,
             fencingToken,
             ageMs: 0,
             receivedAtMs: clock.readMonotonicMs(),
           }),
-    takeOrder: (order) => {
+    handleOrder: (order) => {
       if (faults.down) return err({ kind: 'broken', reason: 'down' });
       if (faults.retryAfterMs > 0) {
         return err({ kind: 'not-started', reason: '429', retryAfterMs: faults.retryAfterMs });
@@ -90,9 +94,9 @@
         return err({ kind: 'stale-order', fencingToken });
       }
       applyOrder(order);
-      if (!faults.loseNextAnswer) return ok(undefined);
-      faults.loseNextAnswer = false;
-      return err({ kind: 'broken', reason: 'the answer was lost' });
+      if (!faults.loseNextResponse) return ok(undefined);
+      faults.loseNextResponse = false;
+      return err({ kind: 'broken', reason: 'the response was lost' });
     },
   };
 }
--- a/tests/keeper/_lib/createKeeperRig/index.ts
+++ b/tests/keeper/_lib/createTestKeepers/index.ts
@@ -29,17 +29,17 @@
   start(): void;
 }
 
-/** Two keepers and some engines. */
-export interface KeeperRig {
+/** Two keepers that control the same engines. */
+export interface TestKeepers {
   readonly clock: FakeClock;
   readonly table: MemoryTableStore;
   readonly keepers: readonly [TestKeeper, TestKeeper];
   readonly engines: readonly FakeEngine[];
-  /** Puts targets into force at both keepers. */
+  /** Applies engine targets at both keepers. */
   applyTargets(targets: readonly EngineTarget[]): void;
-  /** Holds back the answer to the next order; the returned function lets it through. */
-  holdNextAnswer(): () => void;
-  /** Lets time pass in steps; calls `check` after each. */
+  /** Delays the response to the next order until the returned function is called. */
+  delayNextResponse(): () => void;
+  /** Advances time in steps and calls `check` after each. */
   advance(durationMs: number, check?: () => void): Promise<void>;
 }
 
@@ -67,28 +67,28 @@
   };
 }
 
-/** Creates the rig; each engine starts with `models`. */
-export function createKeeperRig(options: {
+/** Creates two keepers and their engines; each engine starts with `models` loaded. */
+export function createTestKeepers(options: {
   readonly engineNames: readonly string[];
   readonly models: readonly LoadedModel[];
   readonly checksFencing: boolean;
   readonly maxLoads: number;
-}): KeeperRig {
+}): TestKeepers {
   const clock = createFakeClock();
   const table = createMemoryTableStore();
   const engines = options.engineNames.map((name) => createFakeEngine(name, { ...options, clock }));
   const byName = new Map(engines.map((engine) => [engine.name, engine]));
   const listeners = new Set<(current: VersionedConfiguration) => void>();
   let current: VersionedConfiguration | null = null;
-  let gate: Promise<void> | null = null;
+  let pendingResponse: Promise<void> | null = null;
 
   const engineClient: Pick<EngineClient, 'readLoad' | 'sendOrder'> = {
     readLoad: async ({ name }) => byName.get(name)!.readLoad(),
     sendOrder: async ({ name }, order) => {
-      const answer = byName.get(name)!.takeOrder(order);
-      const held = gate;
-      gate = null;
-      await held;
+      const answer = byName.get(name)!.handleOrder(order);
+      const pending = pendingResponse;
+      pendingResponse = null;
+      await pending;
       return answer;
     },
   };
@@ -141,9 +141,9 @@
       current = next;
       listeners.forEach((listener) => listener(next));
     },
-    holdNextAnswer: () => {
+    delayNextResponse: () => {
       let release = (): void => {};
-      gate = new Promise((resolve) => {
+      pendingResponse = new Promise((resolve) => {
         release = resolve;
       });
       return () => release();
--- a/tests/keeper/keeper.test.ts
+++ b/tests/keeper/keeper.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { EngineTarget, LoadedModel } from '../../src/domain/types';
-import { createKeeperRig } from './_lib/createKeeperRig';
-import type { KeeperRig } from './_lib/createKeeperRig';
+import { createTestKeepers } from './_lib/createTestKeepers';
+import type { TestKeepers } from './_lib/createTestKeepers';
 
 const NAMES = ['e-1', 'e-2', 'e-3', 'e-4'];
 const V1: LoadedModel = { model: 'review', version: '1', adapter: '' };
@@ -10,20 +10,20 @@
 const buildTargets = (names: readonly string[], models: readonly LoadedModel[]): EngineTarget[] =>
   names.map((backendServer) => ({ backendServer, models, role: 'serve' }));
 
-const startRig = async (
+const startTestKeepers = async (
   options: { readonly checksFencing?: boolean; readonly maxLoads?: number } = {},
-): Promise<KeeperRig> => {
+): Promise<TestKeepers> => {
   const { checksFencing = true, maxLoads = 4 } = options;
-  const rig = createKeeperRig({ engineNames: NAMES, models: [V1], checksFencing, maxLoads });
-  rig.applyTargets(buildTargets(NAMES, [V1]));
-  rig.keepers[0].start();
-  await rig.advance(1_000);
-  rig.keepers[1].start();
-  await rig.advance(10_000);
-  return rig;
+  const system = createTestKeepers({ engineNames: NAMES, models: [V1], checksFencing, maxLoads });
+  system.applyTargets(buildTargets(NAMES, [V1]));
+  system.keepers[0].start();
+  await system.advance(1_000);
+  system.keepers[1].start();
+  await system.advance(10_000);
+  return system;
 };
 
-const listHeld = ({ engines }: KeeperRig) =>
+const listVersions = ({ engines }: TestKeepers) =>
   engines.map((engine) =>
     engine
       .listModels()
@@ -31,92 +31,95 @@
       .join('+'),
   );
 
-test('a new version is loaded beside the old one, within the limit of loads', async (t) => {
-  // Symptom: no engine serves the model while all of them load the new version.
-  // Events: the target of all engines changes at once. Cause: an order that drops the old version
-  // before the new one serves, or more loads than the weight store allows.
-  const rig = await startRig({ maxLoads: 2 });
-  t.is(rig.engines.flatMap(({ taken }) => taken).length, 0);
-  rig.applyTargets(buildTargets(NAMES, [V2]));
-  let mostLoading = 0;
-  await rig.advance(30_000, () => {
-    const loading = rig.engines.reduce((sum, engine) => sum + engine.countLoading(), 0);
-    mostLoading = Math.max(mostLoading, loading);
-    if (rig.engines.some((engine) => engine.listModels().length === 0)) t.fail('serves nothing');
+test('a new version is loaded beside the old one, within the limit on concurrent loads', async (t) => {
+  // Symptom: no engine serves the model while all engines load the new version.
+  // Sequence: the target of all engines changes at once.
+  // Cause: an order unloads the old version before the new one serves, or more engines load at once
+  //   than the weight store allows.
+  const system = await startTestKeepers({ maxLoads: 2 });
+  t.is(system.engines.flatMap(({ acceptedOrders }) => acceptedOrders).length, 0);
+  system.applyTargets(buildTargets(NAMES, [V2]));
+  let maxLoading = 0;
+  await system.advance(30_000, () => {
+    const loading = system.engines.reduce((sum, engine) => sum + engine.countLoading(), 0);
+    maxLoading = Math.max(maxLoading, loading);
+    if (system.engines.some((engine) => engine.listModels().length === 0))
+      t.fail('an engine serves no model');
   });
-  t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
-  t.is(mostLoading, 2);
-  const repeats = rig.engines.map(({ taken }) => taken.length);
-  t.deepEqual(repeats, [2, 2, 2, 2]);
+  t.deepEqual(listVersions(system), ['2', '2', '2', '2']);
+  t.is(maxLoading, 2);
+  const orderCounts = system.engines.map(({ acceptedOrders }) => acceptedOrders.length);
+  t.deepEqual(orderCounts, [2, 2, 2, 2]);
 });
 
-test('a replica that moves is unloaded only after the new one serves', async (t) => {
-  const rig = await startRig();
+test('a moved replica is unloaded only after its replacement serves', async (t) => {
+  const system = await startTestKeepers();
   const other = { model: 'draft', version: '1', adapter: '' };
-  rig.engines[3]!.faults.down = true;
-  rig.applyTargets([
+  system.engines[3]!.faults.down = true;
+  system.applyTargets([
     ...buildTargets(['e-1', 'e-2', 'e-3'], [other]),
     ...buildTargets(['e-4'], [V1]),
   ]);
-  await rig.advance(20_000);
-  t.deepEqual(listHeld(rig).slice(0, 3), ['1+1', '1+1', '1+1']);
-  const waiting = rig.keepers[0].keeper.readPlan()?.waiting.map(({ reason }) => reason) ?? [];
+  await system.advance(20_000);
+  t.deepEqual(listVersions(system).slice(0, 3), ['1+1', '1+1', '1+1']);
+  const waiting = system.keepers[0].keeper.readPlan()?.waiting.map(({ reason }) => reason) ?? [];
   t.true(waiting.includes('the replacement does not serve yet'));
-  rig.engines[3]!.faults.down = false;
-  await rig.advance(40_000);
-  t.deepEqual(rig.engines[0]!.listModels(), [other]);
+  system.engines[3]!.faults.down = false;
+  await system.advance(40_000);
+  t.deepEqual(system.engines[0]!.listModels(), [other]);
 });
 
-test('an engine without room for two versions gets the new one in its place', async (t) => {
-  const rig = await startRig();
-  rig.engines[0]!.faults.room = 1;
-  rig.applyTargets(buildTargets(NAMES, [V2]));
-  await rig.advance(330_000);
-  t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
+test('an engine that can hold only one version unloads the old one before it loads the new one', async (t) => {
+  const system = await startTestKeepers();
+  system.engines[0]!.faults.maxModels = 1;
+  system.applyTargets(buildTargets(NAMES, [V2]));
+  await system.advance(330_000);
+  t.deepEqual(listVersions(system), ['2', '2', '2', '2']);
 });
 
-test('a lost answer to an order changes nothing; a refused one is sent after the wait', async (t) => {
-  const rig = await startRig();
-  rig.engines[0]!.faults.loseNextAnswer = true;
-  rig.engines[1]!.faults.retryAfterMs = 9_000;
-  rig.applyTargets(buildTargets(NAMES, [V2]));
-  await rig.advance(8_000);
-  t.is(rig.engines[1]!.taken.length, 0);
-  rig.engines[1]!.faults.retryAfterMs = 0;
-  await rig.advance(40_000);
-  t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
-  t.is(rig.engines[0]!.taken.length, 2);
+test('an order with a lost response has the same result; a refused order is retried after the wait', async (t) => {
+  const system = await startTestKeepers();
+  system.engines[0]!.faults.loseNextResponse = true;
+  system.engines[1]!.faults.retryAfterMs = 9_000;
+  system.applyTargets(buildTargets(NAMES, [V2]));
+  await system.advance(8_000);
+  t.is(system.engines[1]!.acceptedOrders.length, 0);
+  system.engines[1]!.faults.retryAfterMs = 0;
+  await system.advance(40_000);
+  t.deepEqual(listVersions(system), ['2', '2', '2', '2']);
+  t.is(system.engines[0]!.acceptedOrders.length, 2);
 });
 
 for (const checksFencing of [true, false]) {
   const kind = checksFencing ? 'check' : 'ignore';
-  test(`a keeper paused past its lease sends no order to engines that ${kind} it`, async (t) => {
-    // Symptom: an engine loads an old version again. Events: the keeper is paused between two
-    // orders; another takes over; the first goes on with its plan, and can't reach the table.
-    // Cause: it acts on a lease that has lapsed; nothing but its own clock stops it where engines
-    // ignore fencing tokens.
-    const rig = await startRig({ checksFencing });
-    const [first, second] = rig.keepers;
-    const release = rig.holdNextAnswer();
-    rig.applyTargets(buildTargets(NAMES, [V2]));
-    await rig.advance(500);
+  test(`a keeper paused past its lease sends no order to engines that ${kind} fencing tokens`, async (t) => {
+    // Symptom: an engine loads an old version again.
+    // Sequence: a keeper is paused between two orders; the other acquires the lease; the first
+    //   resumes its plan and cannot reach the table.
+    // Cause: the first keeper acts on an expired lease. If engines ignore fencing tokens, only the
+    //   keeper's own clock can stop it.
+    const system = await startTestKeepers({ checksFencing });
+    const [first, second] = system.keepers;
+    const release = system.delayNextResponse();
+    system.applyTargets(buildTargets(NAMES, [V2]));
+    await system.advance(500);
     first.clock.pause();
-    await rig.advance(60_000);
-    t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
-    const countTaken = () => rig.engines.map(({ taken }) => taken.length);
-    const taken = countTaken();
+    await system.advance(60_000);
+    t.deepEqual(listVersions(system), ['2', '2', '2', '2']);
+    const countOrders = () => system.engines.map(({ acceptedOrders }) => acceptedOrders.length);
+    const ordersBefore = countOrders();
     second.clock.pause();
-    rig.table.setOutage('unavailable');
+    system.table.setOutage('unavailable');
     first.clock.resume();
     release();
-    rig.applyTargets(buildTargets(NAMES, [V1]));
-    await rig.advance(15_000);
-    t.deepEqual(countTaken(), taken);
-    rig.table.setOutage('none');
-    await rig.advance(60_000);
-    t.deepEqual(listHeld(rig), ['1', '1', '1', '1']);
-    rig.engines.forEach((engine) => {
-      const tokens = engine.taken.map(({ fencingToken }) => fencingToken);
+    system.applyTargets(buildTargets(NAMES, [V1]));
+    await system.advance(15_000);
+    t.deepEqual(countOrders(), ordersBefore);
+    system.table.setOutage('none');
+    await system.advance(60_000);
+    t.deepEqual(listVersions(system), ['1', '1', '1', '1']);
+    system.engines.forEach((engine) => {
+      const tokens = engine.acceptedOrders.map(({ fencingToken }) => fencingToken);
       t.deepEqual(
         tokens,
         [...tokens].sort((left, right) => left - right),
@@ -125,29 +128,29 @@
   });
 }
 
-test('two keepers: only the holder orders, and it hands over when it stops', async (t) => {
-  const rig = await startRig();
-  const [first, second] = rig.keepers;
+test('only the lease holder of two keepers sends orders; when it stops, the other takes over', async (t) => {
+  const system = await startTestKeepers();
+  const [first, second] = system.keepers;
   t.not(first.keeper.readPlan(), null);
   t.is(second.keeper.readPlan(), null);
   await first.keeper.stop();
   await first.lease.stop();
-  rig.applyTargets(buildTargets(NAMES, [V2]));
-  await rig.advance(20_000);
-  t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
+  system.applyTargets(buildTargets(NAMES, [V2]));
+  await system.advance(20_000);
+  t.deepEqual(listVersions(system), ['2', '2', '2', '2']);
 });
 
-test('an engine that restarts with its old models is ordered again', async (t) => {
-  const rig = await startRig();
-  rig.applyTargets(buildTargets(NAMES, [V2]));
-  await rig.advance(20_000);
-  rig.engines[2]!.takeOrder({
+test('an engine that returns to its old models gets a new order', async (t) => {
+  const system = await startTestKeepers();
+  system.applyTargets(buildTargets(NAMES, [V2]));
+  await system.advance(20_000);
+  system.engines[2]!.handleOrder({
     backendServer: 'e-3',
     fencingToken: 99,
     models: [V1],
     role: 'serve',
   });
-  t.deepEqual(rig.engines[2]!.listModels(), []);
-  await rig.advance(30_000);
-  t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
+  t.deepEqual(system.engines[2]!.listModels(), []);
+  await system.advance(30_000);
+  t.deepEqual(listVersions(system), ['2', '2', '2', '2']);
 });
--- a/tests/keeper/operate.test.ts
+++ b/tests/keeper/operate.test.ts
@@ -38,7 +38,7 @@
     engineSettings: { firstTokenMs: 5, gapMs: 1 },
   });
 
-/** Runs `jackdaw` and gives its exit code and the lines that it printed. */
+/** Runs `jackdaw` and returns its exit code and output. */
 const runTool = async (system: EmbeddedSystem, args: readonly string[]) => {
   const stdout = new PassThrough();
   Object.assign(process.env, {
@@ -53,7 +53,7 @@
   return { code, text: String(stdout.read() ?? '') };
 };
 
-test('the keeper brings engines to a new version; status, explain and drain show it', async (t) => {
+test('the keeper rolls out a new version; status, explain and drain report it', async (t) => {
   const system = await startSystem();
   const settings = buildEntrySettings(system.platform, VM);
   const keeper = readOk(
@@ -72,9 +72,9 @@
   const readStatus = async () =>
     JSON.parse((await runTool(system, ['status', '--json'])).text) as Record<string, never[]>;
   let status = await readStatus();
-  const isDone = (held: { asDesired: boolean; actual: { version: string }[] }) =>
-    held.asDesired && held.actual.some(({ version }) => version === '2');
-  while (!(status.backendServers ?? []).every(isDone)) status = await readStatus();
+  const isUpdated = (server: { asDesired: boolean; actual: { version: string }[] }) =>
+    server.asDesired && server.actual.some(({ version }) => version === '2');
+  while (!(status.backendServers ?? []).every(isUpdated)) status = await readStatus();
   t.like(status, { version: 2, leases: [{ region: 'r1', vm: 'entry-1' }] });
   t.is(status.vms?.length, 2);
   const ready = await fetch(`${keeper.monitorUrl}/readyz`);
--- a/tests/peers/_lib/createTestRegion/index.ts
+++ b/tests/peers/_lib/createTestRegion/index.ts
@@ -18,24 +18,24 @@
   readonly exchange: PeerExchange;
   readonly health: HealthRegistry;
   readonly load: RouterLoadView;
-  /** What this VM's follower of the configuration holds; a version offered is taken at once. */
-  readonly held: { version: number; tableReadAtMs: number | null };
+  /** State of the configuration follower, which applies an offered version at once. */
+  readonly configuration: { version: number; tableReadAtMs: number | null };
 }
 
-/** VMs in one process that exchange news over a network which the test cuts. */
+/** VMs in one process that exchange news over a network that the test can partition. */
 export interface TestRegion {
   readonly clock: FakeClock;
   readonly vms: readonly TestVm[];
-  /** Starts a process; an earlier one of this name is out of reach from then on. */
+  /** Starts a VM; an earlier VM of the same name becomes unreachable. */
   startVm(name: string, options: { readonly region: string; readonly seeds: string[] }): TestVm;
-  /** Only VMs of the same group reach each other; null joins all. */
+  /** Partitions the network into groups; null heals the partition. */
   cutNetwork(groups: readonly (readonly string[])[] | null): void;
-  /** Tells each VM of all others, as the platform's list would. */
-  listAll(): void;
-  /** Bytes of news sent so far, both ways, without headers. */
+  /** Announces all VMs to each VM, as the platform's list does. */
+  announceAllVms(): void;
+  /** Bytes of news sent so far in both directions, without headers. */
   countBytes(): number;
   countMessages(): number;
-  /** The newest news that was on its way to a VM. */
+  /** The last news delivered to a VM. */
   readLastNews(to: string): News | null;
   stop(): void;
 }
@@ -76,7 +76,7 @@
     starts += 1;
     const health = createHealthRegistry({ vm: name });
     const load = createLoadView({ clock });
-    const held: TestVm['held'] = { version: 0, tableReadAtMs: null };
+    const configuration: TestVm['configuration'] = { version: 0, tableReadAtMs: null };
     const exchange = createPeerExchange({
       self: {
         vm: name,
@@ -90,17 +90,17 @@
       randomness: createSeededRandomness(seed * 1_000 + starts),
       calls: createCalls(name),
       versions: {
-        readVersion: () => held.version,
+        readVersion: () => configuration.version,
         recordPeerVersion: (version) => {
-          held.version = version;
+          configuration.version = version;
         },
-        readTableReadAtMs: () => held.tableReadAtMs,
+        readTableReadAtMs: () => configuration.tableReadAtMs,
       },
       health,
       load,
       listServerNames: () => SERVER_NAMES,
     });
-    return { name, health, load, held, exchange };
+    return { name, health, load, configuration, exchange };
   };
 
   return {
@@ -116,7 +116,7 @@
     cutNetwork: (next) => {
       groups = next;
     },
-    listAll: () => {
+    announceAllVms: () => {
       const records = vms.map(({ exchange }) => {
         const [self] = exchange.listPeers();
         if (self === undefined) throw new Error('a VM always lists itself');
--- a/tests/peers/connect.test.ts
+++ b/tests/peers/connect.test.ts
@@ -126,13 +126,13 @@
   return { client, address: server.address };
 };
 
-test('news of every kind arrives as it was sent', async (t) => {
+test('facts of every kind survive the round trip unchanged', async (t) => {
   const { client, address } = await startPair(t);
   const answer = await client.sendNews(address, NEWS, { timeoutMs: 2_000 });
   t.deepEqual(readOk(answer), NEWS);
 });
 
-test('a generation is followed to its end; one that is not held is said so', async (t) => {
+test('a generation is streamed to its end; an unknown one gives not-held', async (t) => {
   const { client, address } = await startPair(t);
   const target = { vm: 'vm-1', peerAddress: address };
   const generation = { generationId: 'gen_1', workspace: 'sello', offset: 2 };
@@ -151,7 +151,7 @@
   t.true(await client.cancelGeneration(target, generation));
 });
 
-test('status, configuration and drain are served; a dead address is unreachable', async (t) => {
+test('status, configuration and drain are served; a closed port is unreachable', async (t) => {
   const { client, address } = await startPair(t);
   t.deepEqual(readOk(await client.readStatus(address)), { vm: 'vm-1' });
   t.deepEqual(readOk(await client.readConfiguration(address, 2)), { version: 3, body: '{}' });
--- a/tests/peers/exchange.test.ts
+++ b/tests/peers/exchange.test.ts
@@ -8,7 +8,7 @@
   Array.from({ length: count }, (_, index) => `vm-${index + 1}`).forEach((name) =>
     started.startVm(name, { region, seeds: [] }),
   );
-  started.listAll();
+  started.announceAllVms();
   await started.clock.advanceAsync(6_000);
   return started;
 };
@@ -30,7 +30,7 @@
 };
 
 for (const count of [3, 9, 40]) {
-  test(`${count} VMs hear each other, and news reaches all of them`, async (t) => {
+  test(`${count} VMs hear each other, and news reaches every VM`, async (t) => {
     const { vms, clock, stop } = await startRegion(count);
     vms.forEach(({ exchange }) => {
       t.deepEqual(exchange.readFreshness(), {
@@ -41,12 +41,12 @@
     });
     const [first, ...others] = vms;
     if (first === undefined) return;
-    first.held.version = 7;
-    first.held.tableReadAtMs = clock.readMonotonicMs();
+    first.configuration.version = 7;
+    first.configuration.tableReadAtMs = clock.readMonotonicMs();
     first.load.recordReport({ ...REPORT, receivedAtMs: clock.readMonotonicMs() });
     await clock.advanceAsync(3_000);
-    others.forEach(({ held, load, exchange }) => {
-      t.is(held.version, 7);
+    others.forEach(({ configuration, load, exchange }) => {
+      t.is(configuration.version, 7);
       t.like(load.findReport('engine-1'), { running: 3, slots: 8, fencingToken: 4 });
       const { newestReadAgeMs } = exchange.readFreshness();
       t.true(newestReadAgeMs !== null && newestReadAgeMs >= 3_000 && newestReadAgeMs < 5_500);
@@ -55,10 +55,10 @@
   });
 }
 
-test('a suspicion, its recovery and leaving reach the whole region at once', async (t) => {
-  // Symptom: generations on a dead engine hang at other entries until each sees the silence.
-  // Events: one entry sees a reset; the others must hear of it now, not in the next round.
-  // Cause: without the push, news waits for the next round (500 ms).
+test('a suspicion, a recovery and a leaving server are pushed to the whole region at once', async (t) => {
+  // Symptom: generations on a dead engine hang at other entries until each detects the silence.
+  // Sequence: one entry sees a connection reset; the others must learn of it before the next round.
+  // Cause: news that is not pushed waits for the next gossip round (500 ms).
   const { vms, clock, stop } = await startRegion(9);
   const [first, second] = vms;
   const readHealth = () =>
@@ -76,9 +76,10 @@
   stop();
 });
 
-test('a server that says itself that it leaves, and then does not, is known as such', async (t) => {
-  // Symptom: a server replaced under its name gets no work from VMs that do not poll it.
-  // Events: its reports say leaving, later no more. Cause: only the first change was taken over.
+test('a server that reports leaving and later takes it back is serving again at all VMs', async (t) => {
+  // Symptom: a server replaced under the same name gets no work from VMs that do not poll it.
+  // Sequence: the reports of the server set `leaving` and later clear it.
+  // Cause: only the first change was applied.
   const { vms, clock, stop } = await startRegion(9);
   const readHealth = () => new Set(vms.slice(1).map(({ health }) => health.readHealth('engine-1')));
   const report = (sequence: number, leaving: boolean) =>
@@ -98,7 +99,7 @@
   stop();
 });
 
-test('sends of a VM are known to the others until they end', async (t) => {
+test('running requests of a VM count at the other VMs until they end', async (t) => {
   const { vms, clock, stop } = await startRegion(9);
   vms[0]?.load.recordSend('engine-2', []);
   await clock.advanceAsync(1_500);
@@ -112,10 +113,10 @@
   stop();
 });
 
-test('a split is seen on both sides, and heals', async (t) => {
-  // Symptom: a cut-off VM would take work under an old configuration.
-  // Events: 9 VMs are cut 4 to 5, later joined again.
-  // Cause: only news that is proved to be fresh counts as hearing.
+test('both sides detect a network partition and recover after it heals', async (t) => {
+  // Symptom: a partitioned VM accepts work under an outdated configuration.
+  // Sequence: a partition splits 9 VMs into 4 and 5, and later heals.
+  // Cause: a VM counts as heard without news that is proven fresh.
   const { vms, clock, cutNetwork, stop } = await startRegion(9);
   const names = vms.map(({ name }) => name);
   cutNetwork([names.slice(0, 4), names.slice(4)]);
@@ -130,8 +131,9 @@
   stop();
 });
 
-test('a VM that boots during an outage finds its peers by a seed', async (t) => {
-  // Symptom: a new VM sees nobody and takes no work. Cause: list and table are out of reach.
+test('a VM that boots during an outage finds its peers through a seed address', async (t) => {
+  // Symptom: a new VM finds no peer and accepts no work.
+  // Cause: the VM list and the table are unreachable.
   const region = await startRegion(3);
   const booted = region.startVm('vm-4', { region: 'gt', seeds: ['vm-2:1'] });
   await region.clock.advanceAsync(6_000);
@@ -140,9 +142,10 @@
   region.stop();
 });
 
-test('a replaced process is told from the one before it', async (t) => {
-  // Symptom: peers ignore a restarted VM for as long as the old one had lived, or bring back its
-  // leaving. Cause: heartbeats and counters of the new process start again.
+test('a restarted VM is distinguished from its earlier incarnation', async (t) => {
+  // Symptom: peers ignore a restarted VM for as long as its predecessor ran, or restore the
+  //   `leaving` state of the predecessor.
+  // Cause: the heartbeats and counters of the new process start from zero.
   const region = await startRegion(14);
   const [old] = region.vms;
   await region.clock.advanceAsync(30_000);
@@ -158,10 +161,10 @@
   region.stop();
 });
 
-test('a VM that boots does not count dead ones by what is told of their past', async (t) => {
-  // Symptom: a VM that boots on the small side of a split takes itself to be with the majority.
-  // Events: 14 VMs lose 8; a new one boots and is told all heartbeats ever passed on.
-  // Cause: the first heartbeat seen may be a dead VM's last; only a rise proves that it lives.
+test('a booting VM does not count dead VMs as heard because of their old heartbeats', async (t) => {
+  // Symptom: a VM that boots in the minority of a partition counts itself in the majority.
+  // Sequence: 6 of 14 VMs are cut off from the other 8; a new VM boots and gets all old heartbeats.
+  // Cause: the first heartbeat seen may be the last of a dead VM; only an increase proves liveness.
   const region = await startRegion(14);
   const names = region.vms.map(({ name }) => name);
   region.cutNetwork([[...names.slice(0, 6), 'vm-15'], names.slice(6)]);
@@ -176,14 +179,14 @@
   region.stop();
 });
 
-test('news read late does not pass for fresh', async (t) => {
-  // Symptom: a VM that was paused takes buffered news as a sign that it is not cut off.
-  // Events: a peer's news is written, the receiver is paused for a minute, then reads it.
-  // Cause: an age in a message says nothing of the time that the message lay in a buffer.
+test('news that was buffered during a pause does not count as fresh', async (t) => {
+  // Symptom: a VM that was paused treats buffered news as proof that it is not partitioned.
+  // Sequence: a peer sends news; the receiver pauses for a minute before it reads the news.
+  // Cause: an age in a message does not include the time that the message spent in a buffer.
   const { vms, clock, cutNetwork, readLastNews, stop } = await startRegion(2);
   const [reader, writer] = vms;
   if (reader === undefined || writer === undefined) return;
-  writer.held.tableReadAtMs = clock.readMonotonicMs();
+  writer.configuration.tableReadAtMs = clock.readMonotonicMs();
   await clock.advanceAsync(2_000);
   const buffered = readLastNews('vm-1');
   cutNetwork([]);
@@ -195,11 +198,11 @@
   stop();
 });
 
-test('regions count each other, and hear versions', async (t) => {
+test('regions count the VMs of each other, also during a partition', async (t) => {
   const region = createTestRegion(4);
   const names = ['a-1', 'a-2', 'a-3', 'b-1', 'b-2'];
   names.forEach((name) => region.startVm(name, { region: name.slice(0, 1), seeds: [] }));
-  region.listAll();
+  region.announceAllVms();
   await region.clock.advanceAsync(10_000);
   region.vms.forEach(({ exchange }) => {
     t.like(exchange.readFreshness(), { vmsHeard: 5, vmsRegistered: 5 });
--- a/tests/peers/goaway.test.ts
+++ b/tests/peers/goaway.test.ts
@@ -4,7 +4,7 @@
 import { createSystemClock } from '../../src/adapters/system';
 import { readOk } from '../_lib/readOk';
 
-/** Turns of the loop between the peer's stop and what this VM does: the fault has a small window. */
+/** Event loop turns between the peer's stop and the client's action; the race window is small. */
 const MAX_TURNS = 8;
 const REPEATS = 6;
 
@@ -17,11 +17,12 @@
   drain: () => 0,
 };
 
-// Symptom: an entry's process ends with "received GOAWAY without any open streams".
-// Sequence: a peer shuts down; its GOAWAY destroys the idle connection; before the connection's
-//   error is emitted, this VM calls the peer again, or closes its own client.
-// Cause: the library takes its error listener off a destroyed connection, so that nobody listens.
-test('a call or a close while a peer shuts down does not end the process', async (t) => {
+// Symptom: an entry crashes with "received GOAWAY without any open streams".
+// Sequence: a peer shuts down; its GOAWAY destroys the idle connection; before the connection
+//   emits its error, this VM calls the peer again or closes its client.
+// Cause: the library removes its error listener from a destroyed connection, so the error is
+//   unhandled.
+test('a call or close while a peer shuts down does not crash the process', async (t) => {
   for (let round = 0; round < MAX_TURNS * REPEATS; round += 1) {
     const server = readOk(await startPeerServer({ host: '127.0.0.1', port: 0, services }));
     const client = createPeerClient({ clock: createSystemClock(), findPeerAddress: () => null });
--- a/tests/peers/membership.test.ts
+++ b/tests/peers/membership.test.ts
@@ -50,7 +50,7 @@
   return { ...region, ownLeaving, stop };
 };
 
-test('VMs find each other by their registrations while the list lags', async (t) => {
+test('VMs find each other by their registrations while the VM list is outdated', async (t) => {
   const table = createMemoryTableStore();
   const { vms, clock, stop } = startVms({ names: ['a', 'b', 'c'], table, list: () => [] });
   await clock.advanceAsync(70_000);
@@ -62,9 +62,10 @@
   t.is((await table.listItems('vm', { limit: 9, descending: false })).unwrapOr([]).length, 0);
 });
 
-test('a backend server that the list calls leaving gets no new work anywhere', async (t) => {
-  // Symptom: new work goes to a server that shuts down. Events: the list changes; few VMs poll it.
-  // Cause: without news each VM would only learn of it with its own next poll.
+test('a backend server that the VM list marks as leaving gets no new work from any VM', async (t) => {
+  // Symptom: new work goes to a server that shuts down.
+  // Sequence: the VM list changes; only few VMs poll it at that time.
+  // Cause: without gossip each VM learns of the change only from its own next poll.
   const records = ['a', 'b', 'c', 'd', 'e', 'f', 'g', 'h', 'i'].map((vm) => ({
     vm,
     peerAddress: `${vm}:1`,
