--- a/tests/_lib/buildTestConfiguration/index.ts
+++ b/tests/_lib/buildTestConfiguration/index.ts
@@ -4,7 +4,7 @@
 /** Bearer keys of the two workspaces of the test configuration. */
 export const TEST_KEYS = { counter: 'counter-key', other: 'other-key' } as const;
 
-const service = (name: string, change: Partial<Service>): Service => ({
+const buildService = (name: string, change: Partial<Service>): Service => ({
   name,
   kind: 'model',
   workClass: 'long',
@@ -17,16 +17,16 @@
   ...change,
 });
 
-/** Builds a small configuration: a model, two plain services, two workspaces, one place. */
+/** Builds a configuration of two models, two plain services, two workspaces and one place. */
 export const buildTestConfiguration = (change: Partial<Configuration> = {}): Configuration => ({
   deployment: 'test',
   survival: 'latency',
   places: [{ name: 'here', region: 'r1', availabilityZones: ['z1'] }],
   services: [
-    service('billing', { kind: 'plain', workClass: 'plain', idempotent: false }),
-    service('hidden', {}),
-    service('review', {}),
-    service('status', { kind: 'plain', workClass: 'plain' }),
+    buildService('billing', { kind: 'plain', workClass: 'plain', idempotent: false }),
+    buildService('hidden', {}),
+    buildService('review', {}),
+    buildService('status', { kind: 'plain', workClass: 'plain' }),
   ],
   backendServers: [],
   workspaces: [
--- a/tests/_lib/buildTestCursor/index.ts
+++ b/tests/_lib/buildTestCursor/index.ts
@@ -1,4 +1,4 @@
-/** The cursor of a generation that one entry holds, `offset` tokens in. */
+/** Builds the cursor after `offset` tokens of a generation that `entry-1` holds. */
 export const buildTestCursor = (offset: number) => ({
   generationId: 'gen_1',
   workspace: 'counter',
--- a/tests/_lib/createFakeRouter/index.ts
+++ b/tests/_lib/createFakeRouter/index.ts
@@ -3,10 +3,10 @@
 import type { ServingRouter } from '../../../src/application/routing';
 import type { BackendServer, Demand } from '../../../src/domain/types';
 
-/** A router that gives the first server that is not excluded, and notes what it was asked. */
+/** A router that selects the first server that is not excluded and records each demand. */
 export interface FakeRouter extends Pick<ServingRouter, 'acquireSlot' | 'estimateHedgeDelayMs'> {
   readonly demands: Demand[];
-  /** The next demand is refused. */
+  /** Refuses the next demand. */
   refuseNext(): void;
   readonly outcomes: SlotOutcome['outcome'][];
 }
--- a/tests/_lib/createPausableClock/index.ts
+++ b/tests/_lib/createPausableClock/index.ts
@@ -2,15 +2,15 @@
 
 /** The clock of one process, which can be paused as a whole. */
 export interface PausableClock extends Clock {
-  /** Time goes on while no timer of the process fires. */
+  /** Stops the timers of the process; time itself continues. */
   pause(): void;
   resume(): void;
   isPaused(): boolean;
-  /** Fires the timers that came due during the pause. */
+  /** Fires the timers that expired during the pause. */
   runDelayed(): void;
 }
 
-/** Creates the clock of one process over the clock of the test. */
+/** Creates the clock of one process on top of the clock of the test. */
 export function createPausableClock(clock: Clock): PausableClock {
   let paused = false;
   let delayed: (() => void)[] = [];
--- a/tests/_lib/createScriptedGenerations/index.ts
+++ b/tests/_lib/createScriptedGenerations/index.ts
@@ -8,7 +8,7 @@
 } from '../../../src/application/ports';
 import type { GenerationRequest } from '../../../src/domain/types';
 
-/** Generations whose events the test pushes; a failure to start can be set. */
+/** Generations whose events and start failures the test sets. */
 export interface ScriptedGenerations extends Generations {
   readonly requests: GenerationRequest[];
   readonly resumes: ResumeRequest[];
@@ -21,7 +21,7 @@
   end(): void;
 }
 
-/** Creates generations that give each caller the one list of events that the test pushes. */
+/** Creates generations that send every caller the events that the test pushes. */
 export const createScriptedGenerations = (): ScriptedGenerations => {
   const events: (GenerationEvent | null)[] = [];
   const wakes = new Set<() => void>();
--- a/tests/_lib/readOk/index.ts
+++ b/tests/_lib/readOk/index.ts
@@ -1,6 +1,6 @@
 import type { Result } from 'neverthrow';
 
-/** Reads the value of a result that a test expects to be good; fails the test otherwise. */
+/** Returns the value of a result; throws if the result is an error. */
 export function readOk<T, E>(result: Result<T, E>): T {
   return result.match(
     (value) => value,
--- a/tests/_lib/startTestCallerServer/index.ts
+++ b/tests/_lib/startTestCallerServer/index.ts
@@ -7,10 +7,10 @@
 import { createFakeClock, QUIET_LOG } from '../../../standins/fakes';
 import { createScriptedGenerations } from '../createScriptedGenerations';
 
-/** Key under which the test server signs. */
+/** Keys with which the test server signs cursors. */
 export const TEST_CURSOR_KEYS = ['test-cursor-key-of-32-characters'] as const;
 
-/** Starts the callers' interface on fakes; `change` replaces dependencies. */
+/** Starts the HTTP server for callers on fakes; `change` replaces dependencies. */
 export const startTestCallerServer = async (change: Partial<CallerDependencies> = {}) => {
   const clock = createFakeClock();
   const generations = createScriptedGenerations();
--- a/tests/_lib/startTestSystem/index.ts
+++ b/tests/_lib/startTestSystem/index.ts
@@ -9,16 +9,16 @@
 import { createStandInPlatform } from '../../../standins/platform';
 import { buildTestConfiguration } from '../buildTestConfiguration';
 
-/** What a test system is made of. */
+/** Options of `startTestSystem`. */
 export interface TestSystemOptions {
   readonly entries?: number;
   readonly engines?: readonly StandInEngineOptions[];
   readonly configuration?: Partial<Configuration>;
-  /** Gets each log line. */
+  /** Receives each log line. */
   readonly onLogLine?: (context: unknown, message: string) => void;
 }
 
-/** Time for the test's own calls to the table: a busy machine is no reason to fail. */
+/** Timeout for the test's own table calls; long, so that a busy machine fails no test. */
 const APPLY_DEADLINE_MS = 20_000;
 
 const CREDENTIALS = { region: 'r1', accessKeyId: 'id', secretAccessKey: 'secret' };
@@ -38,7 +38,7 @@
   return { info: write, warn: write, error: write };
 };
 
-/** Starts the platform's stand-ins, engines, a plain service and entries, all on loopback. */
+/** Starts a stand-in platform, engines, a plain service and entries, all on loopback. */
 export const startTestSystem = async (options: TestSystemOptions = {}) => {
   const platform = await createStandInPlatform();
   const plain = await createStandInPlainService();
--- a/tests/entry/wholePath.test.ts
+++ b/tests/entry/wholePath.test.ts
@@ -8,7 +8,7 @@
 const MESSAGES = [{ role: 'user' as const, content: 'Check the seal.' }];
 const PROMPT = `review\n${renderPrompt({ messages: MESSAGES })}`;
 
-test('a chat goes through entry and engine, streamed and whole, each token once', async (t) => {
+test('a chat passes entry and engine, streamed and unstreamed, with each token once', async (t) => {
   const lines: string[] = [];
   const system = await startTestSystem({
     onLogLine: (context, message) => lines.push(JSON.stringify({ context, message })),
@@ -32,7 +32,7 @@
   await system.stop();
 });
 
-test('a plain call goes to its service, and carries its request id', async (t) => {
+test('a plain call reaches its service with its request id', async (t) => {
   const system = await startTestSystem();
   const answer = await fetch(`${system.entries[0]!.callerUrl}/services/billing/bill?x=1`, {
     method: 'POST',
@@ -45,10 +45,10 @@
   await system.stop();
 });
 
-// Symptom: a review breaks off, starts again from the first word, or repeats some.
-// Sequence: the engine dies after 12 tokens; the entry goes on at the other engine.
-// Cause: the caller's connection was tied to one engine's.
-test('an unmodified OpenAI client gets one whole generation while its engine dies', async (t) => {
+// Symptom: a review breaks off, restarts from the first word, or repeats words.
+// Sequence: the engine fails after 12 tokens; the entry resumes at the other engine.
+// Cause: the connection of the caller depended on the connection to one engine.
+test('an unmodified OpenAI client gets a complete generation although its engine fails', async (t) => {
   const system = await startTestSystem({ engines: [{}, {}] });
   const running = Promise.race(
     system.engines.map((engine) => engine.waitForTokens(12).then(() => engine)),
@@ -72,10 +72,10 @@
   await system.stop();
 });
 
-// Symptom: a review that is still running when its entry is replaced is cut off or begins again.
-// Sequence: 10 tokens have come, the entry drains with no time left, its process ends.
-// Cause: the caller's stream ended with the process, with nothing to go on with at another entry.
-test('a drained entry hands its stream over to another one, each token once', async (t) => {
+// Symptom: a review that runs while its entry is replaced is cut off or starts again.
+// Sequence: after 10 tokens the entry drains with a timeout of 0; its process exits.
+// Cause: the stream ended with the process and gave the caller no cursor for another entry.
+test('a drained entry hands its stream over to another entry, with each token once', async (t) => {
   const { limits } = buildTestConfiguration();
   const system = await startTestSystem({
     entries: 2,
@@ -96,10 +96,10 @@
   await system.stop();
 });
 
-// Symptom: a dossier is read in a place where it may not be.
-// Sequence: no server of the allowed places serves; another place has a free one.
-// Cause: routing that prefers any answer to none.
-test('work without a server in its places is refused and reaches no engine elsewhere', async (t) => {
+// Symptom: a dossier is processed in a place that is not allowed.
+// Sequence: no server in the allowed places serves; another place has a free server.
+// Cause: routing falls back to servers outside the allowed places.
+test('work without a server in its allowed places is refused and reaches no other engine', async (t) => {
   const system = await startTestSystem({
     configuration: { places: [{ name: 'here', region: 'r1', availabilityZones: ['z2'] }] },
   });
@@ -115,11 +115,11 @@
   await system.stop();
 });
 
-// Symptom: a process that was asked to leave never ends.
-// Sequence: the platform's list calls the VM leaving while it starts; the drain ends; then the
-// program begins to wait for one.
-// Cause: only a drain that began later was noticed.
-test('waiting for a drain that has begun already ends with it', async (t) => {
+// Symptom: a process that was asked to leave never exits.
+// Sequence: the platform's list marks the VM as leaving while it starts; the drain ends; then the
+//   program starts to wait for a drain.
+// Cause: only a drain that started after the wait was noticed.
+test('waiting for a drain that has already started or ended resolves', async (t) => {
   const system = await startTestSystem();
   await system.entries[0]!.drain();
   t.deepEqual(await system.entries[0]!.waitForDrain(), { finished: 0, handedOver: 0 });
--- a/tests/generations/engineLoss.test.ts
+++ b/tests/generations/engineLoss.test.ts
@@ -54,10 +54,10 @@
 test('after a broken connection the same stream is resumed', async (t) => {
   const { engines, start } = setUp();
   const { first, reader } = await start();
-  engines.cut('engine-1');
+  engines.breakConnections('engine-1');
   engines.emit(first, 2);
   await reader.waitForTokens(5);
-  engines.cut('engine-1');
+  engines.breakConnections('engine-1');
   await reader.waitForTokens(5);
   engines.emit(first, 1, 'stop');
   t.deepEqual(await reader.done, first.tokenIds);
--- a/tests/generations/entryLoss.test.ts
+++ b/tests/generations/entryLoss.test.ts
@@ -25,7 +25,7 @@
   const { reader } = await open(first, 3);
   const prefixTokenIds = [...reader.tokenIds];
   network.remove('entry-1');
-  reader.leave();
+  reader.detach();
   engines.kill('engine-1');
   const lost = await resume(second, reader);
   t.is(lost._unsafeUnwrapErr().code, 'generation_lost');
--- a/tests/openai/openai.test.ts
+++ b/tests/openai/openai.test.ts
@@ -16,7 +16,7 @@
   }) satisfies ChatCompletionCreateParams;
 
 const startSystem = (): Promise<EmbeddedSystem> => {
-  const { backendServers: none, ...configuration } = buildTestConfiguration();
+  const { backendServers: configuredServers, ...configuration } = buildTestConfiguration();
   const engine = (name: string) => ({
     name,
     url: 'http://127.0.0.1:1',
@@ -29,7 +29,12 @@
   return startEmbeddedSystem({
     configuration: {
       ...configuration,
-      backendServers: [...none, engine('engine-1'), engine('engine-2'), engine('engine-3')],
+      backendServers: [
+        ...configuredServers,
+        engine('engine-1'),
+        engine('engine-2'),
+        engine('engine-3'),
+      ],
     },
     entryZones: ['z1', 'z1', 'z1'],
     engineSettings: { firstTokenMs: 20, gapMs: 5 },
@@ -39,7 +44,7 @@
 const createClient = (system: EmbeddedSystem, entry: number): OpenAI =>
   new OpenAI({ baseURL: `${system.entries[entry]?.url}/v1`, apiKey: TEST_KEYS.counter });
 
-/** Streams a review; `onBreak` is called once, after some tokens. */
+/** Streams a review; calls `onBreak` once, after `BREAK_AT` tokens. */
 const streamReview = async (
   client: OpenAI,
   dossier: string,
@@ -72,7 +77,7 @@
   busy?.applyFault('kill');
 };
 
-test('an unmodified OpenAI client streams through two entries, and gets a whole answer', async (t) => {
+test('unmodified OpenAI clients get complete answers, streamed and unstreamed, through two entries', async (t) => {
   const system = await startSystem();
   t.teardown(system.stop);
   const [first, second, whole] = await Promise.all([
@@ -87,10 +92,10 @@
   t.is(whole.usage?.completion_tokens, TOKENS);
 });
 
-// Symptom: an OpenAI client's stream stops, or repeats tokens, when an engine dies.
-// Sequence: two streams and an unstreamed request run; the busiest engine is killed at token 20.
-// Cause: the entry does not go on with exactly the tokens it has sent.
-test('an unmodified OpenAI client does not notice that an engine dies', async (t) => {
+// Symptom: the stream of an OpenAI client stops or repeats tokens when an engine fails.
+// Sequence: two streams and an unstreamed request run; a decoding engine is killed at token 20.
+// Cause: the entry does not resume after exactly the tokens that it has sent.
+test('the failure of an engine is invisible to an unmodified OpenAI client', async (t) => {
   const system = await startSystem();
   t.teardown(system.stop);
   const onBreak = () => killBusyEngine(system);
@@ -106,10 +111,11 @@
   t.deepEqual(checkReview('c', [whole.choices[0]?.message.content ?? '']), WHOLE);
 });
 
-// Symptom: a client that knows nothing of cursors gets two findings for one dossier, or none.
-// Sequence: the entry dies at token 20; the client repeats its POST under its key elsewhere.
-// Cause: the key's claim dies with the entry, or is answered with another generation's tokens.
-test('a client that only repeats its POST gets one whole generation', async (t) => {
+// Symptom: a client without support for cursors gets two findings for one dossier, or none.
+// Sequence: the entry fails at token 20; the client repeats its POST with its key at another entry.
+// Cause: the claim of the key is lost with the entry, or the repeat gets tokens of another
+//   generation.
+test('a client that only repeats its POST gets one complete generation', async (t) => {
   const system = await startSystem();
   t.teardown(system.stop);
   const headers = { 'Idempotency-Key': 'dossier-7' };
--- a/tests/operator/configuration.test.ts
+++ b/tests/operator/configuration.test.ts
@@ -20,8 +20,8 @@
 endpoint = "VMS"
 `;
 
-// The tool as an operator has it, over the table's protocol and the entries' peer interface.
-test('apply --wait, a lost answer, rollback and an outage on running entries', async (t) => {
+// Runs the operator's tool against the table protocol and the peer interface of the entries.
+test('apply --wait, rollback after a lost response, history, and diff during an outage', async (t) => {
   const system = await startTestSystem({ entries: 2 });
   t.teardown(system.stop);
   const folder = await mkdtemp(join(tmpdir(), 'jackdaw-test-'));
--- a/tests/services/plain.test.ts
+++ b/tests/services/plain.test.ts
@@ -40,7 +40,7 @@
 
 const NEVER = new AbortController().signal;
 
-const startBench = async () => {
+const startTestServices = async () => {
   const clock = createFakeClock();
   const tableStore = createMemoryTableStore();
   const first = await createStandInPlainService();
@@ -71,127 +71,128 @@
   return { call, clock, countCalls, first, router, second, stop, tableStore };
 };
 
-test('a call that may run once runs, and its repeat is told that it ran', async (t) => {
-  const bench = await startBench();
-  const first = (await bench.call(buildCall()))._unsafeUnwrap();
+test('a non-idempotent call runs once; its repeat is refused with run state ran', async (t) => {
+  const system = await startTestServices();
+  const first = (await system.call(buildCall()))._unsafeUnwrap();
   t.deepEqual([first.status, first.runState], [200, 'ran']);
-  const repeat = (await bench.call(buildCall({}, 'req_2')))._unsafeUnwrapErr();
+  const repeat = (await system.call(buildCall({}, 'req_2')))._unsafeUnwrapErr();
   t.like(repeat, { code: 'already_ran', status: 409, runState: 'ran', retryAfterMs: 0 });
   const other = { ...buildCall().call, body: Buffer.from('99') };
-  const reused = (await bench.call(buildCall({ call: other })))._unsafeUnwrapErr();
+  const reused = (await system.call(buildCall({ call: other })))._unsafeUnwrapErr();
   t.like(reused, { code: 'idempotency_key_reused', status: 422, runState: 'not-run' });
-  t.is(bench.countCalls(), 1);
-  t.deepEqual(bench.router.outcomes, ['finished', 'not-started', 'not-started']);
-  await bench.stop();
+  t.is(system.countCalls(), 1);
+  t.deepEqual(system.router.outcomes, ['finished', 'not-started', 'not-started']);
+  await system.stop();
 });
 
 // Symptom: a client is billed twice.
-// Sequence: the service bills, its connection breaks before the answer, the call goes elsewhere.
-// Cause: a broken connection was taken for a call that did not run.
-test('a call that may run once is not sent again when its answer is lost', async (t) => {
-  const bench = await startBench();
-  bench.first.addFault('drop-answer', 1);
-  const lost = (await bench.call(buildCall()))._unsafeUnwrapErr();
+// Sequence: the service bills; its connection breaks before the response; another server gets the
+//   call.
+// Cause: a call whose connection broke was treated as not run.
+test('a non-idempotent call is not retried after its response is lost', async (t) => {
+  const system = await startTestServices();
+  system.first.addFault('drop-answer', 1);
+  const lost = (await system.call(buildCall()))._unsafeUnwrapErr();
   t.like(lost, { code: 'backend_failed', runState: 'unknown', retryAfterMs: 0 });
-  const repeat = (await bench.call(buildCall({}, 'req_2')))._unsafeUnwrapErr();
+  const repeat = (await system.call(buildCall({}, 'req_2')))._unsafeUnwrapErr();
   t.like(repeat, { code: 'claim_taken', status: 409, runState: 'unknown' });
-  t.is(bench.countCalls(), 1);
-  await bench.stop();
+  t.is(system.countCalls(), 1);
+  await system.stop();
 });
 
-// Symptom: a caller is told `not-run`, repeats, and is told `unknown` although nothing ran.
-// Sequence: no server takes the connection; the claim stays; the repeat finds it.
-// Cause: the claim of a call that was surely not sent was not given up.
-test('a call that no server took was not run, and its repeat runs', async (t) => {
-  const bench = await startBench();
-  await bench.first.kill();
-  await bench.second.kill();
-  const refused = (await bench.call(buildCall()))._unsafeUnwrapErr();
+// Symptom: a caller gets `not-run`, repeats the call and gets `unknown` although nothing ran.
+// Sequence: no server accepts a connection; the claim stays in the store; the repeat finds it.
+// Cause: the claim of a call that was certainly not sent was not released.
+test('a call that no server accepted has run state not-run, and its repeat runs', async (t) => {
+  const system = await startTestServices();
+  await system.first.kill();
+  await system.second.kill();
+  const refused = (await system.call(buildCall()))._unsafeUnwrapErr();
   t.is(refused.runState, 'not-run');
-  t.is(bench.router.demands.length, 3);
-  await bench.second.restart();
-  const repeat = (await bench.call(buildCall({}, 'req_2')))._unsafeUnwrap();
+  t.is(system.router.demands.length, 3);
+  await system.second.restart();
+  const repeat = (await system.call(buildCall({}, 'req_2')))._unsafeUnwrap();
   t.is(repeat.runState, 'ran');
-  t.is(bench.countCalls(), 1);
-  await bench.stop();
+  t.is(system.countCalls(), 1);
+  await system.stop();
 });
 
-test('with the store down a call that may run once is refused, a lookup is not', async (t) => {
-  const bench = await startBench();
-  bench.tableStore.setOutage('unavailable');
-  const refused = (await bench.call(buildCall()))._unsafeUnwrapErr();
+test('with the store down a non-idempotent call is refused, a lookup is not', async (t) => {
+  const system = await startTestServices();
+  system.tableStore.setOutage('unavailable');
+  const refused = (await system.call(buildCall()))._unsafeUnwrapErr();
   t.like(refused, { code: 'store_unavailable', status: 503, runState: 'not-run' });
   t.true(refused.retryAfterMs > 0);
   const lookup = buildCall({ service: findService('status') });
-  t.is((await bench.call(lookup))._unsafeUnwrap().runState, 'ran');
-  t.is(bench.countCalls(), 1);
-  await bench.stop();
+  t.is((await system.call(lookup))._unsafeUnwrap().runState, 'ran');
+  t.is(system.countCalls(), 1);
+  await system.stop();
 });
 
-test('a lookup goes elsewhere when its answer is lost; one without a key does not', async (t) => {
-  const bench = await startBench();
-  bench.first.addFault('drop-answer', 2);
+test('a lookup with a key is retried elsewhere after a lost response; one without a key is not', async (t) => {
+  const system = await startTestServices();
+  system.first.addFault('drop-answer', 2);
   const keyed = buildCall({ service: findService('status') });
-  t.is((await bench.call(keyed))._unsafeUnwrap().runState, 'ran');
-  t.deepEqual(bench.router.demands[1]?.excludedServers, ['one']);
-  t.is(bench.router.demands[1]?.purpose, 'resume');
+  t.is((await system.call(keyed))._unsafeUnwrap().runState, 'ran');
+  t.deepEqual(system.router.demands[1]?.excludedServers, ['one']);
+  t.is(system.router.demands[1]?.purpose, 'resume');
   const unkeyed = buildCall({ service: findService('status'), idempotencyKey: '' });
-  t.is((await bench.call(unkeyed))._unsafeUnwrapErr().runState, 'unknown');
-  t.is(bench.countCalls(), 3);
-  await bench.stop();
+  t.is((await system.call(unkeyed))._unsafeUnwrapErr().runState, 'unknown');
+  t.is(system.countCalls(), 3);
+  await system.stop();
 });
 
-test('a call past its deadline is answered at once, and may have run', async (t) => {
-  const bench = await startBench();
-  bench.first.addFault('delay', 1);
-  const pending = bench.call(buildCall());
-  await bench.first.waitForCalls(1);
-  bench.clock.advance(5000);
+test('a call past its deadline fails at once with run state unknown', async (t) => {
+  const system = await startTestServices();
+  system.first.addFault('delay', 1);
+  const pending = system.call(buildCall());
+  await system.first.waitForCalls(1);
+  system.clock.advance(5000);
   t.like((await pending)._unsafeUnwrapErr(), { code: 'timeout', status: 504, runState: 'unknown' });
-  await bench.stop();
+  await system.stop();
 });
 
-test('a late lookup goes to a second server too; the first answer counts, once', async (t) => {
-  const bench = await startBench();
-  bench.first.addFault('delay', 1);
+test('a slow lookup is hedged on a second server, and the first response wins', async (t) => {
+  const system = await startTestServices();
+  system.first.addFault('delay', 1);
   const service = { ...findService('status'), workClass: 'lookup' as const };
-  const pending = bench.call(buildCall({ service }));
-  await bench.first.waitForCalls(1);
-  bench.clock.advance(50);
+  const pending = system.call(buildCall({ service }));
+  await system.first.waitForCalls(1);
+  system.clock.advance(50);
   t.is((await pending)._unsafeUnwrap().runState, 'ran');
   t.deepEqual(
-    bench.router.demands.map(({ purpose }) => purpose),
+    system.router.demands.map(({ purpose }) => purpose),
     ['start', 'hedge'],
   );
-  await bench.stop();
+  await system.stop();
 });
 
-test('work that may run once is never hedged, however late', async (t) => {
-  const bench = await startBench();
-  bench.first.addFault('delay', 1);
-  const pending = bench.call(buildCall());
-  await bench.first.waitForCalls(1);
-  bench.clock.advance(4000);
-  bench.first.releaseAnswers();
+test('a non-idempotent call is never hedged', async (t) => {
+  const system = await startTestServices();
+  system.first.addFault('delay', 1);
+  const pending = system.call(buildCall());
+  await system.first.waitForCalls(1);
+  system.clock.advance(4000);
+  system.first.releaseAnswers();
   t.is((await pending)._unsafeUnwrap().runState, 'ran');
-  t.is(bench.countCalls(), 1);
-  await bench.stop();
+  t.is(system.countCalls(), 1);
+  await system.stop();
 });
 
 // Symptom: a client is billed twice, the second time under another key.
-// Sequence: the call runs; its repeat finds no server and is told `not-run`.
-// Cause: a refusal before the claim spoke of the repeat only.
-test('a repeat that is refused before its claim is told what became of the first', async (t) => {
-  const bench = await startBench();
-  const twice = buildCall({}, 'req_2');
-  const refuse = (): void => bench.router.refuseNext();
+// Sequence: the call runs; its repeat finds no server and gets `not-run`.
+// Cause: the run state of a refusal before the claim described only the repeat.
+test('a repeat that is refused before its claim gets the run state of the first call', async (t) => {
+  const system = await startTestServices();
+  const repeatedCall = buildCall({}, 'req_2');
+  const refuse = (): void => system.router.refuseNext();
   refuse();
-  t.is((await bench.call(buildCall()))._unsafeUnwrapErr().runState, 'not-run');
-  await bench.call(buildCall());
+  t.is((await system.call(buildCall()))._unsafeUnwrapErr().runState, 'not-run');
+  await system.call(buildCall());
   refuse();
-  t.is((await bench.call(twice))._unsafeUnwrapErr().runState, 'ran');
+  t.is((await system.call(repeatedCall))._unsafeUnwrapErr().runState, 'ran');
   refuse();
-  bench.tableStore.setOutage('unavailable');
-  t.is((await bench.call(twice))._unsafeUnwrapErr().runState, 'unknown');
-  await bench.stop();
+  system.tableStore.setOutage('unavailable');
+  t.is((await system.call(repeatedCall))._unsafeUnwrapErr().runState, 'unknown');
+  await system.stop();
 });
--- a/tests/settings/entrySettings.test.ts
+++ b/tests/settings/entrySettings.test.ts
@@ -13,7 +13,7 @@
   t.deepEqual(settings.cursorKeys, ['k'.repeat(32)]);
 });
 
-test.serial('a secret that is not there or too short is named by key, never quoted', async (t) => {
+test.serial('a missing or too short secret is reported by key without its value', async (t) => {
   delete process.env.JACKDAW_SECRET_ACCESS_KEY;
   process.env.JACKDAW_CURSOR_KEY = 'tooshort';
   const problems = (
--- a/tests/support/createAsyncQueue/index.ts
+++ b/tests/support/createAsyncQueue/index.ts
@@ -1,9 +1,9 @@
 import { createNotifier } from '../../../src/application/generations/_lib/createNotifier';
 
-/** Values that one reader takes in order. */
+/** A FIFO queue with one asynchronous reader. */
 export interface AsyncQueue<T> extends AsyncIterable<T> {
   push(value: T): void;
-  /** Ends it after what has been pushed. */
+  /** Ends the iteration after the values pushed so far. */
   end(): void;
 }
 
--- a/tests/support/createScriptedEngines/index.ts
+++ b/tests/support/createScriptedEngines/index.ts
@@ -6,33 +6,33 @@
 
 type Reader = AsyncQueue<Result<TokenBatch, EngineError>>;
 
-/** A stream as a scripted engine keeps it. */
+/** State of one stream on a scripted engine. */
 export interface ScriptedStream {
   readonly server: string;
   readonly streamId: string;
   readonly tokenIds: number[];
-  /** Tokens that came as a prefix. */
+  /** Number of tokens that the request brought as a prefix. */
   readonly prefixLength: number;
   finishReason: string | null;
   readonly readers: Set<Reader>;
 }
 
-/** Engines in memory whose every step the test orders. */
+/** In-memory engines whose every step the test controls. */
 export interface ScriptedEngines {
   readonly client: EngineClient;
-  /** Starts in their order, also on engines that are gone since. */
+  /** Started attempts, oldest first, including those on engines that were killed later. */
   readonly starts: ScriptedStream[];
   readonly cancelled: string[];
   readonly resumes: string[];
-  /** Settles when so many attempts have been started in all. */
+  /** Resolves when at least `count` attempts have started in total. */
   waitForStarts(count: number): Promise<void>;
   /** Generates tokens on a stream and sends them to its readers. */
   emit(stream: ScriptedStream, count: number, finishReason?: string): void;
-  /** Breaks the connections of a server; its streams live on. */
-  cut(server: string): void;
-  /** Breaks the connections; streams are lost and new connections refused. */
+  /** Breaks the connections of a server; its streams continue. */
+  breakConnections(server: string): void;
+  /** Breaks the connections of a server, drops its streams and refuses new connections. */
   kill(server: string): void;
-  /** Answers nothing and sends nothing until it is thawed. */
+  /** Stops all responses and tokens of a server until it is thawed. */
   freeze(server: string): void;
   thaw(server: string): void;
 }
@@ -42,7 +42,7 @@
 const GONE: EngineError = { kind: 'stream-gone', reason: 'status 404' };
 const ID_DIGITS = 7;
 
-/** Computes the token a stream generates next: through the last one it depends on all before. */
+/** Computes the next token of a stream; the last token makes it depend on all earlier ones. */
 export const computeScriptedToken = (tokenIds: readonly number[], streamId: string): number => {
   const seed = addTokensToChain(streamId, [tokenIds.length, tokenIds.at(-1) ?? 0]);
   return Number.parseInt(seed.slice(0, ID_DIGITS), 16);
@@ -58,7 +58,7 @@
   finishReason: to === stream.tokenIds.length ? stream.finishReason : null,
 });
 
-/** Creates scripted engines; servers need no registration. */
+/** Creates scripted engines; a server exists as soon as it is addressed. */
 export const createScriptedEngines = (): ScriptedEngines => {
   const streams = new Map<string, ScriptedStream>();
   const dead = new Set<string>();
@@ -76,7 +76,7 @@
     });
   };
 
-  const whenThawed = (server: string, send: () => void): void => {
+  const runWhenThawed = (server: string, send: () => void): void => {
     const waiting = frozen.get(server);
     if (waiting) waiting.push(send);
     else send();
@@ -166,7 +166,7 @@
       });
     },
     emit: (stream, count, finishReason) =>
-      whenThawed(stream.server, () => {
+      runWhenThawed(stream.server, () => {
         const from = stream.tokenIds.length;
         for (let index = 0; index < count; index += 1) {
           stream.tokenIds.push(computeScriptedToken(stream.tokenIds, stream.streamId));
@@ -175,7 +175,7 @@
         const batch = buildBatch(stream, from, stream.tokenIds.length);
         stream.readers.forEach((reader) => reader.push(ok(batch)));
       }),
-    cut: breakReaders,
+    breakConnections: breakReaders,
     kill: (server) => {
       dead.add(server);
       breakReaders(server);
--- a/tests/support/createTestDeployment/index.ts
+++ b/tests/support/createTestDeployment/index.ts
@@ -16,7 +16,7 @@
 
 const readFeed = (feed: GenerationFeed): FeedReader => startFeedReader(feed);
 
-/** Creates two entries with one store and three engines, all in memory and on one fake clock. */
+/** Creates two entries, one store and three engines, all in memory with one fake clock. */
 export const createTestDeployment = () => {
   const clock = createFakeClock();
   const engines = createScriptedEngines();
@@ -48,7 +48,7 @@
   const first = addEntry('entry-1', 1);
   const second = addEntry('entry-22', 2);
 
-  /** Opens a generation at an entry; the engine that has it is made to send its first tokens. */
+  /** Starts a generation at an entry and makes its engine send the first `tokens` tokens. */
   const open = async (
     entry: TestEntry,
     tokens: number,
--- a/tests/support/createTestEntry/index.ts
+++ b/tests/support/createTestEntry/index.ts
@@ -23,7 +23,7 @@
 } from '../../../standins/fakes';
 import type { ScriptedEngines } from '../createScriptedEngines';
 
-/** An entry's generations over scripted engines. */
+/** The generations of one entry on scripted engines. */
 export interface TestEntry {
   readonly generations: StoppableGenerations;
   readonly health: HealthRegistry;
@@ -31,7 +31,7 @@
   readonly outcomes: SlotOutcome[];
 }
 
-/** What a test sets itself. */
+/** Options of `createTestEntry`. */
 export interface TestEntryOptions {
   readonly vm: string;
   readonly clock: Clock;
@@ -54,7 +54,7 @@
   readAnswer: async () => err(UNAVAILABLE),
 };
 
-/** Peers none of which can be reached. */
+/** Peers that are all unreachable. */
 export const NO_PEERS: PeerGenerations = {
   attachGeneration: async () => err({ kind: 'unreachable' }),
   cancelGeneration: async () => false,
@@ -79,7 +79,7 @@
   ...change,
 });
 
-/** Creates an entry whose router takes the first healthy server that is not excluded. */
+/** Creates an entry whose router selects the first healthy server that is not excluded. */
 export const createTestEntry = (options: TestEntryOptions): TestEntry => {
   const health = createHealthRegistry({ vm: options.vm });
   const demands: Demand[] = [];
--- a/tests/support/createTestPeers/index.ts
+++ b/tests/support/createTestPeers/index.ts
@@ -1,15 +1,15 @@
 import { err, ok } from 'neverthrow';
 import type { Generations, PeerGenerations } from '../../../src/application/ports';
 
-/** Entries that reach each other in memory. */
+/** An in-memory network between entries. */
 export interface TestPeers {
   readonly peers: PeerGenerations;
   add(vm: string, generations: Generations): void;
-  /** From now on the VM does not answer; feeds that run from it stand still. */
+  /** Makes a VM unreachable for new calls. */
   remove(vm: string): void;
 }
 
-/** Creates a network without entries. */
+/** Creates an in-memory network without entries. */
 export const createTestPeers = (): TestPeers => {
   const entries = new Map<string, Generations>();
   return {
--- a/tests/support/startFeedReader/index.ts
+++ b/tests/support/startFeedReader/index.ts
@@ -2,19 +2,19 @@
 import type { GenerationFeed } from '../../../src/application/ports';
 import type { Cursor } from '../../../src/domain/types';
 
-/** Reads a feed as a caller does. */
+/** A reader that consumes a feed as a caller does. */
 export interface FeedReader {
   readonly tokenIds: number[];
   readonly cursors: Cursor[];
-  /** Settles when so many tokens have come. */
+  /** Resolves when at least `count` tokens have arrived. */
   waitForTokens(count: number): Promise<void>;
-  /** Goes away, as a caller whose connection breaks. */
-  leave(): void;
-  /** All tokens when the feed has ended; the code of the failure if it failed. */
+  /** Detaches from the feed, like a caller whose connection breaks. */
+  detach(): void;
+  /** Resolves at the end of the feed: all tokens, or the error code if the generation failed. */
   readonly done: Promise<readonly number[] | string>;
 }
 
-/** Starts to read a feed. */
+/** Starts reading a feed. */
 export const startFeedReader = (feed: GenerationFeed): FeedReader => {
   const tokenIds: number[] = [];
   const cursors: Cursor[] = [];
@@ -38,7 +38,7 @@
         await arrived.wait();
       }
     },
-    leave: () => feed.detach(),
+    detach: () => feed.detach(),
     done: readAll(),
   };
 };
