--- a/tests/callers/shutdown.test.ts
+++ b/tests/callers/shutdown.test.ts
@@ -21,12 +21,12 @@
 
 const pushToken = (
   server: Awaited<ReturnType<typeof startTestCallerServer>>,
-  offset: number,
+  position: number,
 ): void =>
   server.generations.push({
     kind: 'tokens',
-    batch: { offset, tokenIds: [offset], text: `w${offset} `, finishReason: null },
-    cursor: buildTestCursor(offset + 1),
+    batch: { offset: position, tokenIds: [position], text: `w${position} `, finishReason: null },
+    cursor: buildTestCursor(position + 1),
   });
 
 test('a shutdown refuses new work as not-run and lets a running stream finish', async (t) => {
