--- a/tests/keeper/_lib/createTestKeepers/index.ts
+++ b/tests/keeper/_lib/createTestKeepers/index.ts
@@ -29,17 +29,17 @@
   start(): void;
 }
 
-/** Two keepers and some engines. */
+/** Two keepers that control the same engines. */
 export interface TestKeepers {
   readonly clock: FakeClock;
   readonly table: MemoryTableStore;
   readonly keepers: readonly [TestKeeper, TestKeeper];
   readonly engines: readonly FakeEngine[];
-  /** Puts targets into force at both keepers. */
+  /** Applies engine targets at both keepers. */
   applyTargets(targets: readonly EngineTarget[]): void;
-  /** Holds back the answer to the next order; the returned function lets it through. */
+  /** Delays the response to the next order until the returned function is called. */
   delayNextResponse(): () => void;
-  /** Lets time pass in steps; calls `check` after each. */
+  /** Advances time in steps and calls `check` after each. */
   advance(durationMs: number, check?: () => void): Promise<void>;
 }
 
@@ -67,7 +67,7 @@
   };
 }
 
-/** Creates the rig; each engine starts with `models`. */
+/** Creates two keepers and their engines; each engine starts with `models` loaded. */
 export function createTestKeepers(options: {
   readonly engineNames: readonly string[];
   readonly models: readonly LoadedModel[];
@@ -80,15 +80,15 @@
   const byName = new Map(engines.map((engine) => [engine.name, engine]));
   const listeners = new Set<(current: VersionedConfiguration) => void>();
   let current: VersionedConfiguration | null = null;
-  let gate: Promise<void> | null = null;
+  let pendingResponse: Promise<void> | null = null;
 
   const engineClient: Pick<EngineClient, 'readLoad' | 'sendOrder'> = {
     readLoad: async ({ name }) => byName.get(name)!.readLoad(),
     sendOrder: async ({ name }, order) => {
       const answer = byName.get(name)!.handleOrder(order);
-      const held = gate;
-      gate = null;
-      await held;
+      const pending = pendingResponse;
+      pendingResponse = null;
+      await pending;
       return answer;
     },
   };
@@ -143,7 +143,7 @@
     },
     delayNextResponse: () => {
       let release = (): void => {};
-      gate = new Promise((resolve) => {
+      pendingResponse = new Promise((resolve) => {
         release = resolve;
       });
       return () => release();
