--- a/tools/known-red/compareFailures/index.ts
+++ b/tools/known-red/compareFailures/index.ts
@@ -1,23 +1,25 @@
-import type { KnownRed } from '../readKnownRed';
+import type { KnownFailure } from '../readKnownFailures';
 
-/** What the failures of a run mean. */
-export interface FailureVerdict {
+/** Failures of a run compared with the list of known failures. */
+export interface FailureComparison {
   /** Lines of the list whose test failed. */
   readonly known: readonly string[];
   /** Failures that the list does not name. */
   readonly unknown: readonly string[];
-  /** Lines of the list whose test passed, or was not there. */
+  /** Lines of the list whose test passed or does not exist. */
   readonly stale: readonly string[];
 }
 
-/** Compares the failures of a run with those that are known; only a whole name matches. */
+/** Compares the failures of a run with the known failures; only whole names match. */
 export function compareFailures(
   failures: readonly string[],
-  knownRed: readonly KnownRed[],
-): FailureVerdict {
-  const isKnown = (failure: string): boolean => knownRed.some(({ name }) => name === failure);
+  knownFailures: readonly KnownFailure[],
+): FailureComparison {
+  const isKnown = (failure: string): boolean => knownFailures.some(({ name }) => name === failure);
   const listLines = (hasFailed: boolean): string[] =>
-    knownRed.filter(({ name }) => failures.includes(name) === hasFailed).map(({ line }) => line);
+    knownFailures
+      .filter(({ name }) => failures.includes(name) === hasFailed)
+      .map(({ line }) => line);
   return {
     known: listLines(true),
     unknown: failures.filter((failure) => !isKnown(failure)),
--- a/tools/known-red/compareFailures/test.ts
+++ b/tools/known-red/compareFailures/test.ts
@@ -3,10 +3,9 @@
 
 const REPORT = 'TAP version 13\nok 1 - a › b\nnot ok 2 - a › slow one\n1..2\n';
 
-// Symptom: CI passes although a test fails that nobody knows of, or although tests did not run.
-// Sequence: the list names a test with a like name; or the runner is killed in the middle.
-// Cause: names compared in part, or an unfinished report read as one without failures.
-test('passes over exactly the listed failures of a whole report', (t) => {
+// Guards against CI passing although an unlisted test fails or tests did not run: names compared
+// only in part would match a similar name, and the report of a killed runner would seem complete.
+test('ignores exactly the listed failures, and only in a complete report', (t) => {
   t.deepEqual(listTapFailures(REPORT), ['a › slow one']);
   t.is(listTapFailures(REPORT.replace('1..2\n', '')), null);
   const line = 'a › slow one — loses a race — issue 4';
--- a/tools/known-red/listTapFailures/index.ts
+++ b/tools/known-red/listTapFailures/index.ts
@@ -4,8 +4,8 @@
 /**
  * Lists the names of failed tests in a report of the Test Anything Protocol.
  *
- * @returns the names, or null for a report without its plan: the run broke off, so that what did
- *   not fail may not have run
+ * @returns the names, or null for a report without its plan: the run was interrupted, so that tests
+ *   without a failure may not have run
  */
 export function listTapFailures(report: string): readonly string[] | null {
   if (!PLAN.test(report)) return null;
--- a/tools/known-red/readKnownRed/index.ts
+++ b/tools/known-red/readKnownFailures/index.ts
@@ -2,10 +2,10 @@
 import { parse } from 'smol-toml';
 import { z } from 'zod';
 
-/** The list stays short: faults on it are mended before anything new. */
-const MAX_KNOWN_RED = 8;
+/** The list stays short: listed faults are fixed before any new work. */
+const MAX_KNOWN_FAILURES = 8;
 
-const KnownRedSchema = z.strictObject({
+const KnownFailureSchema = z.strictObject({
   suite: z.enum(['unit', 'scenario']),
   test: z.string().min(1),
   command: z.string().min(1),
@@ -15,14 +15,14 @@
 });
 
 const FileSchema = z.strictObject({
-  entry: z.array(KnownRedSchema).max(MAX_KNOWN_RED).default([]),
+  entry: z.array(KnownFailureSchema).max(MAX_KNOWN_FAILURES).default([]),
 });
 
-/** Which runner plays a test. */
-export type Suite = z.output<typeof KnownRedSchema>['suite'];
+/** Test runner that runs the test. */
+export type Suite = z.output<typeof KnownFailureSchema>['suite'];
 
-/** A test that fails for a real fault which is not mended yet. */
-export interface KnownRed {
+/** A test that fails because of a known fault that is not fixed yet. */
+export interface KnownFailure {
   readonly name: string;
   readonly suite: Suite;
   readonly line: string;
@@ -41,12 +41,12 @@
 };
 
 /**
- * Reads `KNOWN-RED.txt`: TOML tables `[[entry]]` with `suite` (`unit` or `scenario`), `test`, `command`,
- * `seed`, `seen` and `issue`; few of them.
+ * Reads `KNOWN-RED.txt`: TOML tables `[[entry]]` with `suite` (`unit` or `scenario`), `test`,
+ * `command`, `seed`, `seen` and `issue`. A missing file lists nothing.
  *
- * @throws Error when the file is malformed: a list that is misread could hide any failure.
+ * @throws Error if the file is malformed: a misread list could hide any failure
  */
-export async function readKnownRed(file: string): Promise<readonly KnownRed[]> {
+export async function readKnownFailures(file: string): Promise<readonly KnownFailure[]> {
   const read = FileSchema.safeParse(parse(await readText(file)));
   if (!read.success) {
     const [problem] = read.error.issues;
--- a/tools/known-red/readKnownRed/test.ts
+++ b/tools/known-red/readKnownFailures/test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test from 'ava';
-import { readKnownRed } from '.';
+import { readKnownFailures } from '.';
 
 const ENTRY = `[[entry]]
 suite = "unit"
@@ -16,10 +16,10 @@
 const read = async (text: string) => {
   const file = join(await mkdtemp(join(tmpdir(), 'known-red-')), 'list.txt');
   await writeFile(file, text);
-  return readKnownRed(file);
+  return readKnownFailures(file);
 };
 
-test('an entry tells the test, how to run it, what was seen and the issue', async (t) => {
+test('an entry gives the test, the command, the observed failure and the issue', async (t) => {
   t.deepEqual(await read(ENTRY), [
     {
       name: 'a › slow one',
@@ -29,11 +29,11 @@
   ]);
 });
 
-test('a file that is not there lists nothing', async (t) => {
-  t.deepEqual(await readKnownRed('/nowhere/KNOWN-RED.txt'), []);
+test('a missing file lists nothing', async (t) => {
+  t.deepEqual(await readKnownFailures('/nowhere/KNOWN-RED.txt'), []);
 });
 
-test('a list with a field missing, unknown or too many entries is refused by name', async (t) => {
+test('rejects a missing field, an unknown field and too many entries, with its name', async (t) => {
   await t.throwsAsync(read(ENTRY.replace('seed = 4\n', '')), { message: /entry\.0\.seed/ });
   await t.throwsAsync(read(`${ENTRY}other = 1\n`), { message: /other/ });
   await t.throwsAsync(read(ENTRY.repeat(9)), { message: /entry/ });
--- a/tools/scenario/_lib/findChildren/index.ts
+++ b/tools/scenario/_lib/findChildren/index.ts
@@ -6,13 +6,13 @@
     .filter((decision) => decision.requestId === caller && decision.choice !== '')
     .at(-1)?.choice;
 
-const HOLDER_LINE = '"lease taken"';
+const LEASE_TAKEN_TEXT = '"lease taken"';
 
-/** Finds the keeper that took the lease last. */
-const findHolder = ({ deployment }: RunContext): string =>
+/** Finds the keeper that acquired the lease last. */
+const findLeaseHolder = ({ deployment }: RunContext): string =>
   [...deployment.children.values()].reduce(
     (newest, { lines, name }) => {
-      const line = lines.findLast((text) => text.includes(HOLDER_LINE));
+      const line = lines.findLast((text) => text.includes(LEASE_TAKEN_TEXT));
       const time = line === undefined ? 0 : (JSON.parse(line) as { readonly time: number }).time;
       return time > newest.time ? { name, time } : newest;
     },
@@ -26,7 +26,7 @@
         .filter((child) => child.availabilityZone === name)
         .map((child) => child.name),
     server: (context, name) => [findServer(context, name) ?? ''],
-    holder: (context) => [findHolder(context)],
+    holder: (context) => [findLeaseHolder(context)],
   };
 
 /**
--- a/tools/scenario/_lib/followEvents/index.ts
+++ b/tools/scenario/_lib/followEvents/index.ts
@@ -1,6 +1,6 @@
 import { decodeServerSentEvents } from '../../../../client/_lib/decodeServerSentEvents';
 import type { CallerConnection, CallerEnd } from '../../types';
-import { CUT } from '../readAnswer';
+import { NO_ANSWER } from '../readAnswer';
 
 interface WireEvent {
   readonly id?: string;
@@ -16,7 +16,7 @@
 const HTTP_OK = 200;
 
 /**
- * Follows an event stream as a plain caller does and keeps each batch in its record.
+ * Reads an event stream as a plain HTTP caller does and records each batch of tokens.
  *
  * @returns how the stream ended
  */
@@ -24,19 +24,19 @@
   response: Response,
   connection: CallerConnection,
 ): Promise<CallerEnd> {
-  const said = {
-    ...CUT,
+  const endSoFar = {
+    ...NO_ANSWER,
     status: HTTP_OK,
     runState: response.headers.get('jackdaw-run-state') ?? '',
   };
   const body = response.body as unknown as AsyncIterable<Uint8Array>;
   let finished = false;
   for await (const event of decodeServerSentEvents(body)) {
-    if (event.data === '[DONE]') return { ...said, kind: finished ? 'finished' : 'cut' };
+    if (event.data === '[DONE]') return { ...endSoFar, kind: finished ? 'finished' : 'cut' };
     const wire = JSON.parse(event.data) as WireEvent;
     if (wire.error !== undefined) {
       const { code = '', run_state: runState = '' } = wire.error;
-      return { ...said, kind: 'failed', code, runState };
+      return { ...endSoFar, kind: 'failed', code, runState };
     }
     const choice = wire.choices?.[0];
     const tokenIds = choice?.token_ids ?? [];
@@ -52,5 +52,5 @@
       });
     }
   }
-  return said;
+  return endSoFar;
 }
--- a/tools/scenario/_lib/listProcesses/index.ts
+++ b/tools/scenario/_lib/listProcesses/index.ts
@@ -12,14 +12,14 @@
 /** One of the kinds. */
 export type ProcessKind = (typeof ProcessKind)[keyof typeof ProcessKind];
 
-/** A process to be started. */
+/** A process to start. */
 export interface PlannedProcess {
   readonly name: string;
   readonly kind: ProcessKind;
   readonly availabilityZone: string;
 }
 
-/** Lists so many processes of one kind, spread over the zones in turn. */
+/** Lists `count` processes of one kind, distributed round-robin over the zones. */
 export function listProcesses(
   kind: ProcessKind,
   count: number,
--- a/tools/scenario/_lib/readAnswer/index.ts
+++ b/tools/scenario/_lib/readAnswer/index.ts
@@ -12,8 +12,8 @@
   }
 };
 
-/** The end of a request that nothing answered. */
-export const CUT: CallerEnd = {
+/** The end of a request that received no answer. */
+export const NO_ANSWER: CallerEnd = {
   kind: 'cut',
   status: 0,
   code: '',
--- a/tools/scenario/_lib/readVersion/index.ts
+++ b/tools/scenario/_lib/readVersion/index.ts
@@ -1,6 +1,6 @@
 import type { RunContext } from '../../types';
 
-/** Reads the configuration version in force at an entry from its metrics; 0 if it does not answer. */
+/** Reads the configuration version in force at an entry from its metrics; 0 without an answer. */
 export async function readVersion({ deployment }: RunContext, name: string): Promise<number> {
   try {
     const response = await fetch(`${deployment.readUrl(name)}/metrics`);
--- a/tools/scenario/_lib/runCommand/index.ts
+++ b/tools/scenario/_lib/runCommand/index.ts
@@ -3,13 +3,13 @@
 /** Outcome of a command. */
 export interface CommandOutcome {
   readonly code: number;
-  /** Both streams, in the order of arrival. */
+  /** Standard output and standard error, in order of arrival. */
   readonly output: string;
 }
 
 const CODE_WHEN_KILLED = 255;
 
-/** Runs a Node.js program to its end. */
+/** Runs a Node.js program and waits until it exits. */
 export function runCommand(args: readonly string[]): Promise<CommandOutcome> {
   const child = spawn(process.execPath, [...args], { stdio: ['ignore', 'pipe', 'pipe'] });
   const chunks: string[] = [];
--- a/tools/scenario/_lib/readListening/index.ts
+++ b/tools/scenario/_lib/waitUntilListening/index.ts
@@ -1,12 +1,12 @@
-import type { Child, EventBoard } from '../../types';
+import type { Child, EventNotifier } from '../../types';
 
-/** Where a process listens. */
-export interface Listening {
+/** Addresses that a process listens on. */
+export interface ListenAddresses {
   /** Base URL for callers, for other backend servers or of the control interface. */
   readonly url: string;
   /** `ip:port` for peers; empty for stand-ins. */
   readonly peerAddress: string;
-  /** Ports as a stand-in names them. */
+  /** Ports of a stand-in by the names in its start line. */
   readonly ports: Readonly<Record<string, number>>;
 }
 
@@ -23,7 +23,7 @@
 
 const HOST = 'http://127.0.0.1';
 
-const parseStartLine = (line: string): Listening | null => {
+const parseStartLine = (line: string): ListenAddresses | null => {
   let value: StartLine;
   try {
     value = JSON.parse(line) as StartLine;
@@ -42,18 +42,21 @@
 };
 
 /**
- * Waits for the line in which a process says that it listens.
+ * Waits for the line in which a process logs the addresses that it listens on.
  *
- * @throws Error when the process ends before that
+ * @throws Error if the process ends before it listens
  */
-export async function readListening(child: Child, board: EventBoard): Promise<Listening> {
-  const found = await board.waitFor<Listening | 'ended'>(() => {
+export async function waitUntilListening(
+  child: Child,
+  notifier: EventNotifier,
+): Promise<ListenAddresses> {
+  const found = await notifier.waitFor<ListenAddresses | 'ended'>(() => {
     const listening = child.lines.map(parseStartLine).find((value) => value !== null);
     if (listening) return listening;
-    return child.exit() === null ? null : 'ended';
+    return child.readExitStatus() === null ? null : 'ended';
   });
   if (found === 'ended') {
-    throw new Error(`${child.name} ended while it started: ${child.lines.slice(-3).join(' ')}`);
+    throw new Error(`${child.name} exited during startup: ${child.lines.slice(-3).join(' ')}`);
   }
   return found;
 }
--- a/tools/scenario/createCaller/index.ts
+++ b/tools/scenario/createCaller/index.ts
@@ -4,17 +4,17 @@
   CallerConnection,
   CallerRequest,
   CallerState,
-  EventBoard,
+  EventNotifier,
 } from '../types';
 
 /**
- * Creates the record of a caller; each change is an event on the board.
+ * Creates the record of a caller; each change wakes the steps that wait on the notifier.
  *
- * @param received - what another caller's copy already holds
+ * @param received - batches that the caller received over an earlier connection
  */
 export function createCaller(
   request: CallerRequest,
-  board: EventBoard,
+  notifier: EventNotifier,
   received: readonly CallerBatch[] = [],
 ): Caller {
   let state: CallerState = {
@@ -31,7 +31,7 @@
     const update = (change: Partial<CallerState>): void => {
       if (own !== connections) return;
       state = { ...state, ...change };
-      board.record();
+      notifier.record();
     };
     return {
       abort: new AbortController(),
@@ -52,7 +52,7 @@
       current.abort.abort();
       current = createConnection();
       state = { ...state, end: null };
-      board.record();
+      notifier.record();
       return current;
     },
   };
--- a/tools/scenario/createDeployment/index.ts
+++ b/tools/scenario/createDeployment/index.ts
@@ -4,7 +4,7 @@
 import { stringify } from 'smol-toml';
 import { listProcesses, ProcessKind, type PlannedProcess } from '../_lib/listProcesses';
 import { mergeTables } from '../_lib/mergeTables';
-import { readListening, type Listening } from '../_lib/readListening';
+import { waitUntilListening, type ListenAddresses } from '../_lib/waitUntilListening';
 import { REGION, renderConfiguration, type StartedServer } from '../_lib/renderConfiguration';
 import {
   renderEntrySettings,
@@ -14,7 +14,7 @@
 } from '../_lib/renderSettings';
 import { runCommand } from '../_lib/runCommand';
 import { startChild } from '../startChild';
-import type { Child, Deployment, EventBoard, Scenario } from '../types';
+import type { Child, Deployment, EventNotifier, Scenario } from '../types';
 
 type Table = Readonly<Record<string, unknown>>;
 
@@ -45,41 +45,41 @@
   deployment.checks_fencing ? '--checks-fencing' : '--no-checks-fencing',
 ];
 
-/** Creates a deployment of real processes; nothing runs before `start`. */
-export function createDeployment(scenario: Scenario, board: EventBoard): Deployment {
+/** Creates a deployment of real processes; `start` starts them. */
+export function createDeployment(scenario: Scenario, notifier: EventNotifier): Deployment {
   const children = new Map<string, Child>();
   const started: Child[] = [];
-  const listening = new Map<string, Listening>();
+  const addresses = new Map<string, ListenAddresses>();
   let folder = '';
   let configuration: Table = {};
   let urls: PlatformUrls = { table: '', objects: '', vmList: '' };
   let vms: readonly Table[] = [];
 
-  const readPlace = (name: string): Listening => {
-    const place = listening.get(name);
-    if (place === undefined) throw new Error(`no process named "${name}"`);
-    return place;
+  const findAddress = (name: string): ListenAddresses => {
+    const address = addresses.get(name);
+    if (address === undefined) throw new Error(`no process named "${name}"`);
+    return address;
   };
   const writeToml = async (path: string, table: Table): Promise<string> => {
     await writeFile(join(folder, path), stringify(table));
     return join(folder, path);
   };
   const setFaults: Deployment['setFaults'] = (name, path, faults) =>
-    sendJson(`${readPlace(name).url}/control/${path}`, faults);
+    sendJson(`${findAddress(name).url}/control/${path}`, faults);
   const recordVm = async (vm: Table): Promise<void> => {
     vms = [...vms.filter((known) => known.vm !== vm.vm), vm];
     await setFaults('platform', 'vmList/vms', { vms });
   };
 
-  /** Starts a process; `startArgs` gives the arguments for the port it had before, 0 at first. */
+  /** Starts a process; `startArgs` takes its previous port, 0 at the first start. */
   const startProcess = async (
     planned: Pick<PlannedProcess, 'name' | 'availabilityZone'>,
     startArgs: (port: number) => readonly string[],
-  ): Promise<Listening> => {
+  ): Promise<ListenAddresses> => {
     const child = startChild({
       ...planned,
-      board,
-      args: startArgs(listening.get(planned.name)?.ports.port ?? 0),
+      notifier,
+      args: startArgs(addresses.get(planned.name)?.ports.port ?? 0),
       restart: async () => {
         await startProcess(planned, startArgs);
       },
@@ -88,18 +88,18 @@
         started.push(process);
       },
     });
-    const place = await readListening(child, board);
-    listening.set(planned.name, place);
-    // A keeper has no peer address: listed, it would pass for a backend server.
+    const address = await waitUntilListening(child, notifier);
+    addresses.set(planned.name, address);
+    // A keeper has no peer address: in the VM list, it would be taken for a backend server.
     if (planned.name !== 'platform' && !planned.name.startsWith(ProcessKind.Keeper)) {
       await recordVm({
         vm: planned.name,
-        peerAddress: place.peerAddress,
+        peerAddress: address.peerAddress,
         region: REGION,
         availabilityZone: planned.availabilityZone,
       });
     }
-    return place;
+    return address;
   };
 
   const startBackendServer = async (planned: PlannedProcess): Promise<StartedServer> => {
@@ -133,8 +133,12 @@
     const platform = await startProcess({ name: 'platform', availabilityZone: '' }, () => [
       'dist/standin-platform.js',
     ]);
-    const toUrl = (name: string): string => `http://127.0.0.1:${platform.ports[name]}`;
-    urls = { table: toUrl('table'), objects: toUrl('objects'), vmList: toUrl('vmList') };
+    const buildPlatformUrl = (name: string): string => `http://127.0.0.1:${platform.ports[name]}`;
+    urls = {
+      table: buildPlatformUrl('table'),
+      objects: buildPlatformUrl('objects'),
+      vmList: buildPlatformUrl('vmList'),
+    };
     const servers = await Promise.all(
       [
         ...listProcesses(ProcessKind.Engine, deployment.engines, scenario),
@@ -158,9 +162,9 @@
     start,
     children,
     started,
-    readUrl: (name) => readPlace(name).url,
+    readUrl: (name) => findAddress(name).url,
     readControl: async (name, path) => {
-      const response = await fetch(`${readPlace(name).url}/control/${path}`);
+      const response = await fetch(`${findAddress(name).url}/control/${path}`);
       return response.json();
     },
     setFaults,
@@ -168,7 +172,7 @@
     writeConfiguration,
     stop: async () => {
       started.forEach((child) => child.process.kill('SIGKILL'));
-      await Promise.all(started.map((child) => board.waitFor(() => child.exit())));
+      await Promise.all(started.map((child) => notifier.waitFor(() => child.readExitStatus())));
       if (folder !== '') await rm(folder, { recursive: true, force: true });
     },
   };
--- a/tools/scenario/createEventBoard/index.ts
+++ b/tools/scenario/createEventNotifier/index.ts
@@ -1,10 +1,10 @@
-import type { EventBoard } from '../types';
+import type { EventNotifier } from '../types';
 
-/** Creates a board on which steps wait until an event makes what they read hold. */
-export function createEventBoard(): EventBoard {
+/** Creates a notifier with which steps wait until a change meets their condition. */
+export function createEventNotifier(): EventNotifier {
   const waiting = new Set<() => void>();
   return {
-    record: () => [...waiting].forEach((look) => look()),
+    record: () => [...waiting].forEach((checkAgain) => checkAgain()),
     waitFor: (read) =>
       new Promise((resolve) => {
         const look = (): void => {
--- a/tools/scenario/createExpectationHandlers/index.ts
+++ b/tools/scenario/createExpectationHandlers/index.ts
@@ -3,7 +3,7 @@
 import { readVersion } from '../_lib/readVersion';
 import type { Caller, CallerState, Expectation, RunContext } from '../types';
 
-/** Handlers of the expectations by name; each gives what did not hold, or nothing. */
+/** Handlers of the expectations by name; each returns messages about what is not met. */
 export type ExpectationHandlers = {
   readonly [K in Expectation['that']]: (
     expectation: Extract<Expectation, { that: K }>,
@@ -11,16 +11,16 @@
   ) => Promise<readonly string[]> | readonly string[];
 };
 
-const checkThat = (holds: boolean, fault: string): readonly string[] => (holds ? [] : [fault]);
+const checkHolds = (holds: boolean, fault: string): readonly string[] => (holds ? [] : [fault]);
 
 const checkCount = (
   what: string,
   count: number,
   { at_least: atLeast, at_most: atMost }: { readonly at_least: number; readonly at_most: number },
 ): readonly string[] =>
-  checkThat(
+  checkHolds(
     count >= atLeast && count <= atMost,
-    `${what}: ${count}, not from ${atLeast} to ${atMost}`,
+    `${what}: ${count}, expected ${atLeast} to ${atMost}`,
   );
 
 const findCaller = ({ callers }: RunContext, name: string): Caller => {
@@ -35,7 +35,7 @@
   readonly choices?: readonly { readonly message?: { readonly content?: string } }[];
 }
 
-/** Text of a streamed or an unstreamed answer. */
+/** Reads the text of a streamed or an unstreamed answer. */
 const readGeneratedText = (state: CallerState): string => {
   if (state.batches.length > 0 || state.end === null) return readText(state);
   try {
@@ -46,22 +46,22 @@
   }
 };
 
-const checkWhole = (caller: Caller, tokens: number): readonly string[] => {
+const checkWholeAnswer = (caller: Caller, tokens: number): readonly string[] => {
   const { request } = caller;
   const state = caller.readState();
   const prompt = `${String(request.body.model)}\n${renderPrompt(request.body)}`;
   const report = checkChain(prompt, [readGeneratedText(state)], { expectedTokens: tokens });
   const { missing, repeated, mixed } = report;
   return [
-    ...checkThat(state.end?.kind === 'finished', `${request.name}: ${renderState(state)}`),
-    ...checkThat(
+    ...checkHolds(state.end?.kind === 'finished', `${request.name}: ${renderState(state)}`),
+    ...checkHolds(
       report.ok && report.tokens === tokens,
       `${request.name}: ${report.tokens} tokens of ${tokens}, missing ${missing}, repeated ${repeated}, mixed ${mixed}`,
     ),
   ];
 };
 
-const listChoices = (context: RunContext, name: string): readonly string[] =>
+const listChosenServers = (context: RunContext, name: string): readonly string[] =>
   context
     .listDecisions()
     .filter((decision) => decision.requestId === name && decision.choice !== '')
@@ -71,7 +71,7 @@
   readonly calls: readonly { readonly requestId: string }[];
 }
 
-/** Counts how often hosts of plain services ran the work of one call. */
+/** Counts how often the hosts of plain services executed the work of one call. */
 const countRuns = async ({ deployment }: RunContext, work: string): Promise<number> => {
   const hosts = [...deployment.children.keys()].filter((name) =>
     /^(billing|register)-/u.test(name),
@@ -86,8 +86,11 @@
   readonly models: readonly { readonly model: string; readonly version: string }[];
 }
 
-/** Lists what an engine says it holds, as `model@version`. */
-const listModels = async ({ deployment }: RunContext, name: string): Promise<readonly string[]> => {
+/** Lists the models that an engine reports as loaded, as `model@version`. */
+const listLoadedModels = async (
+  { deployment }: RunContext,
+  name: string,
+): Promise<readonly string[]> => {
   const response = await fetch(`${deployment.readUrl(name)}/load`);
   const { models } = (await response.json()) as LoadAnswer;
   return models.map(({ model, version }) => `${model}@${version}`).sort();
@@ -96,10 +99,10 @@
 /** Creates the table of expectation handlers. */
 export function createExpectationHandlers(): ExpectationHandlers {
   return {
-    whole: ({ of, tokens }, context) => checkWhole(findCaller(context, of), tokens),
+    whole: ({ of, tokens }, context) => checkWholeAnswer(findCaller(context, of), tokens),
     same: ({ of }, context) => {
       const texts = of.map((name) => readGeneratedText(findCaller(context, name).readState()));
-      return checkThat(new Set(texts).size === 1, `${of.join(', ')}: not one generation`);
+      return checkHolds(new Set(texts).size === 1, `${of.join(', ')}: texts differ`);
     },
     failed: (expectation, context) => {
       const state = findCaller(context, expectation.of).readState();
@@ -107,28 +110,34 @@
       const tookMs = state.endedMs - state.startedMs;
       const { of, code, run_state: runState, within_ms: withinMs } = expectation;
       return [
-        ...checkThat(end?.kind === 'failed', `${of}: ${renderState(state)}`),
-        ...checkThat(code === '' || end?.code === code, `${of}: code ${end?.code}, not ${code}`),
-        ...checkThat(
+        ...checkHolds(end?.kind === 'failed', `${of}: ${renderState(state)}`),
+        ...checkHolds(
+          code === '' || end?.code === code,
+          `${of}: code ${end?.code}, expected ${code}`,
+        ),
+        ...checkHolds(
           runState === '' || end?.runState === runState,
           `${of}: run state ${end?.runState}, not ${runState}`,
         ),
-        ...checkThat(
+        ...checkHolds(
           !expectation.retry_after || Number(end?.retryAfter) > 0,
           `${of}: no Retry-After`,
         ),
-        ...checkThat(withinMs === 0 || tookMs <= withinMs, `${of}: took ${Math.round(tookMs)} ms`),
+        ...checkHolds(withinMs === 0 || tookMs <= withinMs, `${of}: took ${Math.round(tookMs)} ms`),
       ];
     },
     answered: ({ of, run_state: runState, contains }, context) => {
       const state = findCaller(context, of).readState();
       return [
-        ...checkThat(state.end?.kind === 'finished', `${of}: ${renderState(state)}`),
-        ...checkThat(
+        ...checkHolds(state.end?.kind === 'finished', `${of}: ${renderState(state)}`),
+        ...checkHolds(
           runState === '' || state.end?.runState === runState,
           `${of}: run state ${state.end?.runState}, not ${runState}`,
         ),
-        ...checkThat(state.end?.text.includes(contains) ?? false, `${of}: no "${contains}" in it`),
+        ...checkHolds(
+          state.end?.text.includes(contains) ?? false,
+          `${of}: the answer does not contain "${contains}"`,
+        ),
       ];
     },
     decisions: (expectation, context) => {
@@ -140,15 +149,15 @@
     },
     served: ({ of, in: allowed }, context) => {
       const { children } = context.deployment;
-      const choices = listChoices(context, of);
+      const choices = listChosenServers(context, of);
       const foreign = choices.filter(
         (choice) =>
           !allowed.includes(choice) &&
           !allowed.includes(children.get(choice)?.availabilityZone ?? ''),
       );
       return [
-        ...checkThat(choices.length > 0, `${of}: no server was chosen`),
-        ...checkThat(foreign.length === 0, `${of}: served by ${foreign.join(', ')}`),
+        ...checkHolds(choices.length > 0, `${of}: no server was chosen`),
+        ...checkHolds(foreign.length === 0, `${of}: served by ${foreign.join(', ')}`),
       ];
     },
     runs: async (expectation, context) =>
@@ -158,26 +167,26 @@
         expectation,
       ),
     loaded: async ({ of, is }, context) => {
-      const models = await listModels(context, of);
-      return checkThat(
+      const models = await listLoadedModels(context, of);
+      return checkHolds(
         models.join() === [...is].sort().join(),
-        `${of}: holds ${models.join(', ')}, not ${is.join(', ')}`,
+        `${of}: loaded ${models.join(', ')}, expected ${is.join(', ')}`,
       );
     },
     exit: ({ of, is }, context) => {
-      const exit = context.deployment.children.get(of)?.exit() ?? 'running';
-      return checkThat(exit === is, `${of}: exit ${exit}, not ${is}`);
+      const exit = context.deployment.children.get(of)?.readExitStatus() ?? 'running';
+      return checkHolds(exit === is, `${of}: exit ${exit}, expected ${is}`);
     },
     wins: ({ of, is }, context) => {
       const ends = of.map((name) => findCaller(context, name).readState());
       const won = ends.filter((state) => state.end?.kind === 'finished').length;
-      return checkThat(won === is, `${of.join(', ')}: ${won} won, not ${is}`);
+      return checkHolds(won === is, `${of.join(', ')}: ${won} succeeded, expected ${is}`);
     },
     version: async ({ of, is }, context) => {
       const versions = await Promise.all(of.map((name) => readVersion(context, name)));
-      return checkThat(
+      return checkHolds(
         versions.every((version) => version === is),
-        `versions ${versions.join(', ')}, not ${is}`,
+        `versions ${versions.join(', ')}, expected ${is}`,
       );
     },
   };
--- a/tools/scenario/createStepHandlers/index.ts
+++ b/tools/scenario/createStepHandlers/index.ts
@@ -1,6 +1,6 @@
 import { createCaller } from '../createCaller';
 import { findChildren } from '../_lib/findChildren';
-import { CUT, readAnswer } from '../_lib/readAnswer';
+import { NO_ANSWER, readAnswer } from '../_lib/readAnswer';
 import {
   resumeGeneration,
   SCENARIO_KEY,
@@ -41,7 +41,7 @@
     model: step.model,
     stream: step.via !== 'unstreamed',
     max_tokens: step.tokens,
-    // The same key stands for the same dossier, whoever sends it.
+    // Requests with the same key have the same prompt, whoever sends them.
     messages: [{ role: 'user', content: `Review dossier ${step.key || step.name}.` }],
   },
 });
@@ -53,7 +53,7 @@
 
 const addCaller = (context: RunContext, caller: Caller): void => {
   context.callers.set(caller.request.name, caller);
-  context.board.record();
+  context.notifier.record();
 };
 
 const findCaller = ({ callers }: RunContext, name: string): Caller => {
@@ -62,7 +62,7 @@
   return caller;
 };
 
-const signal =
+const createSignalHandler =
   (name: NodeJS.Signals) =>
   (step: { readonly target: string }, context: RunContext): void => {
     const found = findChildren(context, step.target);
@@ -88,7 +88,7 @@
     signal: connection.abort.signal,
   })
     .then(readAnswer)
-    .catch(() => CUT);
+    .catch(() => NO_ANSWER);
   connection.recordEnd(end);
 };
 
@@ -105,7 +105,7 @@
     String(step.expect_version),
   ]);
   caller.readConnection().recordEnd({
-    ...CUT,
+    ...NO_ANSWER,
     kind: code === 0 ? 'finished' : 'failed',
     status: code,
     text: output,
@@ -116,7 +116,7 @@
 export function createStepHandlers(): StepHandlers {
   return {
     send: (step, context) => {
-      const caller = createCaller(buildGenerationRequest(step), context.board);
+      const caller = createCaller(buildGenerationRequest(step), context.notifier);
       addCaller(context, caller);
       const baseUrl = context.deployment.readUrl(step.entry);
       context.running.push(SENDERS[step.via](caller, baseUrl, context));
@@ -129,7 +129,7 @@
         return;
       }
       const request = { ...first.request, name: step.as };
-      const second = createCaller(request, context.board, first.readState().batches);
+      const second = createCaller(request, context.notifier, first.readState().batches);
       addCaller(context, second);
       context.running.push(resumeGeneration(second, baseUrl, step.gives));
     },
@@ -138,18 +138,18 @@
         name: step.name,
         path: `/services/${step.service}/run`,
         headers: buildHeaders(step),
-        // The same key stands for the same work, whoever sends it.
+        // Calls with the same key have the same work, whoever sends them.
         body: { work: step.key || step.name },
       };
-      const caller = createCaller(request, context.board);
+      const caller = createCaller(request, context.notifier);
       addCaller(context, caller);
       context.running.push(sendCall(caller, context.deployment.readUrl(step.entry)));
     },
     abandon: (step, context) => findCaller(context, step.name).readConnection().abort.abort(),
-    kill: signal('SIGKILL'),
-    freeze: signal('SIGSTOP'),
-    thaw: signal('SIGCONT'),
-    terminate: signal('SIGTERM'),
+    kill: createSignalHandler('SIGKILL'),
+    freeze: createSignalHandler('SIGSTOP'),
+    thaw: createSignalHandler('SIGCONT'),
+    terminate: createSignalHandler('SIGTERM'),
     start: async (step, context) => {
       await Promise.all(findChildren(context, step.target).map((child) => child.restart()));
     },
@@ -160,7 +160,7 @@
     },
     apply: (step, context) => {
       const request: CallerRequest = { name: step.name, path: '', headers: {}, body: {} };
-      const caller = createCaller(request, context.board);
+      const caller = createCaller(request, context.notifier);
       addCaller(context, caller);
       context.running.push(runApply(caller, step, context));
     },
--- a/tools/scenario/parseCondition/index.ts
+++ b/tools/scenario/parseCondition/index.ts
@@ -3,12 +3,12 @@
 
 type Groups = Readonly<Record<string, string>>;
 
-const named = (kind: 'end' | 'route' | 'exit' | 'ready' | 'unready') => ({
+const buildNamedForm = (kind: 'end' | 'route' | 'exit' | 'ready' | 'unready') => ({
   pattern: new RegExp(`^${kind} of (?<name>\\S+)$`, 'u'),
   build: ({ name = '' }: Groups): Condition => ({ kind, name }),
 });
 
-const counted = (
+const buildCountedForm = (
   kind: Extract<Condition, { count: number; name: string }>['kind'],
   pattern: RegExp,
 ) => ({
@@ -17,10 +17,10 @@
 });
 
 const FORMS = [
-  counted('token', /^token (?<count>\d+) of (?<name>\S+)$/u),
-  counted('calls', /^(?<count>\d+) calls? at (?<name>\S+)$/u),
-  counted('reads', /^(?<count>\d+) reads of the (?<name>list)$/u),
-  counted('version', /^version (?<count>\d+) at (?<name>\S+)$/u),
+  buildCountedForm('token', /^token (?<count>\d+) of (?<name>\S+)$/u),
+  buildCountedForm('calls', /^(?<count>\d+) calls? at (?<name>\S+)$/u),
+  buildCountedForm('reads', /^(?<count>\d+) reads of the (?<name>list)$/u),
+  buildCountedForm('version', /^version (?<count>\d+) at (?<name>\S+)$/u),
   {
     pattern: /^log "(?<text>[^"]+)" of (?<name>\S+)$/u,
     build: ({ text = '', name = '' }: Groups): Condition => ({ kind: 'log', text, name }),
@@ -33,15 +33,15 @@
       count: Number(count),
     }),
   },
-  named('end'),
-  named('route'),
-  named('exit'),
-  named('ready'),
-  named('unready'),
+  buildNamedForm('end'),
+  buildNamedForm('route'),
+  buildNamedForm('exit'),
+  buildNamedForm('ready'),
+  buildNamedForm('unready'),
 ];
 
 /**
- * Parses the event that a step waits for.
+ * Parses the condition that a step waits for.
  *
  * @example
  * parseCondition('token 40 of review-1');
@@ -52,5 +52,5 @@
     return groups === undefined ? [] : [build(groups)];
   });
   const [condition] = found;
-  return condition === undefined ? err(`no such event: "${text}"`) : ok(condition);
+  return condition === undefined ? err(`unknown condition: "${text}"`) : ok(condition);
 }
--- a/tools/scenario/parseCondition/test.ts
+++ b/tools/scenario/parseCondition/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { parseCondition } from '.';
 
-test('reads the events of the language and refuses others', (t) => {
+test('parses the conditions of the scenario language and rejects other texts', (t) => {
   t.deepEqual(parseCondition('token 40 of review-1')._unsafeUnwrap(), {
     kind: 'token',
     count: 40,
--- a/tools/scenario/readDecisions/index.ts
+++ b/tools/scenario/readDecisions/index.ts
@@ -13,7 +13,7 @@
   }
 };
 
-/** Reads the decisions in a process's log lines, oldest first. */
+/** Reads the decisions from a process's log lines, oldest first. */
 export function readDecisions(child: Child): readonly Decision[] {
   return child.lines.flatMap((line) => {
     const { kind, requestId, choice } = parseLine(line).context?.decision ?? {};
--- a/tools/scenario/readScenarioFile/index.ts
+++ b/tools/scenario/readScenarioFile/index.ts
@@ -19,17 +19,17 @@
 };
 
 /**
- * Reads a scenario from its text.
+ * Parses a scenario file.
  *
- * @param file - path, for messages and the name
- * @returns the scenario, or every fault of the file in one text
+ * @param file - path; used in error messages, and its base name names the scenario
+ * @returns the scenario, or one message that lists every error of the file
  */
 export function parseScenario(file: string, text: string): Result<ScenarioFile, string> {
   let table: unknown;
   try {
     table = parse(text);
   } catch (error) {
-    return err(`${file}: ${error instanceof Error ? error.message : 'no TOML'}`);
+    return err(`${file}: ${error instanceof Error ? error.message : 'not valid TOML'}`);
   }
   const parsed = scenarioSchema.safeParse(table);
   const problems = parsed.success
@@ -43,7 +43,7 @@
   return ok({ name: basename(file, '.scenario.toml'), scenario: parsed.data });
 }
 
-/** Reads a scenario file. */
+/** Reads and parses a scenario file. */
 export async function readScenarioFile(file: string): Promise<Result<ScenarioFile, string>> {
   try {
     return parseScenario(file, await readFile(file, 'utf8'));
--- a/tools/scenario/readScenarioFile/test.ts
+++ b/tools/scenario/readScenarioFile/test.ts
@@ -5,7 +5,7 @@
 const STEP = '[[step]]\ndo = "send"\nname = "review-1"\n';
 const EXPECT = '[[expect]]\nthat = "whole"\nof = "review-1"\n';
 
-test('reads a scenario and fills in what it leaves out', (t) => {
+test('parses a scenario and fills in the defaults', (t) => {
   const { name, scenario } = parseScenario(
     'x/kill.scenario.toml',
     HEADING + STEP + EXPECT,
@@ -15,13 +15,12 @@
   t.like(scenario.step[0], { do: 'send', entry: 'entry-1', via: 'plain', when: '' });
 });
 
-// Symptom: a scenario passes although it checks nothing.
-// Sequence: a key is misspelt, an event cannot be read, the heading does not say what it shows.
-// Cause: a reader that ignores what it does not know.
-test('names every fault of a file', (t) => {
+// Guards against a scenario that passes without checking anything: a parser that ignored a misspelt
+// key, an unknown condition or an incomplete heading would accept it.
+test('reports misspelt keys, unknown conditions, missing headings and invalid TOML', (t) => {
   const fault = (text: string): string => parseScenario('f', text)._unsafeUnwrapErr();
   t.regex(fault(STEP + EXPECT), /"# without:"/u);
-  t.regex(fault(`${HEADING}${STEP}when = "in 3 s"\n${EXPECT}`), /no such event: "in 3 s"/u);
+  t.regex(fault(`${HEADING}${STEP}when = "in 3 s"\n${EXPECT}`), /unknown condition: "in 3 s"/u);
   t.regex(fault(`${HEADING}${STEP}tokenz = 3\n${EXPECT}`), /step\.0: .*tokenz/u);
   t.regex(fault(HEADING + STEP), /expect/u);
   t.regex(fault(`${HEADING}[[step`), /^f: /u);
--- a/tools/scenario/runScenario/index.ts
+++ b/tools/scenario/runScenario/index.ts
@@ -1,10 +1,17 @@
-import { createEventBoard } from '../createEventBoard';
+import { createEventNotifier } from '../createEventNotifier';
 import { createExpectationHandlers } from '../createExpectationHandlers';
 import { createStepHandlers } from '../createStepHandlers';
 import { readDecisions } from '../readDecisions';
 import { createDeployment } from '../createDeployment';
 import { waitForCondition } from '../_lib/waitForCondition';
-import type { Deployment, Expectation, RunContext, ScenarioFile, Step, Verdict } from '../types';
+import type {
+  Deployment,
+  Expectation,
+  RunContext,
+  ScenarioFile,
+  Step,
+  ScenarioResult,
+} from '../types';
 
 const LOG_LINES_SHOWN = 40;
 
@@ -12,7 +19,7 @@
   const handlers = createStepHandlers();
   for (const step of context.scenario.step) {
     await waitForCondition(context, step.when);
-    if (context.stopped()) return;
+    if (context.isStopped()) return;
     const run = handlers[step.do] as (step: Step, context: RunContext) => Promise<void> | void;
     await run(step, context);
   }
@@ -35,37 +42,39 @@
 const renderLogs = (deployment: Deployment): string =>
   deployment.started
     .flatMap((child) => [
-      `--- ${child.name} (${child.exit() ?? 'running'})`,
+      `--- ${child.name} (${child.readExitStatus() ?? 'running'})`,
       ...child.lines.slice(-LOG_LINES_SHOWN),
     ])
     .join('\n');
 
-/** Rejects after the scenario's own limit: only to fail, never to go on. */
-const startLimit = (timeoutMs: number): { readonly over: Promise<never>; stop: () => void } => {
+/** Starts the scenario's timeout; `expired` never resolves and rejects when the time is over. */
+const startTimeout = (
+  timeoutMs: number,
+): { readonly expired: Promise<never>; stop: () => void } => {
   let timer: NodeJS.Timeout;
-  const over = new Promise<never>((_resolve, reject) => {
-    timer = setTimeout(() => reject(new Error(`not over after ${timeoutMs} ms`)), timeoutMs);
+  const expired = new Promise<never>((_resolve, reject) => {
+    timer = setTimeout(() => reject(new Error(`timed out after ${timeoutMs} ms`)), timeoutMs);
   });
-  return { over, stop: () => clearTimeout(timer) };
+  return { expired, stop: () => clearTimeout(timer) };
 };
 
-/** Runs one scenario on real processes and ends them all. */
-export async function runScenario({ name, scenario }: ScenarioFile): Promise<Verdict> {
+/** Runs one scenario with real processes, and kills all of them at the end. */
+export async function runScenario({ name, scenario }: ScenarioFile): Promise<ScenarioResult> {
   const startedMs = performance.now();
-  const board = createEventBoard();
-  const limit = startLimit(scenario.timeout_ms);
-  const deployment = createDeployment(scenario, board);
-  let stopped = false;
+  const notifier = createEventNotifier();
+  const timeout = startTimeout(scenario.timeout_ms);
+  const deployment = createDeployment(scenario, notifier);
+  let isStopped = false;
   let step = 'start';
   const run = async (): Promise<readonly string[]> => {
     await deployment.start();
     const context: RunContext = {
       scenario,
       deployment,
-      board,
+      notifier,
       callers: new Map(),
       running: [],
-      stopped: () => stopped,
+      isStopped: () => isStopped,
       listDecisions: () => deployment.started.flatMap(readDecisions),
     };
     step = 'readiness';
@@ -78,12 +87,12 @@
   };
   let faults: readonly string[];
   try {
-    faults = await Promise.race([run(), limit.over]);
+    faults = await Promise.race([run(), timeout.expired]);
   } catch (error) {
     faults = [`${step}: ${error instanceof Error ? error.message : String(error)}`];
   }
-  stopped = true;
-  limit.stop();
+  isStopped = true;
+  timeout.stop();
   const logs = faults.length > 0 ? renderLogs(deployment) : '';
   await deployment.stop();
   return { name, faults, tookMs: performance.now() - startedMs, logs };
--- a/tools/scenario/sendGeneration/index.ts
+++ b/tools/scenario/sendGeneration/index.ts
@@ -1,6 +1,6 @@
 import { GenerationLostError, streamGeneration } from '../../../client';
 import { followEvents } from '../_lib/followEvents';
-import { CUT, readAnswer } from '../_lib/readAnswer';
+import { NO_ANSWER, readAnswer } from '../_lib/readAnswer';
 import type { Caller, CallerConnection, Step } from '../types';
 
 /** Bearer key of the workspace that scenarios use. */
@@ -9,7 +9,7 @@
 interface WireRequest {
   readonly url: string;
   readonly headers: Readonly<Record<string, string>>;
-  /** Null: a GET. */
+  /** Null for a GET request. */
   readonly body: unknown;
 }
 
@@ -30,7 +30,7 @@
       isStream ? await followEvents(response, connection) : await readAnswer(response),
     );
   } catch {
-    connection.recordEnd(CUT);
+    connection.recordEnd(NO_ANSWER);
   }
 };
 
@@ -40,7 +40,7 @@
   return sendRequest({ url: `${baseUrl}${path}`, headers, body }, caller.startConnection());
 }
 
-/** What a returning caller gives beside its cursor. */
+/** What a returning caller sends in addition to its cursor. */
 export type Gives = Extract<Step, { do: 'return' }>['gives'];
 
 const BODIES: Readonly<Record<Gives, (caller: Caller) => unknown>> = {
@@ -56,7 +56,7 @@
   }),
 };
 
-/** Comes back to an entry with the last cursor, and perhaps more. */
+/** Resumes a generation at an entry from the caller's last cursor. */
 export function resumeGeneration(caller: Caller, baseUrl: string, gives: Gives): Promise<void> {
   const last = caller.readState().batches.at(-1);
   const request = {
@@ -67,7 +67,7 @@
   return sendRequest(request, caller.startConnection());
 }
 
-/** Streams the caller's request with the published client over all entries given. */
+/** Streams the caller's request with the published client, which may use all given entries. */
 export async function streamWithClient(caller: Caller, baseUrls: readonly string[]): Promise<void> {
   const { headers, body } = caller.request;
   const connection = caller.startConnection();
@@ -84,10 +84,15 @@
     for await (const batch of batches) {
       connection.recordBatch({ ...batch, finishReason: batch.finishReason ?? '' });
     }
-    connection.recordEnd({ ...CUT, kind: 'finished' });
+    connection.recordEnd({ ...NO_ANSWER, kind: 'finished' });
   } catch (error) {
     const lost = error instanceof GenerationLostError ? error : null;
     const runState = lost?.runState ?? '';
-    connection.recordEnd({ ...CUT, kind: 'failed', code: lost?.code ?? 'client_error', runState });
+    connection.recordEnd({
+      ...NO_ANSWER,
+      kind: 'failed',
+      code: lost?.code ?? 'client_error',
+      runState,
+    });
   }
 }
--- a/tools/scenario/types/Caller.ts
+++ b/tools/scenario/types/Caller.ts
@@ -1,6 +1,9 @@
-/** How the last connection of a caller, a call or a command ended. */
+/** How the latest connection of a caller, or an operator's command, ended. */
 export interface CallerEnd {
-  /** `finished`: the answer is complete; `failed`: an error was said; `cut`: nothing was said. */
+  /**
+   * `finished`: the answer is complete; `failed`: an error was returned; `cut`: the connection broke
+   * off without an error.
+   */
   readonly kind: 'finished' | 'failed' | 'cut';
   /** HTTP status, or exit code of a command. */
   readonly status: number;
@@ -11,7 +14,7 @@
   readonly text: string;
 }
 
-/** What a caller sends, and may send again. */
+/** A caller's request, which it may repeat. */
 export interface CallerRequest {
   readonly name: string;
   readonly path: string;
@@ -28,13 +31,13 @@
   readonly finishReason: string;
 }
 
-/** What a caller, a call or an operator's command has received so far. */
+/** What a caller or an operator's command has received so far. */
 export interface CallerState {
   readonly batches: readonly CallerBatch[];
   readonly tokenIds: readonly number[];
   readonly startedMs: number;
   readonly endedMs: number;
-  /** Null while it runs. */
+  /** Null while the request runs. */
   readonly end: CallerEnd | null;
 }
 
@@ -45,12 +48,12 @@
   recordEnd(end: CallerEnd): void;
 }
 
-/** A caller, a call or an operator's command. */
+/** A caller of a generation or a plain service, or an operator's command. */
 export interface Caller {
   readonly request: CallerRequest;
   readState(): CallerState;
-  /** Its connection of this moment; aborting it is the caller hanging up. */
+  /** Returns the current connection; aborting it simulates a caller that disconnects. */
   readConnection(): CallerConnection;
-  /** Ends the connection and begins a new one; what the old one still brings is dropped. */
+  /** Aborts the connection and opens a new one; late data of the old connection is dropped. */
   startConnection(): CallerConnection;
 }
--- a/tools/scenario/types/Scenario.ts
+++ b/tools/scenario/types/Scenario.ts
@@ -20,7 +20,7 @@
     token_ms: count.default(10),
     slots: count.default(8),
     checks_fencing: z.boolean().default(true),
-    /** Further configuration, merged over what the runner writes. */
+    /** Configuration that is merged over the configuration that the runner writes. */
     configuration: z.record(z.string(), z.unknown()).default({}),
   })
   .prefault({});
@@ -45,9 +45,9 @@
     when,
     name,
     entry,
-    /** What the caller gives beside its cursor; `forged` changes the last token. */
+    /** What the caller sends in addition to its cursor; `forged` changes the last token. */
     gives: z.enum(['nothing', 'request', 'tokens', 'forged']).default('nothing'),
-    /** A second connection of the same caller, recorded on its own. */
+    /** Name of a second connection of the same caller, which is recorded separately. */
     as: z.string().default(''),
   }),
   z.strictObject({
@@ -76,9 +76,9 @@
     do: z.literal('apply'),
     when,
     name,
-    /** Version that the operator edited from. */
+    /** Configuration version that the operator's edit is based on. */
     expect_version: count.default(1),
-    /** Configuration merged over the one the runner wrote. */
+    /** Configuration that is merged over the configuration that the runner wrote. */
     set: z.record(z.string(), z.unknown()).default({}),
   }),
   z.strictObject({ do: z.literal('wait'), when: name }),
@@ -101,7 +101,7 @@
     that: z.literal('answered'),
     of,
     run_state: z.string().default(''),
-    /** Text that the answer must hold, for example the name of the call. */
+    /** Text that the answer must contain, for example the name of the call. */
     contains: z.string().default(''),
   }),
   z.strictObject({
@@ -127,13 +127,13 @@
   expect: z.array(expectation).min(1),
 });
 
-/** A scenario: a deployment, steps that wait for events, and what must hold at the end. */
+/** A scenario: a deployment, steps that wait for conditions, and expectations at the end. */
 export type Scenario = z.output<typeof scenarioSchema>;
 
-/** One step. */
+/** One step of a scenario. */
 export type Step = Scenario['step'][number];
 
-/** One thing that must hold. */
+/** One expectation, checked after all steps. */
 export type Expectation = Scenario['expect'][number];
 
 /** A scenario with the name of its file. */
--- a/tools/unit-tests/main.ts
+++ b/tools/unit-tests/main.ts
@@ -1,7 +1,7 @@
-// Runs ava; failures that KNOWN-RED.txt lists are printed and passed over, only these. In a run of all
-// tests, an entry whose test passes or is not there fails it.
+// Runs ava. Failures that KNOWN-RED.txt lists are printed and ignored; any other failure fails the
+// run. So does, in a run of all tests, an entry whose test passes or does not exist.
 import { spawn } from 'node:child_process';
-import { compareFailures, listTapFailures, readKnownRed } from '../known-red';
+import { compareFailures, listTapFailures, readKnownFailures } from '../known-red';
 
 const AVA = 'node_modules/ava/entrypoints/cli.mjs';
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
@@ -20,22 +20,24 @@
   process.stdout.write(text);
 };
 
-const knownRed = (await readKnownRed(KNOWN_RED_FILE)).filter(({ suite }) => suite === 'unit');
+const knownFailures = (await readKnownFailures(KNOWN_RED_FILE)).filter(
+  ({ suite }) => suite === 'unit',
+);
 const args = process.argv.slice(2);
-if (knownRed.length === 0) {
+if (knownFailures.length === 0) {
   process.exitCode = await runAva(args, write);
 } else {
   const chunks: string[] = [];
   const code = await runAva(['--tap', ...args], (text) => chunks.push(text));
   const report = chunks.join('');
   const failures = listTapFailures(report);
-  const verdict = compareFailures(failures ?? [], knownRed);
-  verdict.known.forEach((line) => write(`known  ${line}\n`));
-  const stale = args.length === 0 ? verdict.stale : [];
+  const comparison = compareFailures(failures ?? [], knownFailures);
+  comparison.known.forEach((line) => write(`known  ${line}\n`));
+  const stale = args.length === 0 ? comparison.stale : [];
   stale.forEach((line) => write(`stale  ${line}\n`));
-  const isPassed = failures !== null && verdict.unknown.length + stale.length === 0;
-  // A code without a listed failure is a fault of the run itself.
-  const isExplained = code === 0 || verdict.known.length > 0;
-  if (!isPassed || !isExplained) write(report);
-  process.exitCode = isPassed && isExplained ? 0 : FAILED;
+  const hasPassed = failures !== null && comparison.unknown.length + stale.length === 0;
+  // An exit code other than 0 without a listed failure means that the run itself failed.
+  const isExplained = code === 0 || comparison.known.length > 0;
+  if (!hasPassed || !isExplained) write(report);
+  process.exitCode = hasPassed && isExplained ? 0 : FAILED;
 }
