--- a/scripts/build-gateway.mjs
+++ b/scripts/build-gateway.mjs
@@ -1,4 +1,4 @@
-// Bundles the gateway with all its packages into target/, so that a VM starts from one file, and
+// Bundles the gateway with all its packages into target/, so that a VM starts it from one file, and
 // writes the bundle's code cache.
 import { spawnSync } from 'node:child_process';
 import { copyFileSync, readFileSync, rmSync } from 'node:fs';
@@ -7,7 +7,7 @@
 
 const BUNDLE = 'target/jackdaw-gateway-bundle.cjs';
 
-/** Seconds on an idle machine; a build server may be overloaded. */
+/** Takes seconds on an idle machine, but the build server may be overloaded. */
 const WRITE_TIMEOUT_MS = 240_000;
 
 await build({
@@ -21,7 +21,7 @@
   platform: 'node',
   target: 'node20',
   format: 'cjs',
-  // Names stay, so that a trace in a log can be read.
+  // Identifiers are not minified, so that stack traces in logs stay readable.
   minifySyntax: true,
   minifyWhitespace: true,
   legalComments: 'none',
@@ -36,5 +36,5 @@
   stdio: ['ignore', 'ignore', 'inherit'],
   timeout: WRITE_TIMEOUT_MS,
 });
-// A gateway without a code cache starts more slowly, and says so.
+// A gateway without a code cache starts more slowly, and logs that.
 if (written.status !== 0) console.warn('the code cache could not be written');
--- a/scripts/prepare.mjs
+++ b/scripts/prepare.mjs
@@ -1,4 +1,4 @@
-// Installs and builds by itself what is missing, so that one command works on a fresh clone.
+// Installs missing or outdated packages and builds, so that one command works on a fresh clone.
 import { execFileSync } from 'node:child_process';
 import { existsSync, statSync } from 'node:fs';
 
--- a/scripts/write-code-cache.cjs
+++ b/scripts/write-code-cache.cjs
@@ -1,6 +1,6 @@
-// Starts the bundled gateway on loopback, lets it serve for a moment, and writes what was compiled
-// meanwhile as its code cache. Run by the build, with the flags of the deploy file: code compiled under
-// other flags is not taken.
+// Starts the bundled gateway on loopback, sends traffic through it, and writes the functions compiled
+// so far as its code cache. The build runs this script with the flags of the deploy file, since V8
+// rejects a cache that was made under other flags.
 'use strict';
 
 const { writeFileSync } = require('node:fs');
@@ -9,8 +9,8 @@
 const target = join(__dirname, '..', 'target');
 const { startWarmUp } = require(join(target, 'warm-up.cjs'));
 
-/** Calls between VMs come by the second. */
-const PEERS_MS = 2500;
+/** Time for a few calls between VMs, which are about a second apart. */
+const PEER_CALLS_MS = 2500;
 
 const run = async () => {
   const { sendTraffic, settings } = await startWarmUp();
@@ -20,7 +20,7 @@
   const loaded = require(join(target, 'jackdaw-gateway.cjs'));
   await sendTraffic();
   await new Promise((resolve) => {
-    setTimeout(resolve, PEERS_MS);
+    setTimeout(resolve, PEER_CALLS_MS);
   });
   writeFileSync(`${loaded.file}.cache`, loaded.script.createCachedData());
   process.exit(0);
--- a/tools/demo/main.ts
+++ b/tools/demo/main.ts
@@ -6,7 +6,7 @@
 
 const EXIT_CODE = { ok: 0, failed: 1 } as const;
 
-/** Folder with the samples, as seen from `dist` and from `tools/demo`. */
+/** Folder of the examples, relative to `dist` and to `tools/demo`. */
 const EXAMPLE_FOLDERS = ['../examples/', '../../examples/'];
 
 function findExamples(): string {
@@ -17,9 +17,9 @@
 /**
  * Runs the demo as `jackdaw demo` does.
  *
- * @param write - takes the text for the terminal; the last line is the verdict
- * @param options - what differs from a review of 160 tokens on the sample configuration
- * @returns the exit code: 0 if the answer was whole, else 1
+ * @param write - writes text to the terminal; the last line is the verdict
+ * @param options - override the defaults, a review of 160 tokens with the example configuration
+ * @returns the exit code: 0 if the answer was complete and resumed, else 1
  */
 export async function runDemoCommand(
   write: DemoOutput,
--- a/tools/demo/runDemo/index.ts
+++ b/tools/demo/runDemo/index.ts
@@ -15,7 +15,7 @@
 }
 
 /** Finds the first service for long generations, and the first workspace that may use it. */
-function chooseCaller({ services, workspaces }: Configuration) {
+function chooseServiceAndWorkspace({ services, workspaces }: Configuration) {
   const service = services.find(
     ({ kind, workClass }) => kind === ServiceKind.Model && workClass === WorkClass.Long,
   );
@@ -49,18 +49,18 @@
 });
 
 const renderKill = (name: string, tokens: number): string =>
-  `\n\n>>> ${name} is killed after token ${tokens}; nothing of it is left\n`;
+  `\n\n>>> ${name} is killed after token ${tokens} and loses its state\n`;
 
 const renderResume = (name: string, resumeMs: number): string =>
-  `>>> ${name} goes on after ${Math.round(resumeMs)} ms\n\n`;
+  `>>> ${name} resumes after ${Math.round(resumeMs)} ms\n\n`;
 
-/** Sends the dossier, kills the engine on the way, and checks what the caller received. */
-async function followReview(
+/** Sends the dossier, kills the engine in mid-stream, and checks what the caller received. */
+async function runReview(
   system: EmbeddedSystem,
   options: DemoOptions,
   write: DemoOutput,
 ): Promise<DemoReport> {
-  const { service, workspace } = chooseCaller(system.backends.configuration);
+  const { service, workspace } = chooseServiceAndWorkspace(system.backends.configuration);
   const dossier = await readFile(options.dossierFile, 'utf8');
   const body = buildBody(service, dossier, options.tokens);
   const meter = createStreamMeter(`${service.model}\n${renderPrompt(body)}`, () =>
@@ -100,10 +100,9 @@
 }
 
 /**
- * Runs the demo: a whole system in this process, an engine killed in mid-generation.
+ * Runs the demo: starts a whole system in this process and kills an engine in mid-generation.
  *
- * @param write - takes the text for the terminal
- * @returns what the caller's stream shows
+ * @param write - writes text to the terminal
  * @throws Error if the configuration or the dossier cannot be used
  */
 export async function runDemo(options: DemoOptions, write: DemoOutput): Promise<DemoReport> {
@@ -120,7 +119,7 @@
       `${configuration.deployment}: ${system.entries.length} entries, ${engines.size} engines, ` +
         `configuration version 1 in force\n`,
     );
-    return await followReview(system, options, write);
+    return await runReview(system, options, write);
   } finally {
     await system.stop();
   }
--- a/tools/demo/runDemo/test.ts
+++ b/tools/demo/runDemo/test.ts
@@ -1,10 +1,9 @@
-// Symptom: the caller's answer breaks off, or a token comes twice, when an engine dies.
-// Sequence: a review runs on one engine; the engine is killed after token 10; another goes on.
-// Cause: without the tokens held at the entry the second attempt would begin again from the start.
+// Guards against an answer that breaks off or repeats tokens when its engine is killed in mid-stream:
+// without the tokens that the entry keeps, the second attempt would start over.
 import test from 'ava';
 import { runDemo } from '.';
 
-test('the demo shows one whole answer although its engine dies', async (t) => {
+test('the demo shows one complete answer although the engine is killed', async (t) => {
   let shown = '';
   const report = await runDemo(
     {
@@ -21,5 +20,5 @@
   );
   t.like(report, { ok: true, tokens: 30, missing: 0, repeated: 0, mixed: 0, resumes: 1 });
   t.regex(shown, /review-\d+ is killed after token 10/);
-  t.regex(shown, /review-\d+ goes on after \d+ ms/);
+  t.regex(shown, /review-\d+ resumes after \d+ ms/);
 });
--- a/tools/embedded/_lib/createBackgroundClock/index.ts
+++ b/tools/embedded/_lib/createBackgroundClock/index.ts
@@ -4,8 +4,8 @@
 /**
  * Creates a clock whose timers do not keep the process alive.
  *
- * A stopped entry may still have a retry planned, for example of a claim's end; as a process it
- * would have ended by now, but in this one the retry would hold up the end of the program.
+ * A stopped entry may still have a retry scheduled, for example of the write that ends a claim. In
+ * production its process would have exited; here the retry would delay the exit of the program.
  */
 export function createBackgroundClock(): Clock {
   return {
--- a/tools/embedded/applyToPlatform/index.ts
+++ b/tools/embedded/applyToPlatform/index.ts
@@ -5,15 +5,15 @@
 import type { Configuration } from '../../../src/domain/types';
 import type { EntrySettings } from '../../../src/programs/entry/types';
 
-/** Generous: several systems start in one busy process. */
+/** Long, since several systems may start in one busy process. */
 const APPLY_DEADLINE_MS = 20_000;
 
 /**
  * Applies a configuration as `jackdaw apply` does.
  *
- * @param expectedVersion - version that it replaces; 0 for the first
+ * @param expectedVersion - version that the configuration replaces; 0 for the first
  * @returns the new version
- * @throws Error if it was not accepted
+ * @throws Error if the configuration was not accepted
  */
 export async function applyToPlatform(
   settings: Pick<EntrySettings, 'table'>,
--- a/tools/embedded/buildEntrySettings/index.ts
+++ b/tools/embedded/buildEntrySettings/index.ts
@@ -3,7 +3,7 @@
 
 const LISTEN = { host: '127.0.0.1', port: 0 };
 
-/** The stand-ins take any credentials. */
+/** The stand-ins accept any credentials. */
 const CREDENTIALS = {
   region: 'local',
   accessKeyId: 'stand-in',
@@ -12,7 +12,7 @@
 
 const CURSOR_KEY = 'stand-in-cursor-key-of-32-characters';
 
-/** Builds the settings of an entry on free ports of 127.0.0.1, beside a stand-in platform. */
+/** Builds the settings of an entry on free ports of 127.0.0.1 that uses a stand-in platform. */
 export function buildEntrySettings(
   platform: StandInPlatform,
   vm: EntrySettings['vm'],
--- a/tools/embedded/createStreamMeter/index.ts
+++ b/tools/embedded/createStreamMeter/index.ts
@@ -2,13 +2,13 @@
 
 /** Measures a caller's stream while it arrives. */
 export interface StreamMeter {
-  /** Takes a text in the order of arrival; gives the tokens that it completes. */
+  /** Records the next text of the stream. */
   recordText(text: string): void;
-  /** Tokens received so far. */
+  /** Returns the number of tokens received so far. */
   countTokens(): number;
-  /** Attempts whose tokens were seen, by their nonces, in order. */
+  /** Lists the nonces of the attempts whose tokens were received, in order. */
   listNonces(): readonly string[];
-  /** When the first token of the newest attempt arrived, monotonic milliseconds. */
+  /** Returns when the first token of the latest attempt arrived, in monotonic milliseconds. */
   readNonceChangedMs(): number;
   buildReport(expectedTokens: number): ChainReport;
 }
@@ -16,8 +16,8 @@
 /**
  * Creates a meter of one stream.
  *
- * A change of nonce shows where another attempt went on: its first token is the first that the dead
- * engine cannot have sent, so that tokens still under way at a kill do not flatter the figure.
+ * A change of nonce shows where another attempt resumed the stream. Its first token is the first one
+ * that the killed engine cannot have sent: tokens in flight at the kill don't shorten the figure.
  *
  * @param promptText - model as the engine knows it, a newline, and the prompt of `renderPrompt`
  * @param readMs - monotonic time in milliseconds
--- a/tools/embedded/startBackends/index.ts
+++ b/tools/embedded/startBackends/index.ts
@@ -18,7 +18,7 @@
   );
 }
 
-/** Lists what an engine holds: its target, or else the models of its services. */
+/** Lists the models that an engine has loaded: those of its target, else those of its services. */
 function listModels(configuration: Configuration, server: BackendServer): readonly LoadedModel[] {
   const target = configuration.engineTargets.find((one) => one.backendServer === server.name);
   if (target !== undefined) return target.models;
@@ -35,7 +35,7 @@
 /**
  * Starts a stand-in for each backend server of a configuration.
  *
- * @param configuration - its URLs are not used
+ * @param configuration - its URLs are replaced by those of the stand-ins
  * @param engineSettings - settings of all engines; name, slots and models come from the configuration
  */
 export async function startBackends(
--- a/tools/embedded/startEmbeddedSystem/index.ts
+++ b/tools/embedded/startEmbeddedSystem/index.ts
@@ -13,22 +13,22 @@
 
 /** Options of an embedded system. */
 export interface EmbeddedSystemOptions {
-  /** URLs of its backend servers are replaced by those of the stand-ins. */
+  /** The URLs of its backend servers are replaced by those of the stand-ins. */
   readonly configuration: Configuration;
   /** Availability zone of each entry. */
   readonly entryZones: readonly string[];
   readonly engineSettings?: Partial<EngineSettings>;
-  /** Where the entries' log lines go; by default nowhere. */
+  /** Receives the entries' log lines; by default they are discarded. */
   readonly logger?: LineLogger;
 }
 
-const SILENT: LineLogger = {
+const SILENT_LOGGER: LineLogger = {
   info: () => undefined,
   warn: () => undefined,
   error: () => undefined,
 };
 
-async function startOne(
+async function startEmbeddedEntry(
   platform: StandInPlatform,
   vm: EntrySettings['vm'],
   logger: LineLogger,
@@ -53,7 +53,7 @@
 /**
  * Starts a platform, a stand-in for each backend server, and entries, all in this process.
  *
- * @returns the system, its configuration in force at every entry
+ * @returns the system, with its configuration in force at every entry
  */
 export async function startEmbeddedSystem(options: EmbeddedSystemOptions): Promise<EmbeddedSystem> {
   const platform = await createStandInPlatform();
@@ -70,7 +70,7 @@
     configuration,
   );
   const entries = await Promise.all(
-    vms.map((vm) => startOne(platform, vm, options.logger ?? SILENT)),
+    vms.map((vm) => startEmbeddedEntry(platform, vm, options.logger ?? SILENT_LOGGER)),
   );
   platform.vmList.setVms([
     ...entries.map(({ vm, peerAddress, availabilityZone }) => ({
--- a/tools/embedded/startEntryProcess/index.ts
+++ b/tools/embedded/startEntryProcess/index.ts
@@ -8,9 +8,9 @@
 import type { EntrySettings } from '../../../src/programs/entry/types';
 import type { EmbeddedEntry } from '../types';
 
-/** An entry as a process of its own. */
+/** An entry as a separate process. */
 export interface EntryProcess extends EmbeddedEntry {
-  /** Ends it at once, as the loss of its VM does. */
+  /** Kills the process, as the loss of its VM does. */
   kill(): Promise<void>;
 }
 
@@ -64,7 +64,7 @@
 /**
  * Starts the binary of an entry as a process and waits until it listens.
  *
- * @throws Error with its last words if it ends before that
+ * @throws Error with the end of its standard error if the process exits before it listens
  */
 export async function startEntryProcess(settings: EntrySettings): Promise<EntryProcess> {
   const folder = await mkdtemp(join(tmpdir(), 'jackdaw-entry-'));
@@ -78,7 +78,7 @@
     errors = `${errors}${chunk.toString()}`.slice(-2000);
   });
   const exited = once(child, 'exit');
-  // The reader goes on after the start line: an unread pipe would fill and stop the process.
+  // Keeps reading after the start line: an unread pipe would fill up and block the process.
   const started = new Promise<StartLine>((resolve) => {
     createInterface({ input: child.stdout }).on('line', (line) => {
       const parsed = parseStartLine(line);
@@ -87,7 +87,7 @@
   });
   const first = await Promise.race([started, exited.then(() => null)]);
   await rm(folder, { recursive: true });
-  if (first === null) throw new Error(`${settings.vm.name} ended while it started: ${errors}`);
+  if (first === null) throw new Error(`${settings.vm.name} exited during startup: ${errors}`);
   const end = async (signal: NodeJS.Signals) => {
     child.kill(signal);
     await exited;
--- a/tools/embedded/types/EmbeddedSystem.ts
+++ b/tools/embedded/types/EmbeddedSystem.ts
@@ -5,7 +5,7 @@
 
 /** The stand-ins of all backend servers of a configuration. */
 export interface Backends {
-  /** The configuration, with the URLs of the stand-ins. */
+  /** The configuration with the URLs of the stand-ins. */
   readonly configuration: Configuration;
   /** Engines by the name of their backend server. */
   readonly engines: ReadonlyMap<string, StandInEngine>;
--- a/tools/embedded/waitUntilReady/index.ts
+++ b/tools/embedded/waitUntilReady/index.ts
@@ -4,7 +4,7 @@
 const TIMEOUT_MS = 20_000;
 
 /**
- * Waits until an entry says that it takes work, as the balancer would ask.
+ * Waits until an entry answers on `/readyz` that it is ready, as the load balancer checks.
  *
  * @param url - base URL of the entry for callers
  * @throws Error after 20 s, with the last status
--- a/tools/platform-days/main.ts
+++ b/tools/platform-days/main.ts
@@ -1,4 +1,5 @@
-// Writes our days (tests/days) in the platform's words: `tsx tools/platform-days/main.ts SITE FOLDER`.
+// Encodes the days of tests/days in the platform's format:
+// `tsx tools/platform-days/main.ts SITE FOLDER`.
 import { mkdir, readdir, readFile, writeFile } from 'node:fs/promises';
 import { basename, join } from 'node:path';
 import { encodeDay } from '../../platform/encodeDay';
--- a/tools/platform-demo/main.ts
+++ b/tools/platform-demo/main.ts
@@ -1,5 +1,5 @@
-// A moment on the users' platform, on stand-ins: a server dies in mid-stream, and the caller gets
-// one whole answer. `npm run demo:platform`.
+// Demo of the gateway on stand-ins of the platform: a server crashes in mid-stream, and the caller
+// still receives one complete answer. Run it with `npm run demo:platform`.
 import { once } from 'node:events';
 import { request as sendRequest, type IncomingMessage } from 'node:http';
 import { CONFIGURATION_KEY, HEADERS, TABLES } from '../../platform';
@@ -20,8 +20,8 @@
 const KILL_AT = 25;
 const EVENT_MS = 30;
 
-/** Messages that tell the story; the others are left out here. */
-const SHOWN: readonly string[] = [
+/** Log messages that the demo prints; all others are omitted. */
+const SHOWN_MESSAGES: readonly string[] = [
   'stream sent',
   'stream broke off',
   'server silent',
@@ -32,7 +32,7 @@
   process.stdout.write(`${text}\n`);
 };
 
-/** Generates events from where the caller is, until all are sent or the server has died. */
+/** Sends events after the last one that the caller has, until all are sent or the server crashed. */
 const generate = (
   server: StandInServer,
   request: ReceivedRequest,
@@ -59,38 +59,38 @@
 );
 store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildWireConfiguration());
 
-let noteServers = (): void => undefined;
-const knownServers = new Promise<void>((resolve) => {
+let recordKnownServer = (): void => undefined;
+const allServersKnown = new Promise<void>((resolve) => {
   let known = 0;
-  noteServers = () => {
+  recordKnownServer = () => {
     known += 1;
     if (known === servers.length) resolve();
   };
 });
-const take: EventLog['info'] = (message, fields) => {
-  if (message === 'server known') noteServers();
-  if (SHOWN.includes(message)) write(`  ${message} ${JSON.stringify(fields)}`);
+const handleLogLine: EventLog['info'] = (message, fields) => {
+  if (message === 'server known') recordKnownServer();
+  if (SHOWN_MESSAGES.includes(message)) write(`  ${message} ${JSON.stringify(fields)}`);
 };
 const started = await startGateway(buildGatewaySettings(store.url), {
-  log: { info: take, warn: take, error: take },
+  log: { info: handleLogLine, warn: handleLogLine, error: handleLogLine },
 });
 if (started.isErr()) throw new Error(started.error.reason);
 const gateway = started.value;
-await knownServers;
+await allServersKnown;
 
 let killed = false;
 servers.forEach((server) => {
-  const look = (): void => {
+  const handleNextRequest = (): void => {
     const request = server.takeRequest();
     if (!request) return;
     generate(server, request, (id) => {
       if (killed || id !== KILL_AT) return;
       killed = true;
-      write(`${server.id} dies after event ${id}`);
+      write(`${server.id} crashes after event ${id}`);
       server.crash();
     });
   };
-  server.addListener(look);
+  server.addListener(handleNextRequest);
 });
 
 const sent = sendRequest(`${gateway.callerUrl}/stream/letter`, {
--- a/tools/rollout-model/main.ts
+++ b/tools/rollout-model/main.ts
@@ -1,16 +1,17 @@
-// Plays many roll-outs over the gateways' own decisions in virtual time: `npx tsx tools/rollout-model/main.ts [count] [vms]`.
+// Simulates many rollouts in virtual time, decided by the gateways' own code:
+// `npx tsx tools/rollout-model/main.ts [count] [vms]`.
 import { createSeededRandomness } from '../../standins/fakes';
 import { runRolloutModel, VersionTrait, type RolloutModel } from '../../standins/rollouts';
 
 const [count = 200, vms = 9] = process.argv.slice(2).map(Number);
 
-/** Half of what the operator bears. */
-const MAX_PART = 0.05;
-const MAX_EXTRA = 25;
+/** Half of the exposure that the operator tolerates, as a share of all requests. */
+const MAX_TRIAL_SHARE = 0.05;
+const MAX_EXTRA_TRIALS = 25;
 const MAX_LATE_MS = 2000;
 
 const drawModel = (seed: number): RolloutModel => {
-  // Generators with seeds side by side begin alike.
+  // Adjacent seeds give similar first numbers: spread the seeds and skip the first numbers.
   const { readFraction: draw } = createSeededRandomness(seed * 7919);
   for (let skipped = 0; skipped < 20; skipped += 1) draw();
   const traits = Object.values(VersionTrait);
@@ -35,9 +36,10 @@
   const { lateMs, requests, state, trials } = result;
   const name = `${model.trait === VersionTrait.Good ? 'good' : 'bad'} ${state ?? 'no status'}`;
   counts.set(name, (counts.get(name) ?? 0) + 1);
-  const isBounded = trials <= MAX_PART * requests + MAX_EXTRA && lateMs <= MAX_LATE_MS;
-  const isHeldUp = model.trait === VersionTrait.Good && state !== 'completed';
-  if (isHeldUp) process.stdout.write(`${JSON.stringify({ ...model, ...result })}\n`);
+  const isBounded =
+    trials <= MAX_TRIAL_SHARE * requests + MAX_EXTRA_TRIALS && lateMs <= MAX_LATE_MS;
+  const isGoodNotCompleted = model.trait === VersionTrait.Good && state !== 'completed';
+  if (isGoodNotCompleted) process.stdout.write(`${JSON.stringify({ ...model, ...result })}\n`);
   if (model.trait !== VersionTrait.Good && !isBounded) {
     counts.set('over the bound', (counts.get('over the bound') ?? 0) + 1);
     process.stdout.write(`${JSON.stringify({ ...model, ...result })}\n`);
--- a/tools/vm-cost/main.ts
+++ b/tools/vm-cost/main.ts
@@ -1,6 +1,7 @@
-// What the process of one VM costs, natively, by phase: start, idle, under load. After a build of the
-// gateway: `npx tsx tools/vm-cost/main.ts [vms] [lookups a second and VM] [streams a second and VM]`.
-// The profile of one process is left in the folder that is named at the end.
+// Measures the processor time of the gateway process of one VM in three phases: start, idle and load.
+// Needs a build of the gateway:
+// `npx tsx tools/vm-cost/main.ts [vms] [lookups per second and VM] [streams per second and VM]`.
+// The CPU profile of one process stays in the folder that the last line names.
 import { mkdtempSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -23,10 +24,10 @@
 const fleet = await startCostFleet(vms, folder);
 let before = 0;
 
-/** Writes what a process has used since the last phase, on average. */
+/** Writes the average processor time of a process since the previous phase. */
 const report = (phase: string): void => {
   const used = fleet.pids.map(readProcessorMs).reduce((sum, one) => sum + one, 0) / vms;
-  write(`${phase}: ${Math.round(used - before)} ms of processor time a VM`);
+  write(`${phase}: ${Math.round(used - before)} ms of processor time per VM`);
   before = used;
 };
 
@@ -40,7 +41,7 @@
   streamsPerS,
   seconds: LOAD_S,
 });
-report(`load, ${LOAD_S} s and until all have ended`);
+report(`load, ${LOAD_S} s and until all requests have ended`);
 write(`${answered} of ${sent} answered, ${fleet.countConnections() - connections} connections`);
 await fleet.stop();
 write(`profile: ${folder}`);
--- a/tools/vm-cost/sendCostLoad/index.ts
+++ b/tools/vm-cost/sendCostLoad/index.ts
@@ -4,14 +4,14 @@
 import { HEADERS } from '../../../platform';
 import { TEST_KEY } from '../../../standins/gateway';
 
-/** What callers send to each gateway, a second. */
+/** Load that callers put on each gateway. */
 export interface CostLoad {
   readonly lookupsPerS: number;
   readonly streamsPerS: number;
   readonly seconds: number;
 }
 
-/** What became of it. */
+/** Number of requests sent, and of those answered completely. */
 export interface CostLoadResult {
   readonly sent: number;
   readonly answered: number;
@@ -19,10 +19,10 @@
 
 const OK_STATUS = 200;
 const BODY_BYTES = 5000;
-const CALL_MS = 1500;
-const STREAM_MS = 25_000;
+const CALL_DEADLINE_MS = 1500;
+const STREAM_DEADLINE_MS = 25_000;
 
-/** Sends one request on a connection of its own; true if it is answered whole. */
+/** Sends one request on its own connection; resolves with true if the answer is complete. */
 const send = async (port: number, path: string, id: number): Promise<boolean> => {
   const isStream = path.startsWith('/stream/');
   const sent = sendRequest({
@@ -34,7 +34,7 @@
     headers: {
       host: 'a.example',
       [HEADERS.requestId]: `request-${id}`,
-      [HEADERS.deadlineMs]: String(isStream ? STREAM_MS : CALL_MS),
+      [HEADERS.deadlineMs]: String(isStream ? STREAM_DEADLINE_MS : CALL_DEADLINE_MS),
       [HEADERS.authorization]: `Bearer ${TEST_KEY}`,
       [HEADERS.tokenSizes]: '5000,700',
       [HEADERS.promptPrefix]: `a${id % 50}:200,${id.toString(16)}f:4800`,
@@ -51,27 +51,27 @@
   }
 };
 
-/** Sends requests at random times to each port; resolves when all have ended. */
+/** Sends requests to each port as Poisson arrivals; resolves when all have ended. */
 export const sendCostLoad = async (
   ports: readonly number[],
   { lookupsPerS, seconds, streamsPerS }: CostLoad,
 ): Promise<CostLoadResult> => {
   const untilMs = Date.now() + seconds * 1000;
-  const ends: Promise<boolean>[] = [];
-  const sendAt = async (port: number, path: string, perS: number): Promise<void> => {
+  const pendingAnswers: Promise<boolean>[] = [];
+  const sendAtRate = async (port: number, path: string, perS: number): Promise<void> => {
     while (perS > 0) {
       await wait((-Math.log(Math.random()) / perS) * 1000);
       if (Date.now() >= untilMs) return;
-      ends.push(send(port, path, ends.length));
+      pendingAnswers.push(send(port, path, pendingAnswers.length));
     }
   };
   await Promise.all(
     ports.flatMap((port) => [
-      sendAt(port, '/safe/x', lookupsPerS / 2),
-      sendAt(port, '/unsafe/x', lookupsPerS / 2),
-      sendAt(port, '/stream/x', streamsPerS),
+      sendAtRate(port, '/safe/x', lookupsPerS / 2),
+      sendAtRate(port, '/unsafe/x', lookupsPerS / 2),
+      sendAtRate(port, '/stream/x', streamsPerS),
     ]),
   );
-  const answered = (await Promise.all(ends)).filter(Boolean).length;
-  return { sent: ends.length, answered };
+  const answered = (await Promise.all(pendingAnswers)).filter(Boolean).length;
+  return { sent: pendingAnswers.length, answered };
 };
--- a/tools/vm-cost/startCostFleet/index.ts
+++ b/tools/vm-cost/startCostFleet/index.ts
@@ -14,29 +14,29 @@
   type StandInServer,
 } from '../../../standins/gateway';
 
-/** Gateways as processes of their own, before a store and servers in this one. */
+/** Gateways as separate processes, with a store and backend servers in this process. */
 export interface CostFleet {
   /** Port for callers of each gateway. */
   readonly callerPorts: readonly number[];
   readonly pids: readonly number[];
-  /** Connections that the servers have taken so far. */
+  /** Returns the number of connections that the servers have accepted so far. */
   countConnections(): number;
   stop(): Promise<void>;
 }
 
 const ENGINES = 60;
-const DESKS = 4;
+const DESK_SERVERS = 4;
 const ZONES = 4;
 
 /** Servers close connections that are idle for this long. */
-const IDLE_MS = 1500;
+const IDLE_TIMEOUT_MS = 1500;
 const LOOKUP_MS = 20;
 const LOOKUP_BYTES = 800;
 const PREFILL_MS = 1000;
 const EVENT_MS = 35;
 const EVENTS = 140;
-const ROUTE_MS = 25_000;
-const SEEDS = 3;
+const ROUTE_TIMEOUT_MS = 25_000;
+const SEED_COUNT = 3;
 
 const sendStream = async (server: StandInServer, request: ReceivedRequest): Promise<void> => {
   await wait(PREFILL_MS);
@@ -59,7 +59,7 @@
 const startServers = (service: string, count: number) =>
   Promise.all(
     Array.from({ length: count }, async (_, index) => {
-      const server = await createStandInServer(`${service}-${index}`, { idleMs: IDLE_MS });
+      const server = await createStandInServer(`${service}-${index}`, { idleMs: IDLE_TIMEOUT_MS });
       serve(server);
       return { server, entry: buildWireEntry(server, { zone: `z${index % ZONES}`, service }) };
     }),
@@ -74,28 +74,31 @@
     routes: routes.map((route) => ({
       ...route,
       service: route.name === 'stream' ? 's' : 'desk',
-      timeout_ms: ROUTE_MS,
+      timeout_ms: ROUTE_TIMEOUT_MS,
     })),
     services: [...services, { name: 'desk', health_path: '/healthz' }],
   });
 };
 
 /**
- * Starts gateways, and writes the processor profile of one of them to `folder` when it ends.
+ * Starts gateways; one of them writes its CPU profile to `folder` when it exits.
  *
- * @param vms - how many
+ * @param vms - number of gateways
  */
 export const startCostFleet = async (vms: number, folder: string): Promise<CostFleet> => {
   mkdirSync(folder, { recursive: true });
   const store = await createStandInStore();
-  const servers = [...(await startServers('s', ENGINES)), ...(await startServers('desk', DESKS))];
+  const servers = [
+    ...(await startServers('s', ENGINES)),
+    ...(await startServers('desk', DESK_SERVERS)),
+  ];
   servers.forEach(({ entry, server }) => store.writeRow(TABLES.servers, server.id, entry));
   store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildConfiguration());
   const ports: { readonly callers: number; readonly peers: number }[] = [];
   for (let index = 0; index < vms; index += 1) {
     ports.push({ callers: await findFreePort(), peers: await findFreePort() });
   }
-  const seeds = ports.slice(0, SEEDS).map(({ peers }) => `"127.0.0.1:${peers}"`);
+  const seeds = ports.slice(0, SEED_COUNT).map(({ peers }) => `"127.0.0.1:${peers}"`);
   const children: ChildProcess[] = ports.map(({ callers, peers }, index) => {
     const file = join(folder, `vm-${index}.toml`);
     writeFileSync(
@@ -119,19 +122,19 @@
 `,
     );
     const profile = index === vms - 1 ? ['--cpu-prof', `--cpu-prof-dir=${folder}`] : [];
-    const words = [...profile, 'target/jackdaw-gateway.cjs', '--settings', file];
-    return spawn(process.execPath, words, { stdio: ['ignore', 'ignore', 'inherit'] });
+    const args = [...profile, 'target/jackdaw-gateway.cjs', '--settings', file];
+    return spawn(process.execPath, args, { stdio: ['ignore', 'ignore', 'inherit'] });
   });
-  // A fleet must not outlive a tool that fails.
+  // Kills the gateways also when the tool fails.
   process.once('exit', () => children.forEach((child) => child.kill('SIGKILL')));
   return {
     callerPorts: ports.map(({ callers }) => callers),
     pids: children.map(({ pid }) => pid ?? 0),
     countConnections: () => servers.reduce((sum, { server }) => sum + server.countConnections(), 0),
     stop: async () => {
-      const ends = children.map((child) => once(child, 'exit'));
+      const exits = children.map((child) => once(child, 'exit'));
       children.forEach((child) => child.kill('SIGTERM'));
-      await Promise.all(ends);
+      await Promise.all(exits);
       await Promise.all([store.stop(), ...servers.map(({ server }) => server.stop())]);
     },
   };
--- a/tools/warm-up/main.ts
+++ b/tools/warm-up/main.ts
@@ -1,5 +1,5 @@
-// What the build has the bundled gateway do before its code cache is written: lookups, streams, one
-// that goes on at another server, and calls between VMs. Bundled into target/ for it.
+// Traffic that the build sends through the bundled gateway before it writes the code cache: lookups,
+// streams, one of them resumed at another server, and calls between VMs. Bundled into target/.
 import { once } from 'node:events';
 import { request as sendRequest, type IncomingMessage } from 'node:http';
 import { setTimeout as wait } from 'node:timers/promises';
@@ -17,29 +17,29 @@
   type StandInServer,
 } from '../../standins/gateway';
 
-/** What the gateway that is warmed up is started with. */
+/** Settings and traffic of the gateway that is warmed up. */
 export interface WarmUp {
-  /** Text of its settings file. */
+  /** Text of the gateway's settings file. */
   readonly settings: string;
-  /** Sends requests through it; resolves when they have ended. */
+  /** Sends requests through the gateway; resolves when they have ended. */
   sendTraffic(): Promise<void>;
 }
 
 const LOOKUPS = 30;
 const EVENTS = 20;
-/** One stream loses its server after this event. */
-const CRASH_AT = 10;
+/** The server of one stream resets the connection after this event. */
+const CRASH_AFTER_EVENT = 10;
 const EVENT_MS = 10;
 const RETRY_MS = 50;
-const MAX_TRIES = 100;
+const MAX_READY_TRIES = 100;
 
-/** Answers a stream event by event, from where the caller is. */
+/** Answers a stream event by event, starting after the last event that the caller has. */
 const sendStream = async (server: StandInServer, request: ReceivedRequest): Promise<void> => {
   server.begin(request);
   const first = Number(request.headers[HEADERS.lastEventId] ?? 0) + 1;
   for (let id = first; id <= EVENTS && !request.response.destroyed; id += 1) {
     server.emit(request, id, id);
-    if (id === CRASH_AT && request.target.endsWith('crash') && first === 1) {
+    if (id === CRASH_AFTER_EVENT && request.target.endsWith('crash') && first === 1) {
       request.socket.resetAndDestroy();
       return;
     }
@@ -56,7 +56,7 @@
     else server.answer(request, 200, 'answer');
   });
 
-/** Sends a request; returns its status, 0 if there was no answer. */
+/** Sends a request and returns the status of the answer, 0 without one. */
 const send = async (port: number, path: string, id: string): Promise<number> => {
   const sent = sendRequest({
     host: '127.0.0.1',
@@ -81,7 +81,7 @@
   }
 };
 
-/** Starts a store, servers, and another gateway beside the one that is to be warmed up. */
+/** Starts a store, servers, and a second gateway as a peer of the one that is warmed up. */
 export const startWarmUp = async (): Promise<WarmUp> => {
   const store = await createStandInStore();
   const servers = await Promise.all(['i-1', 'i-2', 'i-3'].map((id) => createStandInServer(id)));
@@ -123,7 +123,7 @@
 address = "${new URL(store.url).host}"
 `,
     sendTraffic: async () => {
-      for (let tries = 0; tries < MAX_TRIES; tries += 1) {
+      for (let tries = 0; tries < MAX_READY_TRIES; tries += 1) {
         if ((await send(callers, '/safe/ready', `ready-${tries}`)) === 200) break;
         await wait(RETRY_MS);
       }
