--- a/tools/bench/commands.ts
+++ b/tools/bench/commands.ts
@@ -5,7 +5,7 @@
 import { ResumeCommand } from './resume';
 import { SlopesCommand } from './slopes';
 
-/** All benches. Each stands in its own folder and prints one JSON object as its last line. */
+/** All benches. Each has its own folder and prints one JSON object as its last line. */
 export const BENCH_COMMANDS = [
   ConfigCommand,
   LoadCommand,
--- a/tools/bench/config/ConfigCommand.ts
+++ b/tools/bench/config/ConfigCommand.ts
@@ -2,7 +2,7 @@
 import { parseNumberFlag } from '../../../standins/_lib/parseNumberFlag';
 import { runConfigBench } from './runConfigBench';
 
-/** Goal of issue 5: in force everywhere within this time. */
+/** Goal of issue 5 for the time until a version is in force at every entry (99th percentile). */
 const GOAL_P99_MS = 2_000;
 const MS_PER_S = 1_000;
 
@@ -20,7 +20,7 @@
     `,
     examples: [
       ['The whole bench', '$0 config'],
-      ['A short look', '$0 config --rounds 10 --outage-seconds 6'],
+      ['A short run', '$0 config --rounds 10 --outage-seconds 6'],
     ],
   });
 
--- a/tools/bench/config/_lib/countLostChanges/index.ts
+++ b/tools/bench/config/_lib/countLostChanges/index.ts
@@ -1,8 +1,8 @@
 import type { Operator } from '../createOperator';
 
 /**
- * Counts accepted changes that are gone: rows missing from the history or replaced there, and last
- * accepted weights that the newest configuration does not hold.
+ * Counts lost changes: accepted rows that are missing from the history or replaced there, and last
+ * accepted weights that the newest configuration does not contain.
  */
 export async function countLostChanges(operators: readonly Operator[]): Promise<number> {
   const accepted = operators.flatMap((operator) => operator.listAccepted());
--- a/tools/bench/config/_lib/createOperator/index.ts
+++ b/tools/bench/config/_lib/createOperator/index.ts
@@ -13,24 +13,24 @@
 import type { Configuration } from '../../../../../src/domain/types';
 
 /** An accepted apply. */
-export interface Accepted {
+export interface AcceptedApply {
   readonly row: ConfigurationRow;
-  /** When the operator was told, `performance.now()`. */
+  /** When the apply returned to the operator, as `performance.now()`. */
   readonly atMs: number;
 }
 
-/** An operator who changes the weight of the workspace of his own name. */
+/** An operator who changes the weight of the workspace with the operator's name. */
 export interface Operator {
   readonly name: string;
-  /** Puts a first configuration into force. */
-  applyFirst(configuration: Configuration): Promise<Accepted | string>;
-  /** Reads the newest version, changes it and applies it; gives an error's kind if refused. */
-  applyChange(): Promise<Accepted | string>;
+  /** Applies the first configuration. */
+  applyFirst(configuration: Configuration): Promise<AcceptedApply | string>;
+  /** Changes the newest version and applies it; resolves with the kind of error if refused. */
+  applyChange(): Promise<AcceptedApply | string>;
   /** Repeats `applyChange` until it is accepted. */
-  applySurely(): Promise<Accepted>;
+  applyUntilAccepted(): Promise<AcceptedApply>;
   listHistory(limit: number): Promise<readonly ConfigurationRow[]>;
-  /** Weights that were accepted, oldest first. */
-  listAccepted(): readonly Accepted[];
+  /** Lists the accepted applies, oldest first. */
+  listAccepted(): readonly AcceptedApply[];
   countConflicts(): number;
   close(): Promise<void>;
 }
@@ -42,20 +42,20 @@
   return { ...configuration, workspaces };
 }
 
-/** Creates an operator with his own connections to the table. */
+/** Creates an operator with separate connections to the table. */
 export function createOperator(name: string, settings: DynamoTableSettings): Operator {
   const clock = createSystemClock();
   const randomness = createSystemRandomness();
   const dispatcher = createPlatformDispatcher();
   const table = createDynamoTableStore({ ...settings, deadlineMs: 1_000 }, { clock, dispatcher });
-  const accepted: Accepted[] = [];
+  const accepted: AcceptedApply[] = [];
   let weight = 1;
   let conflicts = 0;
 
   const apply = async (
     configuration: Configuration,
     expectedVersion: number,
-  ): Promise<Accepted | string> => {
+  ): Promise<AcceptedApply | string> => {
     const applied = await applyConfiguration(
       { table, clock, randomness },
       { configuration, expectedVersion, appliedBy: name, comment: '' },
@@ -69,7 +69,7 @@
     return done;
   };
 
-  const applyChange = async (): Promise<Accepted | string> => {
+  const applyChange = async (): Promise<AcceptedApply | string> => {
     const newest = await readNewestRow(table);
     if (newest.isErr()) {
       return newest.error.kind;
@@ -86,7 +86,7 @@
     name,
     applyFirst: (configuration) => apply(configuration, 0),
     applyChange,
-    applySurely: async () => {
+    applyUntilAccepted: async () => {
       for (;;) {
         const outcome = await applyChange();
         if (typeof outcome !== 'string') {
--- a/tools/bench/config/_lib/createVersionTracker/index.ts
+++ b/tools/bench/config/_lib/createVersionTracker/index.ts
@@ -1,12 +1,12 @@
-/** Follows the versions that entries report as in force. */
+/** Tracks the configuration versions in force at the entries. */
 export interface VersionTracker {
-  /** An entry has a version in force. */
+  /** Records that a version is in force at an entry. */
   recordVersion(vm: string, version: number): void;
-  /** An entry has stopped: it is not waited for until it starts again. */
+  /** Records that an entry stopped: `waitForAll` ignores it until it starts again. */
   recordStop(vm: string): void;
-  /** An entry starts; the version before its restart is still the least that it may show. */
+  /** Records that an entry starts; a version below that before its restart counts as a revert. */
   recordStart(vm: string): void;
-  /** Resolves once every running entry has the version, with the time of the last one. */
+  /** Resolves with the time at which every running entry has at least the version. */
   waitForAll(version: number): Promise<number>;
   countReverts(): number;
 }
@@ -16,14 +16,14 @@
   readonly resolve: (atMs: number) => void;
 }
 
-/** Creates a tracker; times are of `performance.now()`. */
+/** Creates a tracker; its times are those of `performance.now()`. */
 export function createVersionTracker(): VersionTracker {
   const current = new Map<string, number>();
   const highest = new Map<string, number>();
   let waiters: readonly Waiter[] = [];
   let reverts = 0;
 
-  const settle = (): void => {
+  const resolveWaiters = (): void => {
     const lowest = Math.min(...current.values());
     const [done, open] = [
       waiters.filter(({ version }) => version <= lowest),
@@ -39,11 +39,11 @@
       reverts += version < before ? 1 : 0;
       highest.set(vm, Math.max(before, version));
       current.set(vm, version);
-      settle();
+      resolveWaiters();
     },
     recordStop: (vm) => {
       current.delete(vm);
-      settle();
+      resolveWaiters();
     },
     recordStart: (vm) => {
       current.set(vm, 0);
@@ -51,7 +51,7 @@
     waitForAll: (version) =>
       new Promise((resolve) => {
         waiters = [...waiters, { version, resolve }];
-        settle();
+        resolveWaiters();
       }),
     countReverts: () => reverts,
   };
--- a/tools/bench/config/_lib/runChanges/index.ts
+++ b/tools/bench/config/_lib/runChanges/index.ts
@@ -1,14 +1,14 @@
 import type { StandInPlatform } from '../../../../../standins/platform';
-import type { Accepted, Operator } from '../createOperator';
+import type { AcceptedApply, Operator } from '../createOperator';
 import type { VersionTracker } from '../createVersionTracker';
 import type { Fleet } from '../startFleet';
 
-/** Each so many rounds an answer of the table is lost after it took effect. */
+/** Every this many rounds, an answer of the table to a completed write is lost. */
 const LOSE_ANSWER_EVERY = 5;
-/** Each so many rounds an entry is restarted while the change spreads. */
+/** Every this many rounds, an entry is restarted while the change propagates. */
 const RESTART_EVERY = 8;
 
-/** What the rounds need. */
+/** Dependencies of the rounds. */
 export interface ChangesDependencies {
   readonly platform: StandInPlatform;
   readonly fleet: Fleet;
@@ -17,14 +17,14 @@
   readonly entries: number;
 }
 
-async function measureSpread(tracker: VersionTracker, accepted: Accepted): Promise<number> {
+async function measureSpread(tracker: VersionTracker, accepted: AcceptedApply): Promise<number> {
   const doneAtMs = await tracker.waitForAll(accepted.row.version);
   return Math.max(0, doneAtMs - accepted.atMs);
 }
 
 /**
- * Runs rounds in which all operators apply a change of their own at the same moment; who loses
- * applies again over the winner's.
+ * Runs rounds in which all operators apply a change concurrently; after a conflict, an operator
+ * applies again on top of the accepted version.
  *
  * @returns time from each accepted apply until it was in force at every running entry
  */
@@ -42,7 +42,7 @@
         ? deps.fleet.restartEntry((round / RESTART_EVERY) % deps.entries)
         : Promise.resolve();
     const spread = deps.operators.map(async (operator) =>
-      measureSpread(deps.tracker, await operator.applySurely()),
+      measureSpread(deps.tracker, await operator.applyUntilAccepted()),
     );
     samples.push(...(await Promise.all(spread)));
     await restarted;
--- a/tools/bench/config/_lib/runOutage/index.ts
+++ b/tools/bench/config/_lib/runOutage/index.ts
@@ -2,10 +2,10 @@
 import { waitMs } from '../waitMs';
 import type { ChangesDependencies } from '../runChanges';
 
-/** Ways in which the table fails, one after the other. */
+/** Kinds of outages of the table, in order. */
 const OUTAGES = ['refuse', 'hang', 'error'] as const;
 
-/** What happened in the outages; times in milliseconds. */
+/** Result of the outages; times in milliseconds. */
 export interface OutageOutcome {
   readonly outageMs: number;
   readonly attempts: readonly string[];
@@ -13,11 +13,11 @@
 }
 
 /**
- * Lets the table fail in each way, with an entry restarted and an operator trying in each.
+ * Runs an outage of each kind; during each, restarts an entry and lets an operator apply a change.
  *
- * @param durationMs - of all outages together
- * @returns length of the outages; outcomes of the operator's attempts; time from the restart of an
- *   entry until it had a configuration again, which only its peers could give
+ * @param durationMs - total duration of the outages
+ * @returns duration of the outages; outcomes of the operator's attempts; time from the restart of an
+ *   entry until it had a configuration again, which it could only get from its peers
  */
 export async function runOutage(
   deps: ChangesDependencies,
--- a/tools/bench/config/_lib/startFleet/index.ts
+++ b/tools/bench/config/_lib/startFleet/index.ts
@@ -8,14 +8,14 @@
 
 /** Entries that can be restarted one by one. */
 export interface Fleet {
-  /** Base URLs for callers of the entries that run; starting ones are among them. */
+  /** Lists the callers' base URLs of all entries that run, including those not ready yet. */
   listUrls(): readonly string[];
-  /** Stops an entry as if its process had died, and starts another under its name. */
+  /** Stops an entry, as when its process dies, and starts another with the same VM name. */
   restartEntry(index: number): Promise<void>;
   stop(): Promise<void>;
 }
 
-/** Log line by which an entry tells of a version in force. */
+/** Message that an entry logs when a version comes into force. */
 const IN_FORCE_MESSAGE = 'configuration in force';
 
 function createVersionLogger(vm: string, tracker: VersionTracker): LineLogger {
@@ -30,7 +30,7 @@
   };
 }
 
-/** Starts entries on free ports, spread over the availability zones. */
+/** Starts entries on free ports, distributed over the availability zones. */
 export async function startFleet(
   platform: StandInPlatform,
   count: number,
@@ -50,7 +50,7 @@
   });
   const writeVmList = (): void => platform.vmList.setVms([...entries].map(buildRecord));
 
-  const startOne = async (index: number): Promise<void> => {
+  const startFleetEntry = async (index: number): Promise<void> => {
     const vm = formatVmName(index);
     tracker.recordStart(vm);
     const place = { name: vm, region: REGION, availabilityZone: chooseZone(index) };
@@ -64,7 +64,7 @@
     writeVmList();
   };
 
-  await Promise.all(Array.from({ length: count }, (_, index) => startOne(index)));
+  await Promise.all(Array.from({ length: count }, (_, index) => startFleetEntry(index)));
   return {
     listUrls: () => [...entries.values()].map(({ callerUrl }) => callerUrl),
     restartEntry: async (index) => {
@@ -72,7 +72,7 @@
       entries.delete(index);
       tracker.recordStop(formatVmName(index));
       await entry?.stop();
-      await startOne(index);
+      await startFleetEntry(index);
     },
     stop: async () => {
       await Promise.all([...entries.values()].map((entry) => entry.stop()));
--- a/tools/bench/config/_lib/startLoad/index.ts
+++ b/tools/bench/config/_lib/startLoad/index.ts
@@ -1,33 +1,33 @@
 import { BEARER_KEY, LOOKUP_SERVICE } from '../buildBenchConfiguration';
 
-/** Requests so far. */
+/** Counts of the requests so far. */
 export interface LoadCounts {
   readonly sent: number;
   readonly failed: number;
-  /** Failures of requests sent while marked (see `setMarked`). */
+  /** Failed requests among the marked ones (see `setMarked`). */
   readonly failedMarked: number;
   readonly sentMarked: number;
-  /** Requests sent again, to the next entry, since the connection broke. */
+  /** Requests repeated at the next entry because the connection broke. */
   readonly repeated: number;
-  /** Failures by cause, for a reader. */
+  /** Number of failures by cause. */
   readonly causes: Readonly<Record<string, number>>;
 }
 
-/** Callers with idempotent requests. */
+/** Load of callers with idempotent requests. */
 export interface Load {
-  /** Marks requests sent from now on. */
+  /** Sets whether requests sent from now on are marked. */
   setMarked(isMarked: boolean): void;
-  /** Ends the load and waits for what runs. */
+  /** Stops sending and waits for the running requests. */
   stop(): Promise<LoadCounts>;
 }
 
 const INTERVAL_MS = 25;
 const PROBE_TIMEOUT_MS = 500;
 const REQUEST_TIMEOUT_MS = 8_000;
-/** Cause of a failure that an idempotent request's caller, or a balancer, meets by repeating it. */
+/** Cause of a failure after which the caller or a load balancer repeats an idempotent request. */
 const BROKEN_CONNECTION = 'broken connection';
 
-/** Asks what a balancer asks. */
+/** Checks the readiness of an entry as a load balancer does. */
 async function isReady(url: string): Promise<boolean> {
   try {
     const response = await fetch(`${url}/readyz`, {
@@ -40,7 +40,7 @@
   }
 }
 
-/** Sends one lookup; gives an empty text, or the cause of its failure. */
+/** Sends one lookup; resolves with an empty text, or with the cause of its failure. */
 async function sendLookup(url: string): Promise<string> {
   try {
     const response = await fetch(`${url}/v1/chat/completions`, {
@@ -62,11 +62,11 @@
 }
 
 /**
- * Starts callers that send one lookup each 25 ms, to the entries in turn, leaving out those that
- * are not ready, as the platform's balancer does. A request whose connection breaks, since its entry
- * was stopped, is sent to the next entry.
+ * Starts callers that send one lookup every 25 ms, to the entries in turn, and skip those that are
+ * not ready, as the platform's load balancer does. A request whose connection breaks because its
+ * entry stopped is repeated at the next entry.
  *
- * @param listUrls - entries that run right now
+ * @param listUrls - lists the base URLs of the entries that run now
  */
 export function startLoad(listUrls: () => readonly string[]): Load {
   const running = new Set<Promise<void>>();
@@ -75,7 +75,7 @@
   let isMarked = false;
   let turn = 0;
 
-  const sendOne = async (): Promise<void> => {
+  const sendNextLookup = async (): Promise<void> => {
     const urls = listUrls();
     turn += 1;
     const order = urls.map((_, index) => urls[(turn + index) % urls.length] ?? '');
@@ -99,7 +99,7 @@
     }
   };
   const timer = setInterval(() => {
-    const sent = sendOne();
+    const sent = sendNextLookup();
     running.add(sent);
     sent.finally(() => running.delete(sent));
   }, INTERVAL_MS);
--- a/tools/bench/config/_lib/waitMs/index.ts
+++ b/tools/bench/config/_lib/waitMs/index.ts
@@ -1,4 +1,4 @@
-/** Waits for a time. */
+/** Resolves after a time in milliseconds. */
 export function waitMs(durationMs: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, durationMs);
--- a/tools/bench/config/runConfigBench/index.ts
+++ b/tools/bench/config/runConfigBench/index.ts
@@ -15,7 +15,7 @@
 /** Options of the bench. */
 export interface ConfigBenchOptions {
   readonly entries: number;
-  /** Rounds before the outage, and again as many after it. */
+  /** Number of rounds before the outage, and again after it. */
   readonly rounds: number;
   readonly outageMs: number;
   readonly writeProgress: (line: string) => void;
@@ -36,8 +36,8 @@
 }
 
 /**
- * Measures how configurations come into force: entries under load, two operators who apply at the
- * same moment, lost answers of the table, restarts, and outages of the table.
+ * Measures how configurations come into force: entries under load, two operators who apply
+ * concurrently, lost answers of the table, restarts, and outages of the table.
  */
 export async function runConfigBench(options: ConfigBenchOptions): Promise<ConfigReport> {
   const { entries, rounds, writeProgress } = options;
--- a/tools/bench/config/types/ConfigReport.ts
+++ b/tools/bench/config/types/ConfigReport.ts
@@ -1,14 +1,14 @@
 /** Last line of the bench. Times in milliseconds unless named otherwise. */
 export interface ConfigReport {
-  /** Versions accepted. */
+  /** Number of accepted versions. */
   readonly applied: number;
-  /** From the accepted apply until the version is in force at every running entry. */
+  /** Time from the accepted apply until the version is in force at every running entry. */
   readonly inForceMs: { readonly p50: number; readonly p99: number; readonly max: number };
-  /** Times that an entry went to a lower version, also across a restart. */
+  /** Number of times that an entry went back to a lower version, including across a restart. */
   readonly reverts: number;
-  /** Accepted changes that are not in the history or not in the last configuration. */
+  /** Accepted changes that are missing from the history or from the latest configuration. */
   readonly conflictsLost: number;
   readonly outageSeconds: number;
-  /** Idempotent requests that failed while the table was out. */
+  /** Idempotent requests that failed during the outages of the table. */
   readonly requestsFailedInOutage: number;
 }
--- a/tools/bench/load/LoadCommand/index.ts
+++ b/tools/bench/load/LoadCommand/index.ts
@@ -12,7 +12,7 @@
 
 const WARM_UP_SECONDS = 2.5;
 
-/** Policies that run side by side: more would measure the machine and not the policies. */
+/** Policies that run in parallel: with more, the machine would limit the results. */
 const PARALLEL = 2;
 
 const POLICIES: readonly PolicyName[] = [OWN_POLICY, ...Object.values(BaselineName)];
@@ -24,12 +24,12 @@
   throw new UsageError(`${flag}: "${text}" is not a whole number above 0`);
 }
 
-/** Measures routing and admission under load, beside simple policies. */
+/** Measures routing and admission control under load, compared with simple policies. */
 export class LoadCommand extends Command {
   static override paths = [['load']];
 
   static override usage = Command.Usage({
-    description: 'Measures routing under load beside random, round robin and least reported load.',
+    description: 'Compares routing under load with random, round robin and least reported load.',
     details: 'The last line is one JSON object. Takes about three minutes.',
     examples: [['Sello, with a chart', '$0 load --deployment sello --plot load.svg']],
   });
--- a/tools/bench/load/_lib/buildBenchConfiguration/index.ts
+++ b/tools/bench/load/_lib/buildBenchConfiguration/index.ts
@@ -2,15 +2,15 @@
 import type { DeploymentShape, ServerGroup } from '../../types';
 import { listWorkspaces } from '../planArrivals';
 
-/** Part of each server's slots kept for lookups in the bench. */
+/** Share of each server's slots that is reserved for lookups. */
 export const LOOKUP_RESERVE = 0.1;
 
-/** Time from arrival to the first token after which a caller of the bench gives up (scaled). */
+/** Time without a first token after which a caller of the bench gives up (in scaled time). */
 export const TIMEOUTS_MS = { long: 8000, lookup: 3000 } as const;
 
 const REGION = 'bench';
 
-/** Lists the names of a group's servers, each with its zone in turn. */
+/** Lists the names of a group's servers, distributed round-robin over the zones. */
 export function listGroupServers(
   group: ServerGroup,
   zones: readonly string[],
--- a/tools/bench/load/_lib/checkGoals/index.ts
+++ b/tools/bench/load/_lib/checkGoals/index.ts
@@ -6,7 +6,7 @@
 const BASELINE_RATIO_LIMIT = 2;
 const DECISION_LIMIT_US = 100;
 
-/** Checks the goals of the users' brief against what was measured. */
+/** Checks the measured figures against the goals of the users' brief. */
 export function checkGoals(
   policies: BenchReport['policies'],
   decision: BenchReport['decision'],
--- a/tools/bench/load/_lib/computeFairness/test.ts
+++ b/tools/bench/load/_lib/computeFairness/test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import { computeFairness } from '.';
 
-test('is 1 when only the large workspace goes without, and lower when the small ones do', (t) => {
+test('is 1 if only the largest workspace gets less than it offers, and lower otherwise', (t) => {
   const fair = [
     { offered: 100, served: 50 },
     { offered: 10, served: 10 },
--- a/tools/bench/load/_lib/computePhaseMetrics/index.ts
+++ b/tools/bench/load/_lib/computePhaseMetrics/index.ts
@@ -33,7 +33,7 @@
 const sum = (values: readonly number[]): number =>
   values.reduce((total, value) => total + value, 0);
 
-/** Computes the figures of a phase: times by arrival in the window, goodput by end in the window. */
+/** Computes the metrics of a phase: times of requests arriving, goodput of those ending, in it. */
 export function computePhaseMetrics(
   phase: string,
   { records, windowStartMs, windowEndMs }: PhaseRecords,
--- a/tools/bench/load/_lib/createBaselineRouter/index.ts
+++ b/tools/bench/load/_lib/createBaselineRouter/index.ts
@@ -20,7 +20,7 @@
 /** One of the baselines. */
 export type BaselineName = (typeof BaselineName)[keyof typeof BaselineName];
 
-/** What a baseline needs. */
+/** Dependencies of a baseline. */
 export interface BaselineDependencies {
   readonly configuration: ConfigurationView;
   readonly health: HealthRegistry;
@@ -28,12 +28,15 @@
   readonly randomness: Randomness;
 }
 
-type Choice = (servers: readonly BackendServer[], turn: number) => BackendServer | undefined;
+type ServerSelector = (
+  servers: readonly BackendServer[],
+  turn: number,
+) => BackendServer | undefined;
 
-function createChoices({
+function createSelectors({
   load,
   randomness,
-}: BaselineDependencies): Readonly<Record<BaselineName, Choice>> {
+}: BaselineDependencies): Readonly<Record<BaselineName, ServerSelector>> {
   const readLoad = ({ name, slots }: BackendServer): number => {
     const report = load.findReport(name);
     return report === null ? 0 : (report.running + report.waiting) / slots;
@@ -50,28 +53,28 @@
 }
 
 /**
- * Creates a baseline: the same hard filter and engine priorities, but no admission; the choice is
- * by one simple rule. Requests wait in the engines' own queues.
+ * Creates a baseline: a router with the same hard filter and engine priorities, but a simple rule of
+ * choice and no admission control. Requests wait in the engines' own queues.
  */
 export function createBaselineRouter(
   name: BaselineName,
   dependencies: BaselineDependencies,
 ): Router {
   const { configuration, health, load, randomness } = dependencies;
-  const choose = createChoices(dependencies)[name];
-  // Each entry starts its round elsewhere, as balancers do.
+  const selectServer = createSelectors(dependencies)[name];
+  // Each entry starts its round robin at another server, as load balancers do.
   let turn = Math.floor(randomness.readFraction() * 100);
   return {
     acquireSlot: async (demand) => {
       const current = configuration.readCurrent();
       const allowed =
         current && filterAllowedServers(current.configuration, demand.workspace, demand.service);
-      if (!allowed?.isOk()) throw new Error('the bench allows all its work');
+      if (!allowed?.isOk()) throw new Error('the bench configuration does not allow this service');
       const { servers, service } = allowed.value;
       const knowledge = { readHealth: health.readHealth, findReport: load.findReport };
       const { ready } = filterBackendServers(servers, service, demand.excludedServers, knowledge);
       turn += 1;
-      const server = choose(ready, turn);
+      const server = selectServer(ready, turn);
       if (server === undefined) {
         return err({ code: 'no_ready_server', message: 'none is ready', retryAfterMs: 1000 });
       }
--- a/tools/bench/load/_lib/createBenchEntry/index.ts
+++ b/tools/bench/load/_lib/createBenchEntry/index.ts
@@ -25,7 +25,7 @@
 /** A policy of the bench. */
 export type PolicyName = typeof OWN_POLICY | BaselineName;
 
-/** An entry VM as far as the bench needs it: the router's parts on real engines. */
+/** The parts of an entry VM that the bench needs: router, load and health over real engines. */
 export interface BenchEntry {
   readonly vm: string;
   readonly zone: string;
@@ -38,7 +38,7 @@
   readonly estimateHedgeDelayMs: (service: string) => number | null;
 }
 
-/** What an entry of the bench needs. */
+/** Dependencies of an entry of the bench. */
 export interface BenchEntryDependencies {
   readonly vm: string;
   readonly vms: readonly string[];
@@ -53,7 +53,7 @@
 
 const NO_DECISIONS: DecisionLog = { record: () => {}, listDecisions: () => [] };
 
-/** Creates an entry with the policy asked for. */
+/** Creates an entry with the given policy. */
 export function createBenchEntry(dependencies: BenchEntryDependencies): BenchEntry {
   const { vm, zone, clock, policy, current } = dependencies;
   const engines = createDelayedEngines(dependencies.engines, zone, dependencies.zoneRoundTripMs);
--- a/tools/bench/load/_lib/createDelayedEngines/index.ts
+++ b/tools/bench/load/_lib/createDelayedEngines/index.ts
@@ -2,18 +2,18 @@
 import type { EngineClient, EngineStream } from '../../../../../src/application/ports';
 import type { BackendServer } from '../../../../../src/domain/types';
 
-/** Delays the batches of a stream by one way of the network. */
+/** Delays the batches of a stream by the one-way network delay. */
 async function* delayBatches(
   batches: EngineStream['batches'],
   oneWayMs: number,
 ): EngineStream['batches'] extends AsyncIterable<infer T> ? AsyncGenerator<T> : never {
-  // Only the first one: the later ones are delayed alike, which shifts all by the same time.
+  // Delaying the first batch is enough: it shifts all later batches by the same time.
   await wait(oneWayMs);
   yield* batches;
 }
 
 /**
- * Creates an engine client as seen from one zone: calls to other zones take the round trip longer.
+ * Creates an engine client of one zone: calls to other zones take one network round trip longer.
  */
 export function createDelayedEngines(
   engines: EngineClient,
--- a/tools/bench/load/_lib/findDeploymentShape/index.ts
+++ b/tools/bench/load/_lib/findDeploymentShape/index.ts
@@ -1,18 +1,18 @@
 import type { DeploymentShape } from '../../types';
 
-/** Long outputs have this mean length; their lengths vary by workspace and request. */
+/** Mean length of long outputs; the lengths vary by workspace and request. */
 export const MEAN_LONG_TOKENS = 16;
 
-/** Lookups answer in few tokens. */
+/** Length of the answer to a lookup. */
 export const LOOKUP_TOKENS = 3;
 
 const LONG_ENGINE = { slots: 8, firstTokenMs: 300, gapMs: 200 } as const;
 const LOOKUP_ENGINE = { slots: 4, firstTokenMs: 80, gapMs: 25 } as const;
 
 /**
- * Servers and zones as in the users' brief. The network's figures keep its proportions: at Sello
- * clients are slightly closer to a zone than the zones to one another; at Cymdeithas clients are
- * several times farther away than the zones from one another.
+ * Servers and zones as in the users' brief. The round trips keep its proportions: at Sello, clients
+ * are slightly closer to a zone than the zones are to each other; at Cymdeithas, clients are several
+ * times farther from a zone than the zones are from each other.
  */
 const SHAPES: Readonly<Record<string, DeploymentShape>> = {
   sello: {
--- a/tools/bench/load/_lib/listPhases/index.ts
+++ b/tools/bench/load/_lib/listPhases/index.ts
@@ -3,12 +3,12 @@
 import { PhaseFault } from '../../types';
 import type { Phase } from '../../types';
 
-/** Only the router itself needs these two: its goals compare them with 130%. */
-const OWN_PHASES: readonly string[] = ['idle', 'load-100'];
+/** Phases that only the router under test runs: its goals compare them with 130% load. */
+const OWN_POLICY_PHASES: readonly string[] = ['idle', 'load-100'];
 
 /**
- * Lists the phases of a policy. The idle system comes second, so that the cold start of the
- * processes does not count for it; the engine is lost last, because it does not come back.
+ * Lists the phases of a policy. The idle phase is second, so that it excludes the cold start of the
+ * processes; the loss of an engine is last, because the engine is not restarted.
  */
 export function listPhases(policy: PolicyName): readonly Phase[] {
   const phases: readonly Phase[] = [
@@ -20,5 +20,5 @@
     { name: 'engine-slow', longLoad: 0.9, fault: PhaseFault.Slow },
     { name: 'engine-lost', longLoad: 0.9, fault: PhaseFault.Lost },
   ];
-  return phases.filter(({ name }) => policy === OWN_POLICY || !OWN_PHASES.includes(name));
+  return phases.filter(({ name }) => policy === OWN_POLICY || !OWN_POLICY_PHASES.includes(name));
 }
--- a/tools/bench/load/_lib/measureDecisions/index.ts
+++ b/tools/bench/load/_lib/measureDecisions/index.ts
@@ -8,15 +8,15 @@
 import { createSeededRandomness } from '../createSeededRandomness';
 import { listWorkspaces } from '../planArrivals';
 
-/** Back ends in the measure of a decision's cost. */
-const BACK_ENDS = 600;
+/** Number of backend servers that a decision chooses from. */
+const BACKEND_SERVERS = 600;
 
 const DECISIONS = 20_000;
-const WARM_UP = 2000;
+const WARM_UP_DECISIONS = 2000;
 
-/** Prefixes of one prompt in the measure; as many servers hold each. */
+/** Number of prefixes of a prompt, and of servers that have all of them cached. */
 const PREFIXES = 16;
-const HOLDERS = 8;
+const SERVERS_WITH_PREFIXES = 8;
 
 const NS_PER_US = 1000;
 
@@ -45,11 +45,11 @@
   };
 }
 
-/** Measures decisions over 600 back ends with reports, peers' sends and cached prefixes. */
+/** Measures routing decisions over 600 backend servers with reports, peers' sends and caches. */
 export async function measureDecisions(shape: DeploymentShape): Promise<DecisionTimes> {
   const clock = createSystemClock();
   const load = createLoadView({ clock });
-  const sized = { ...shape, long: { ...shape.long, count: BACK_ENDS - shape.lookup.count } };
+  const sized = { ...shape, long: { ...shape.long, count: BACKEND_SERVERS - shape.lookup.count } };
   const configuration = buildBenchConfiguration(sized, new Map());
   const current = { version: 1, configuration, appliedAtMs: 0, appliedBy: '', comment: '' };
   const router = createRouter({
@@ -64,13 +64,13 @@
   configuration.backendServers.forEach((server, index) => {
     load.recordReport(buildReport(server, index % server.slots));
     load.recordPeerSends(`entry-${index % 7}`, [{ backendServer: server.name, running: 1 }]);
-    const held = index < HOLDERS ? prefixes : [];
+    const held = index < SERVERS_WITH_PREFIXES ? prefixes : [];
     load.recordCacheEvents(server.name, [{ sequence: 1, kind: 'stored', prefixes: held }]);
   });
   const histogram = build({ numberOfSignificantValueDigits: 3 });
   const { signal } = new AbortController();
   const names = listWorkspaces();
-  for (let index = 0; index < WARM_UP + DECISIONS; index += 1) {
+  for (let index = 0; index < WARM_UP_DECISIONS + DECISIONS; index += 1) {
     const demand: Demand = {
       requestId: `req-${index}`,
       workspace: names[index % names.length] ?? '',
@@ -86,11 +86,11 @@
     const startNs = process.hrtime.bigint();
     const slot = await router.acquireSlot(demand, signal);
     const tookNs = Number(process.hrtime.bigint() - startNs);
-    if (index >= WARM_UP) histogram.recordValue(Math.round(tookNs));
+    if (index >= WARM_UP_DECISIONS) histogram.recordValue(Math.round(tookNs));
     slot.map((value) => value.release({ outcome: 'finished', firstTokenMs: 50, outputTokens: 20 }));
   }
   return {
-    backEnds: BACK_ENDS,
+    backEnds: BACKEND_SERVERS,
     p50Us: histogram.getValueAtPercentile(50) / NS_PER_US,
     p99Us: histogram.getValueAtPercentile(99) / NS_PER_US,
   };
--- a/tools/bench/load/_lib/planArrivals/index.ts
+++ b/tools/bench/load/_lib/planArrivals/index.ts
@@ -3,30 +3,32 @@
 import type { Arrival, DeploymentShape, Phase } from '../../types';
 import { LOOKUP_TOKENS, MEAN_LONG_TOKENS } from '../findDeploymentShape';
 
-/** Ten workspaces, a few of them large: their parts of the offered work. */
-export const WORKSPACE_PARTS = [0.28, 0.2, 0.14, 0.08, 0.06, 0.06, 0.06, 0.05, 0.04, 0.03] as const;
+/** Shares of ten workspaces, a few of them large, in the offered work. */
+export const WORKSPACE_SHARES = [
+  0.28, 0.2, 0.14, 0.08, 0.06, 0.06, 0.06, 0.05, 0.04, 0.03,
+] as const;
 
-/** Part of the lookup servers' slots that lookups keep busy on average, at every load. */
+/** Share of the lookup servers' slots that lookups use on average, in every phase. */
 const LOOKUP_LOAD = 0.6;
 
-/** Documents of a workspace that share the start of their prompts. */
+/** Number of prompt prefixes that a workspace's documents share. */
 const TEMPLATES = 3;
 
-/** Part of a prefill that is left on average when the shared start is mostly cached. */
-const USUAL_PREFILL_PART = 0.35;
+/** Share of a prefill that remains on average when the shared prefix is mostly cached. */
+const MEAN_PREFILL_SHARE = 0.35;
 
 const SHARED_CUTS = 8;
 const MS_PER_SECOND = 1000;
 
 /** Lists the names of the bench's workspaces. */
 export function listWorkspaces(): readonly string[] {
-  return WORKSPACE_PARTS.map((_, index) => `workspace-${index + 1}`);
+  return WORKSPACE_SHARES.map((_, index) => `workspace-${index + 1}`);
 }
 
-/** Computes how many long requests a second the slots open to long work can serve. */
+/** Computes how many long requests per second the slots for long work can serve. */
 export function computeLongCapacity({ long }: DeploymentShape, lookupReserve: number): number {
   const slots = long.slots - Math.ceil(long.slots * lookupReserve);
-  const holdMs = long.firstTokenMs * USUAL_PREFILL_PART + long.gapMs * (MEAN_LONG_TOKENS - 1);
+  const holdMs = long.firstTokenMs * MEAN_PREFILL_SHARE + long.gapMs * (MEAN_LONG_TOKENS - 1);
   return (long.count * slots * MS_PER_SECOND) / holdMs;
 }
 
@@ -37,8 +39,8 @@
 
 function chooseWorkspace(randomness: Randomness): number {
   let rest = randomness.readFraction();
-  const index = WORKSPACE_PARTS.findIndex((part) => {
-    rest -= part;
+  const index = WORKSPACE_SHARES.findIndex((share) => {
+    rest -= share;
     return rest < 0;
   });
   return Math.max(0, index);
@@ -48,13 +50,13 @@
   return 0.7 + 0.06 * workspace;
 }
 
-/** Over all requests the lengths have the mean that the capacity is computed with. */
-const MEAN_LENGTH_FACTOR = WORKSPACE_PARTS.reduce<number>(
-  (sum, part, workspace) => sum + part * computeLengthFactor(workspace),
+/** Normalizes the lengths, so that their mean is the one used for the capacity. */
+const MEAN_LENGTH_FACTOR = WORKSPACE_SHARES.reduce<number>(
+  (sum, share, workspace) => sum + share * computeLengthFactor(workspace),
   0,
 );
 
-/** Draws an output length: each workspace has its own usual one, with a long tail. */
+/** Draws an output length around the workspace's typical length, with a long tail. */
 function drawOutputTokens(workspace: number, randomness: Randomness): number {
   const usual = (MEAN_LONG_TOKENS * computeLengthFactor(workspace)) / MEAN_LENGTH_FACTOR;
   const tail = -Math.log(1 - randomness.readFraction()) * 0.35;
@@ -62,7 +64,7 @@
 }
 
 /**
- * Plans the open arrivals of a phase: Poisson, the same for each policy.
+ * Plans the open-loop Poisson arrivals of a phase, which are the same for each policy.
  *
  * @param seconds - length of the phase
  */
--- a/tools/bench/load/_lib/renderPlot/index.ts
+++ b/tools/bench/load/_lib/renderPlot/index.ts
@@ -3,7 +3,7 @@
 import type { TopLevelSpec } from 'vega-lite';
 import type { BenchReport } from '../../types';
 
-/** Lists one row for each policy, phase and measure that is drawn. */
+/** Lists one row for each policy, phase and plotted measure. */
 function listRows({ policies }: BenchReport): readonly object[] {
   return Object.entries(policies).flatMap(([policy, phases]) =>
     phases.flatMap(({ phase, lookup, long, goodputTokensPerSecond }) => [
--- a/tools/bench/load/_lib/runBenchRequest/index.ts
+++ b/tools/bench/load/_lib/runBenchRequest/index.ts
@@ -5,8 +5,8 @@
 import type { Arrival, RequestRecord } from '../../types';
 import { TIMEOUTS_MS } from '../buildBenchConfiguration';
 import type { BenchEntry } from '../createBenchEntry';
-import { openLeg } from '../openLeg';
-import type { OpenLeg } from '../openLeg';
+import { startBenchAttempt } from '../startBenchAttempt';
+import type { StartedAttempt } from '../startBenchAttempt';
 
 /** Most attempts of one request. */
 const MAX_ATTEMPTS = 4;
@@ -14,11 +14,11 @@
 const MAX_OUTPUT_TOKENS = 256;
 const CHARACTERS_PER_TOKEN = 4;
 
-/** What a request of the bench runs on. */
+/** Context in which a request of the bench runs. */
 export interface BenchContext {
   readonly clock: Clock;
   readonly clientRoundTripMs: number;
-  /** Ends what still runs at the end of a phase. */
+  /** Aborts requests that still run at the end of a phase. */
   readonly signal: AbortSignal;
 }
 
@@ -40,7 +40,7 @@
   };
 }
 
-/** Runs one request as an entry does: slot, attempt, retry or resume, to its end. */
+/** Runs one request as an entry does: acquires a slot, starts attempts, retries and resumes. */
 export async function runBenchRequest(
   arrival: Arrival,
   entry: BenchEntry,
@@ -77,8 +77,8 @@
       crossZoneAttempts,
     };
   };
-  /** Names the end that came from outside, if any. */
-  const nameEnd = (): 'cut' | 'late' | null => {
+  /** Returns why the request was aborted from outside, or null. */
+  const readExternalEnd = (): 'cut' | 'late' | null => {
     if (signal.aborted) return 'cut';
     return late.signal.aborted ? 'late' : null;
   };
@@ -86,9 +86,14 @@
     attempts += 1;
     if (slot.server.availabilityZone !== entry.zone) crossZoneAttempts += 1;
     const streamId = `${arrival.id}.${attempts}`;
-    return openLeg(entry.engines, { request, streamId, prefixTokenIds: tokenIds }, slot, legSignal);
+    return startBenchAttempt(
+      entry.engines,
+      { request, streamId, prefixTokenIds: tokenIds },
+      slot,
+      legSignal,
+    );
   };
-  /** Notes a failed attempt; a server that does not answer a probe is dead to all. */
+  /** Records a failed attempt; a server that does not answer a probe is suspected by all entries. */
   const recordFailure = async ({ server }: Slot, error: EngineError): Promise<void> => {
     excluded.push(server.name);
     if (error.kind === 'broken' || (await entry.engines.probe(server)).isErr()) {
@@ -96,8 +101,8 @@
       entry.health.recordSuspicion({ ...evidence, backendServer: server.name });
     }
   };
-  /** Reads the rest of a stream; gives the error that ended it early, if any. */
-  const readRest = async (leg: OpenLeg): Promise<EngineError | null> => {
+  /** Reads the rest of a stream; returns the error that ended it early, or null. */
+  const readRest = async (leg: StartedAttempt): Promise<EngineError | null> => {
     tokenIds.push(...leg.first.tokenIds);
     let { finishReason } = leg.first;
     while (finishReason === null) {
@@ -136,7 +141,7 @@
       },
     );
     const lost = hedged.isErr() ? hedged.error : null;
-    if (lost?.kind === 'refused') return buildRecord(nameEnd() ?? 'refused');
+    if (lost?.kind === 'refused') return buildRecord(readExternalEnd() ?? 'refused');
     const slot = hedged.isOk() ? hedged.value.slot : lost?.slot;
     if (slot === undefined) return buildRecord('failed');
     if (firstTokenMs === 0 && hedged.isOk()) {
@@ -153,7 +158,7 @@
       slot.release({ outcome: 'finished', ...measured });
       return buildRecord('finished');
     }
-    const end = nameEnd();
+    const end = readExternalEnd();
     if (end !== null) {
       slot.release({ outcome: 'cancelled', ...measured });
       return buildRecord(end);
--- a/tools/bench/load/_lib/runPhase/index.ts
+++ b/tools/bench/load/_lib/runPhase/index.ts
@@ -5,12 +5,12 @@
 import type { BenchEntry } from '../createBenchEntry';
 import { runBenchRequest } from '../runBenchRequest';
 
-/** Time after the last arrival in which running requests may end. */
+/** Time after the end of the window in which running requests may finish. */
 const DRAIN_MS = 3000;
 
 const MS_PER_SECOND = 1000;
 
-/** Records of a phase, with the window in which its figures are taken. */
+/** Records of a phase, with the window of measurement. */
 export interface PhaseRecords {
   readonly records: readonly RequestRecord[];
   readonly windowStartMs: number;
@@ -20,12 +20,12 @@
 /** Options of a phase. */
 export interface PhaseOptions {
   readonly seconds: number;
-  /** Start of the phase that is not measured: queues and batches fill. */
+  /** Length of the unmeasured start of the phase, in which queues and batches fill. */
   readonly warmUpSeconds: number;
   readonly clientRoundTripMs: number;
 }
 
-/** Sends the arrivals at their times, whatever becomes of the earlier ones. */
+/** Sends each request at its arrival time, whether or not earlier ones have finished (open loop). */
 export async function runPhase(
   arrivals: readonly Arrival[],
   entries: readonly BenchEntry[],
@@ -33,7 +33,7 @@
   options: PhaseOptions,
 ): Promise<PhaseRecords> {
   const end = new AbortController();
-  // Every running request listens to it.
+  // Every running request adds a listener to the signal.
   setMaxListeners(0, end.signal);
   const { clientRoundTripMs } = options;
   const context = { clock, clientRoundTripMs, signal: end.signal };
--- a/tools/bench/load/_lib/runPolicy/index.ts
+++ b/tools/bench/load/_lib/runPolicy/index.ts
@@ -66,7 +66,7 @@
   return [...name].reduce((sum, character) => (sum * 31 + character.charCodeAt(0)) % 997, 0);
 }
 
-/** Runs all phases under one policy, on engines of its own; gives the figures of each. */
+/** Runs all phases under one policy on separate engines; returns the metrics of each phase. */
 export async function runPolicy(
   shape: DeploymentShape,
   policy: PolicyName,
@@ -94,16 +94,16 @@
     }),
   );
   const stopExchange = startExchange(entries, clock);
-  const troubled = host.urls.get(`${shape.long.prefix}-1`) ?? '';
+  const faultyUrl = host.urls.get(`${shape.long.prefix}-1`) ?? '';
   const startFault: Readonly<Record<PhaseFault, () => () => void>> = {
     none: () => () => {},
     slow: () => {
-      sendControl(troubled, 'slow', { multiplier: SLOW_MULTIPLIER });
-      return () => sendControl(troubled, 'slow', { multiplier: 1 });
+      sendControl(faultyUrl, 'slow', { multiplier: SLOW_MULTIPLIER });
+      return () => sendControl(faultyUrl, 'slow', { multiplier: 1 });
     },
     lost: () => {
       const atMs = ((options.seconds + options.warmUpSeconds) / 2) * 1000;
-      return clock.startTimer(atMs, () => sendControl(troubled, 'fault/kill', {}));
+      return clock.startTimer(atMs, () => sendControl(faultyUrl, 'fault/kill', {}));
     },
   };
   const metrics: PhaseMetrics[] = [];
--- a/tools/bench/load/_lib/runPolicyHost/index.ts
+++ b/tools/bench/load/_lib/runPolicyHost/index.ts
@@ -15,7 +15,7 @@
   readonly warmUpSeconds: number;
 }
 
-/** Runs one policy in a process of its own, so that two may run side by side. */
+/** Runs one policy in a separate process, so that two policies can run in parallel. */
 export async function runPolicyHost(options: PolicyHostOptions): Promise<readonly PhaseMetrics[]> {
   const args = ['--import=tsx', HOST_PATH, JSON.stringify(options)];
   const { stdout } = await promisify(execFile)(process.execPath, args);
--- a/tools/bench/load/_lib/startEngineHost/index.ts
+++ b/tools/bench/load/_lib/startEngineHost/index.ts
@@ -5,14 +5,14 @@
 
 const HOST_PATH = fileURLToPath(new URL('../../engineHost/main.ts', import.meta.url));
 
-/** Engines in a process of their own. */
+/** Stand-in engines in a separate process. */
 export interface EngineHost {
   /** Base URLs by engine name. */
   readonly urls: ReadonlyMap<string, string>;
   stop(): Promise<void>;
 }
 
-/** Starts one process with stand-in engines, so that they do not share the event loop of the VMs. */
+/** Starts stand-in engines in a separate process, so that they don't share the VMs' event loop. */
 export async function startEngineHost(
   options: readonly StandInEngineOptions[],
 ): Promise<EngineHost> {
--- a/tools/bench/load/_lib/startExchange/index.ts
+++ b/tools/bench/load/_lib/startExchange/index.ts
@@ -4,7 +4,7 @@
 /** Time between two exchanges of news among entry VMs. */
 const EXCHANGE_INTERVAL_MS = 500;
 
-/** Carries reports, sends and suspicions between entries as the peers' exchange does. */
+/** Exchanges load reports, sends and suspicions between entries as the peers' exchange does. */
 export function startExchange(entries: readonly BenchEntry[], clock: Clock): () => void {
   let cancelTimer = (): void => {};
   const exchange = (): void => {
--- a/tools/bench/load/prediction/PredictionCommand/index.ts
+++ b/tools/bench/load/prediction/PredictionCommand/index.ts
@@ -8,10 +8,13 @@
 const MAX_TOKENS = 4096;
 const CAPACITY_TOKENS = 16_384;
 
-/** Arrivals that would keep about 14 generations of 900 tokens running: more than fit by limit. */
+/**
+ * Steps between arrivals: keeps about 14 generations of 900 tokens running, more than fit with
+ * reservations of the full limit.
+ */
 const GAP_STEPS = 65;
 
-/** Compares ways to predict the output length by wasted reservation and refusals. */
+/** Compares predictors of the output length by wasted reservation and refusals. */
 export class PredictionCommand extends Command {
   static override paths = [['prediction']];
 
--- a/tools/bench/load/prediction/_lib/predictBuckets/index.ts
+++ b/tools/bench/load/prediction/_lib/predictFromBuckets/index.ts
@@ -1,19 +1,19 @@
-/** A bucket of lengths, as the paper's bucketing keeps it. */
+/** A bucket of lengths, as in the paper cited at `computeBuckets`. */
 export interface Bucket {
-  /** The largest length in it: what a choice of it reserves. */
+  /** Largest length in the bucket; reserved if the bucket is chosen. */
   readonly representative: number;
-  /** Mean length in it, by significance. */
+  /** Mean length in the bucket, weighted by significance. */
   readonly mean: number;
-  /** Part of all significance, 0 to 1. */
+  /** Share of the bucket in the total significance, 0 to 1. */
   readonly probability: number;
 }
 
-/** Buckets tried at most, as in the paper's evaluation. */
+/** Largest number of buckets tried, as in the paper's evaluation. */
 const MAX_BUCKETS = 10;
 
 interface WeightedLength {
   readonly length: number;
-  /** Newer lengths count more: the paper uses the number of the task. */
+  /** Weight, larger for newer lengths: the paper uses the number of the task. */
   readonly significance: number;
 }
 
@@ -27,7 +27,7 @@
   };
 }
 
-/** Splits sorted records at evenly spaced values; empty buckets are left out. */
+/** Splits sorted records at evenly spaced values; omits empty buckets. */
 function splitEvenly(records: readonly WeightedLength[], count: number): readonly Bucket[] {
   const largest = records.at(-1)?.length ?? 0;
   const total = records.reduce((sum, { significance }) => sum + significance, 0);
@@ -40,7 +40,7 @@
     .map((part) => buildBucket(part, total));
 }
 
-/** Computes the expected waste of a generation over the buckets it may fall in and be given. */
+/** Computes the expected waste over all pairs of a length's bucket and the bucket reserved first. */
 function computeExpectedWaste(buckets: readonly Bucket[]): number {
   const computeWaste = (fallsIn: number, given: number): number => {
     const bucket = buckets[given];
@@ -85,10 +85,14 @@
 }
 
 /**
- * Predicts a length by a bucket drawn by its probability among those above `reserved`; beyond the
- * largest one, twice what was reserved.
+ * Predicts a length: draws a bucket by its probability among those above `reserved`, or doubles
+ * `reserved` if none is above it.
  */
-export function predictBuckets(lengths: readonly number[], reserved: number, draw: number): number {
+export function predictFromBuckets(
+  lengths: readonly number[],
+  reserved: number,
+  draw: number,
+): number {
   const buckets = computeBuckets(lengths).filter(({ representative }) => representative > reserved);
   const total = buckets.reduce((sum, { probability }) => sum + probability, 0);
   let rest = draw * total;
--- a/tools/bench/load/prediction/_lib/simulateReservations/index.ts
+++ b/tools/bench/load/prediction/_lib/simulateReservations/index.ts
@@ -7,7 +7,7 @@
 export interface ReservationOptions {
   readonly lengths: readonly number[];
   readonly maxTokens: number;
-  /** Tokens that the memory of the engine holds. */
+  /** Number of tokens that fit into the engine's memory. */
   readonly capacityTokens: number;
   /** Steps (one token each) between two arrivals, on average. */
   readonly gapSteps: number;
@@ -28,7 +28,7 @@
   readonly evicted: number;
 }
 
-const START: RunState = {
+const INITIAL_STATE: RunState = {
   running: [],
   samples: { tokens: [] },
   reservedTime: 0,
@@ -41,12 +41,12 @@
   running.reduce((sum, { reserved }) => sum + reserved, 0);
 
 /**
- * Simulates an engine whose memory is reserved by prediction.
+ * Simulates an engine whose memory is reserved by predicted length.
  *
  * A request whose reservation does not fit is refused. A generation that outgrows its reservation
- * gets more if there is room; else it is evicted, and what was reserved for it was for nothing.
- * Used is what finished generations held, over time; it grows with each token, so that even a
- * reservation of exactly the right length is half unused.
+ * gets a larger one if that fits; otherwise it is evicted, and its reservation was wasted. Only
+ * tokens held over time by finished generations count as used. Since a generation grows token by
+ * token, even a reservation of exactly the right length is half unused.
  */
 export function simulateReservations(
   predictor: Predictor,
@@ -74,8 +74,8 @@
     }
     return { ...state, running: [...others, { ...generation, reserved }] };
   };
-  /** Lets time pass until the next arrival, in steps of one token for each generation. */
-  const passSteps = (before: RunState, steps: number): RunState => {
+  /** Simulates the time until the next arrival, in steps of one token for each generation. */
+  const simulateSteps = (before: RunState, steps: number): RunState => {
     let state = before;
     for (let step = 0; step < steps && state.running.length > 0; step += 1) {
       const grown = state.running.map((one) => ({ ...one, held: one.held + 1 }));
@@ -95,9 +95,9 @@
 
   const end = lengths.reduce((state, length) => {
     const steps = Math.round(-Math.log(1 - randomness.readFraction()) * gapSteps);
-    return addArrival(passSteps(state, steps), length);
-  }, START);
-  const done = passSteps(end, maxTokens);
+    return addArrival(simulateSteps(state, steps), length);
+  }, INITIAL_STATE);
+  const done = simulateSteps(end, maxTokens);
   return {
     predictor: predictor.name,
     pattern,
--- a/tools/bench/load/prediction/types/ReservationFigures.ts
+++ b/tools/bench/load/prediction/types/ReservationFigures.ts
@@ -1,11 +1,11 @@
-/** Figures of one way under one pattern of lengths. */
+/** Figures of one predictor under one pattern of lengths. */
 export interface ReservationFigures {
   readonly predictor: string;
   readonly pattern: string;
-  /** Part of the reserved token time that was not used, 0 to 1. */
+  /** Unused share of the reserved tokens over time, 0 to 1. */
   readonly wasted: number;
-  /** Part of the requests refused because their reservation did not fit, 0 to 1. */
+  /** Share of the requests refused because their reservation did not fit, 0 to 1. */
   readonly refused: number;
-  /** Part of the generations that outgrew their reservation and found no room: recomputed. */
+  /** Share of the requests evicted, to be recomputed, because a larger reservation did not fit. */
   readonly evicted: number;
 }
--- a/tools/bench/load/types/Arrival.ts
+++ b/tools/bench/load/types/Arrival.ts
@@ -1,4 +1,4 @@
-/** One request of the bench, planned before the run. */
+/** One request of the bench, scheduled before the run. */
 export interface Arrival {
   readonly id: string;
   readonly atMs: number;
--- a/tools/bench/load/types/BenchReport.ts
+++ b/tools/bench/load/types/BenchReport.ts
@@ -1,6 +1,6 @@
 import type { PhaseMetrics } from './PhaseMetrics';
 
-/** A goal with what was measured for it. */
+/** A goal with the measured value. */
 export interface GoalResult {
   readonly goal: string;
   readonly measured: number;
@@ -8,7 +8,7 @@
   readonly isMet: boolean;
 }
 
-/** Figures of all policies. */
+/** Report of the bench: figures of all policies. */
 export interface BenchReport {
   readonly deployment: string;
   readonly seed: number;
--- a/tools/bench/load/types/DeploymentShape.ts
+++ b/tools/bench/load/types/DeploymentShape.ts
@@ -1,4 +1,4 @@
-/** Backend servers of one kind, with the figures of their stand-in engines (scaled time). */
+/** Backend servers of one kind, with the settings of their stand-in engines (in scaled time). */
 export interface ServerGroup {
   readonly prefix: string;
   readonly count: number;
@@ -8,7 +8,7 @@
   readonly gapMs: number;
 }
 
-/** Sizes of a deployment as its users gave them, with time scaled down. */
+/** Sizes of a deployment as specified by its users, with time scaled down. */
 export interface DeploymentShape {
   readonly name: string;
   readonly zones: readonly string[];
--- a/tools/bench/load/types/Phase.ts
+++ b/tools/bench/load/types/Phase.ts
@@ -1,13 +1,13 @@
-/** Faults of a phase. */
+/** Fault of an engine during a phase. */
 export const PhaseFault = { None: 'none', Lost: 'lost', Slow: 'slow' } as const;
 
 /** One of the faults. */
 export type PhaseFault = (typeof PhaseFault)[keyof typeof PhaseFault];
 
-/** A part of the run with one load. */
+/** A phase of the run, with constant load. */
 export interface Phase {
   readonly name: string;
-  /** Offered long work as a part of what the deployment's slots for long work can serve. */
+  /** Offered long work relative to the capacity of the deployment's slots for long work. */
   readonly longLoad: number;
   readonly fault: PhaseFault;
 }
--- a/tools/bench/load/types/PhaseMetrics.ts
+++ b/tools/bench/load/types/PhaseMetrics.ts
@@ -1,4 +1,4 @@
-/** Times of one class of work, in milliseconds; 0 without any. */
+/** Counts and times in milliseconds of one class of work; times are 0 without finished requests. */
 export interface ClassTimes {
   readonly count: number;
   readonly firstTokenP50Ms: number;
@@ -15,12 +15,12 @@
   readonly phase: string;
   readonly lookup: ClassTimes;
   readonly long: ClassTimes;
-  /** Tokens of long answers finished in the window, a second. */
+  /** Tokens of long answers that finished in the window, per second. */
   readonly goodputTokensPerSecond: number;
-  /** Jain index over workspaces of long work got, relative to the max-min fair share. */
+  /** Jain index of the long work served per workspace, relative to its max-min fair share. */
   readonly fairness: number;
   readonly wastedTokens: number;
-  /** Part of attempts that ran in another availability zone than their entry. */
+  /** Share of attempts that ran in another availability zone than their entry. */
   readonly crossZoneShare: number;
   /** Requests that needed more than one attempt. */
   readonly resumed: number;
--- a/tools/bench/load/types/RequestRecord.ts
+++ b/tools/bench/load/types/RequestRecord.ts
@@ -1,16 +1,16 @@
-/** What became of one request. */
+/** Outcome of one request. */
 export interface RequestRecord {
   readonly workspace: string;
   readonly isLong: boolean;
   readonly arrivedMs: number;
   readonly endedMs: number;
-  /** `cut`: it still ran when the phase ended; `late`: no first token by the deadline. */
+  /** `cut`: still running at the end of the phase; `late`: no first token by the deadline. */
   readonly outcome: 'finished' | 'refused' | 'late' | 'failed' | 'cut';
-  /** As the client sees them, network included. */
+  /** Times as the client measures them, including the network. */
   readonly firstTokenMs: number;
   readonly completionMs: number;
   readonly tokens: number;
-  /** Tokens generated for attempts whose answer no caller got. */
+  /** Tokens generated for a request whose answer was not delivered completely. */
   readonly wastedTokens: number;
   readonly attempts: number;
   readonly crossZoneAttempts: number;
--- a/tools/bench/membership/MembershipCommand.ts
+++ b/tools/bench/membership/MembershipCommand.ts
@@ -3,7 +3,7 @@
 import { measureRegion } from './measureRegion';
 import type { RegionSize } from './measureRegion';
 
-/** Membership alone, then with the brief's servers, then with the two-year size's third. */
+/** Membership alone, then with the brief's servers, then with a third of the two-year size. */
 const SIZES: readonly RegionSize[] = [
   { vms: 3, servers: 0 },
   { vms: 6, servers: 0 },
@@ -19,7 +19,7 @@
   { vms: 113, servers: 200 },
 ];
 
-/** Measures the bytes of news between entries at several sizes. */
+/** Measures the bytes of the gossip between entries at several region sizes. */
 export class MembershipCommand extends Command {
   static override paths = [['membership']];
 
--- a/tools/bench/membership/measureExchangeOverhead/index.ts
+++ b/tools/bench/membership/measureExchangeOverhead/index.ts
@@ -4,7 +4,7 @@
 import { createSystemClock } from '../../../../src/adapters/system';
 import type { News } from '../../../../src/domain/membership';
 
-/** Bytes on the wire beside the news itself, for one exchange. */
+/** Bytes on the wire of one exchange, excluding the news itself. */
 export interface ExchangeOverhead {
   readonly requestBytes: number;
   readonly answerBytes: number;
@@ -36,7 +36,7 @@
 };
 const NEWS_BYTES = 7;
 
-/** Measures it on loopback, through a relay that counts bytes, over many exchanges of one connection. */
+/** Measures the overhead on loopback with a byte-counting proxy, over many exchanges. */
 export async function measureExchangeOverhead(): Promise<ExchangeOverhead> {
   const services = {
     handleNews: () => NEWS,
--- a/tools/bench/membership/measureRegion/index.ts
+++ b/tools/bench/membership/measureRegion/index.ts
@@ -10,11 +10,11 @@
   readonly servers: number;
 }
 
-/** What one VM sent on average, counting answers to the one that answers. */
+/** Average traffic sent by one VM; an answer counts for the VM that sends it. */
 export interface RegionTraffic extends RegionSize {
   readonly bytesPerSecond: number;
   readonly messagesPerSecond: number;
-  /** VMs that the one which hears the fewest hears. */
+  /** Smallest number of VMs that any VM hears. */
   readonly heardLeast: number;
 }
 
@@ -72,13 +72,13 @@
   const before = { bytes: region.countBytes(), messages: region.countMessages() };
   await runSteps(warmUpSteps, STEPS);
   const seconds = (STEPS * STEP_MS) / MS_PER_S;
-  const perVm = (total: number): number => Math.round(total / seconds / size.vms);
+  const computePerVmRate = (total: number): number => Math.round(total / seconds / size.vms);
   const heard = vms.map(({ exchange }) => exchange.readFreshness().vmsHeard);
   region.stop();
   return {
     ...size,
-    bytesPerSecond: perVm(region.countBytes() - before.bytes),
-    messagesPerSecond: perVm(region.countMessages() - before.messages),
+    bytesPerSecond: computePerVmRate(region.countBytes() - before.bytes),
+    messagesPerSecond: computePerVmRate(region.countMessages() - before.messages),
     heardLeast: Math.min(...heard),
   };
 }
--- a/tools/bench/relay/RelayCommand.ts
+++ b/tools/bench/relay/RelayCommand.ts
@@ -2,13 +2,13 @@
 import { parseNumberFlag } from '../../../standins/_lib/parseNumberFlag';
 import { runRelayBench } from './runRelayBench';
 
-/** Measures what relaying costs beside a direct connection to the engine. */
+/** Measures the cost of relaying, compared with a direct connection to the engine. */
 export class RelayCommand extends Command {
   static override paths = [['relay']];
 
   static override usage = Command.Usage({
-    description: 'Measures tokens a second and processor time of an entry beside the engine alone.',
-    details: 'The entry is a process of its own. The last line is one JSON object.',
+    description: 'Compares tokens per second and processor time of an entry with the engine alone.',
+    details: 'The entry is a separate process. The last line is one JSON object.',
     examples: [['100 streams of 300 tokens', '$0 relay --streams 100 --tokens 300 --gap-ms 10']],
   });
 
--- a/tools/bench/relay/_lib/measureRound/index.ts
+++ b/tools/bench/relay/_lib/measureRound/index.ts
@@ -1,10 +1,10 @@
-/** Where a round's requests go. */
+/** Target of a round's requests. */
 export interface RoundTarget {
   readonly url: string;
   readonly key: string;
 }
 
-/** What a round asks for. */
+/** Load of a round. */
 export interface RelayLoad {
   readonly streams: number;
   /** Tokens of each stream. */
@@ -13,7 +13,7 @@
   readonly gapMs: number;
 }
 
-/** What the callers of a round saw. */
+/** Figures of a round, as its callers measured them. */
 export interface RoundReport {
   readonly tokens: number;
   readonly tokensPerS: number;
@@ -29,7 +29,7 @@
   const response = await fetch(`${target.url}/v1/chat/completions`, {
     method: 'POST',
     headers: { Authorization: `Bearer ${target.key}`, 'Content-Type': 'application/json' },
-    // The fields beside OpenAI's are those that the engine itself needs.
+    // The engine itself needs the fields that are not part of OpenAI's format.
     body: JSON.stringify({
       model: 'review',
       stream: true,
@@ -44,7 +44,7 @@
   return { bytes: text.length, tokens: text.split('"token_ids":[').length - 1 };
 };
 
-/** Runs one round of streams at the same time. */
+/** Runs one round of concurrent streams. */
 export const measureRound = async (target: RoundTarget, load: RelayLoad): Promise<RoundReport> => {
   const startedMs = performance.now();
   const streams = await Promise.all(
--- a/tools/bench/relay/runRelayBench/index.ts
+++ b/tools/bench/relay/runRelayBench/index.ts
@@ -11,7 +11,7 @@
 import { readProcessUsage } from '../../slopes/_lib/readProcessUsage';
 import { measureRound, type RelayLoad, type RoundReport } from '../_lib/measureRound';
 
-/** Figures of one run; the two sides ran one after the other in the same minute. */
+/** Figures of one run; the rounds at the engine and through the entry ran in succession. */
 export interface RelayReport extends RelayLoad {
   readonly direct: RoundReport;
   readonly entry: RoundReport & {
@@ -22,7 +22,7 @@
 
 const KEY = 'relay-bench-key';
 
-/** More than any round asks for: admission is not what is measured. */
+/** More than any round needs, so that admission control does not limit the streams. */
 const SLOTS = 2000;
 
 const BYTES_PER_MB = 1_048_576;
@@ -41,7 +41,7 @@
   });
 };
 
-/** Runs a warm-up and then a measured round, at the engine alone and through an entry. */
+/** Runs a warm-up round, then a measured round directly at the engine and one through an entry. */
 export const runRelayBench = async (load: RelayLoad): Promise<RelayReport> => {
   const platform = await createStandInPlatform();
   const backends = await startBackends(buildConfiguration(), {
--- a/tools/bench/resume/ResumeCommand.ts
+++ b/tools/bench/resume/ResumeCommand.ts
@@ -17,20 +17,20 @@
 const ALL_SCENARIOS = Object.values(BreakKind);
 const ALL_MODES = Object.values(SurvivalMode);
 
-/** `bench resume`: breaks generations and measures how they go on. */
+/** `bench resume`: breaks running generations and measures how they resume. */
 export class ResumeCommand extends Command {
   static override paths = [['resume']];
 
   static override usage = Command.Usage({
-    description: 'Break running generations and measure how they go on.',
+    description: 'Break running generations and measure how they resume.',
     details: `
       Kills and freezes engines and loses a zone, in both survival modes, and compares with callers
-      that begin again from the start. The last line is one JSON object. Exit code 1: a generation
+      that start over from the beginning. The last line is one JSON object. Exit code 1: a generation
       was lost, or a token was missing, repeated or mixed.
     `,
     examples: [
       ['The whole bench', '$0 resume'],
-      ['A short look at one scenario', '$0 resume --generations 20 --scenarios kill'],
+      ['A short run of one scenario', '$0 resume --generations 20 --scenarios kill'],
     ],
   });
 
--- a/tools/bench/resume/_lib/breakGenerations/index.ts
+++ b/tools/bench/resume/_lib/breakGenerations/index.ts
@@ -8,7 +8,7 @@
   AttemptState.Decoding,
 ]);
 
-/** Finds the engine of the caller's newest attempt: older ones may stand frozen elsewhere. */
+/** Finds the engine of the caller's latest attempt: earlier ones may be frozen on other engines. */
 function findEngine(system: BenchSystem, caller: BenchCaller): StandInEngine | undefined {
   const prefix = caller.readStreamPrefix();
   const attempts = [...system.backends.engines.values()].flatMap((engine) =>
@@ -42,16 +42,16 @@
   readonly callers: readonly BenchCaller[];
 }
 
-type Breaker = (system: BenchSystem, target: Target) => Promise<void>;
+type FaultInjector = (system: BenchSystem, target: Target) => Promise<void>;
 
-const applyToEngine =
-  (fault: FaultKind): Breaker =>
+const createEngineFaultInjector =
+  (fault: FaultKind): FaultInjector =>
   async (_system, { engine, callers }) => {
     listCallersAt([engine], callers).forEach((caller) => caller.recordBreak());
     engine.applyFault(fault);
   };
 
-const loseZone: Breaker = async (system, { engine, callers }) => {
+const killZone: FaultInjector = async (system, { engine, callers }) => {
   const servers = system.backends.configuration.backendServers;
   const zone = servers.find(({ name }) => name === engine.name)?.availabilityZone ?? '';
   const names = servers.filter((one) => one.availabilityZone === zone).map(({ name }) => name);
@@ -70,13 +70,18 @@
   await ended;
 };
 
-const BREAKERS: Readonly<Record<BreakKind, Breaker>> = {
-  [BreakKind.Kill]: applyToEngine(FaultKind.Kill),
-  [BreakKind.Freeze]: applyToEngine(FaultKind.Freeze),
-  [BreakKind.Zone]: loseZone,
+const FAULT_INJECTORS: Readonly<Record<BreakKind, FaultInjector>> = {
+  [BreakKind.Kill]: createEngineFaultInjector(FaultKind.Kill),
+  [BreakKind.Freeze]: createEngineFaultInjector(FaultKind.Freeze),
+  [BreakKind.Zone]: killZone,
 };
 
-/** Breaks what serves one caller, with all others that it serves; false if it serves no more. */
+/**
+ * Injects a fault into the engine, or its zone, that serves one caller; this breaks the generations
+ * of all callers there.
+ *
+ * @returns false if no engine serves the caller any more
+ */
 export async function breakGenerations(
   kind: BreakKind,
   system: BenchSystem,
@@ -85,11 +90,11 @@
 ): Promise<boolean> {
   const engine = findEngine(system, caller);
   if (engine === undefined) return false;
-  await BREAKERS[kind](system, { engine, callers });
+  await FAULT_INJECTORS[kind](system, { engine, callers });
   return true;
 }
 
-/** Brings back everything that was broken. */
+/** Restarts and unfreezes the engines and replaces the killed entries. */
 export async function restoreSystem(system: BenchSystem): Promise<void> {
   const engines = [...system.backends.engines.values()];
   await Promise.all(engines.map((engine) => engine.restart()));
--- a/tools/bench/resume/_lib/buildBenchConfiguration/index.ts
+++ b/tools/bench/resume/_lib/buildBenchConfiguration/index.ts
@@ -13,7 +13,7 @@
 /** Service that the bench's callers ask for. */
 export const BENCH_SERVICE = 'review';
 
-/** Model behind it. */
+/** Model of that service. */
 export const BENCH_MODEL = 'review-large';
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'];
@@ -35,7 +35,7 @@
  * Builds the bench's configuration: three zones of three engines, one workspace.
  *
  * The retry budget is 1: each round breaks up to a third of the running generations, far more than
- * the budget of a deployment is meant for, and the bench measures the resume, not the refusal.
+ * a deployment's retry budget allows, and the bench measures resumes, not refusals.
  */
 export function buildBenchConfiguration(survival: SurvivalMode): Configuration {
   return {
--- a/tools/bench/resume/_lib/buildCallerRequests/index.ts
+++ b/tools/bench/resume/_lib/buildCallerRequests/index.ts
@@ -13,7 +13,8 @@
 }
 
 /**
- * Builds the requests of one round: prompts of their own, 120 to 200 tokens, first URLs in turn.
+ * Builds the requests of one round: each has its own prompt, asks for 120 to 200 tokens, and starts
+ * at another URL, in turn.
  *
  * @param urls - base URLs of all entries or engines
  */
--- a/tools/bench/resume/_lib/buildResumeReport/index.ts
+++ b/tools/bench/resume/_lib/buildResumeReport/index.ts
@@ -1,7 +1,7 @@
 import type { ResumeReport, ScenarioReport } from '../../types';
 import { computeLatencySummary } from '../computeLatencySummary';
 
-/** A scenario's figures with the times from which they were computed. */
+/** Figures of a scenario, with the resume times that they were computed from. */
 export interface MeasuredScenario {
   readonly report: ScenarioReport;
   readonly resumeMs: readonly number[];
@@ -14,7 +14,7 @@
 const sumOf = (reports: readonly ScenarioReport[], name: CountName): number =>
   reports.reduce((total, report) => total + report[name], 0);
 
-/** Mean of the ratios, each scenario weighed by its broken generations. */
+/** Computes the mean of the ratios, weighted by the broken generations of each scenario. */
 function computeMeanRatio(reports: readonly ScenarioReport[]): number {
   const total = reports.reduce(
     (sum, report) => sum + report.extraTokensRatio * report.generations,
@@ -23,7 +23,7 @@
   return Math.round((total / Math.max(1, sumOf(reports, 'generations'))) * 10_000) / 10_000;
 }
 
-/** Builds the bench's last line; the counts leave the baseline out. */
+/** Builds the report of the bench; the counts exclude the baseline. */
 export function buildResumeReport(measured: readonly MeasuredScenario[]): ResumeReport {
   const isBaseline = ({ report }: MeasuredScenario) => report.mode === BASELINE_MODE;
   const own = measured.filter((one) => !isBaseline(one));
--- a/tools/bench/resume/_lib/buildScenarioReport/index.ts
+++ b/tools/bench/resume/_lib/buildScenarioReport/index.ts
@@ -3,7 +3,7 @@
 import { computeLatencySummary } from '../computeLatencySummary';
 import type { EndedCaller } from '../runRounds';
 
-/** Sums what engines generated, by the generation in the stream's id. */
+/** Sums the tokens that engines generated, by the generation that the stream id names. */
 function countGeneratedTokens(engines: readonly StandInEngine[]): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   engines
@@ -27,7 +27,7 @@
   );
 };
 
-/** Computes the part of the delivered tokens that was generated beyond them. */
+/** Computes the ratio of tokens generated but not delivered to delivered tokens. */
 export function computeExtraRatio(
   broken: readonly EndedCaller[],
   engines: readonly StandInEngine[],
@@ -50,7 +50,7 @@
     ...labels,
     generations: broken.length,
     started: ended.length,
-    lost: ended.filter(({ result }) => !result.whole).length,
+    lost: ended.filter(({ result }) => !result.isComplete).length,
     missing: sum(chains.map(({ missing }) => missing)),
     repeated: sum(chains.map(({ repeated }) => repeated)),
     mixed: sum(chains.map(({ mixed }) => mixed)),
--- a/tools/bench/resume/_lib/computeLatencySummary/index.ts
+++ b/tools/bench/resume/_lib/computeLatencySummary/index.ts
@@ -3,7 +3,7 @@
 
 const US_PER_MS = 1000;
 
-/** Computes percentiles of times in milliseconds; all 0 if there are none. */
+/** Computes percentiles of times in milliseconds; all are 0 for an empty list. */
 export function computeLatencySummary(timesMs: readonly number[]): LatencySummary {
   const histogram = build({ numberOfSignificantValueDigits: 3 });
   timesMs.forEach((timeMs) => histogram.recordValue(Math.round(timeMs * US_PER_MS)));
--- a/tools/bench/resume/_lib/createBreakMeter/index.ts
+++ b/tools/bench/resume/_lib/createBreakMeter/index.ts
@@ -1,11 +1,11 @@
 import { createStreamMeter } from '../../../../embedded';
 import type { ChainReport } from '../../../../../standins/chain';
 
-/** Measures how long a caller's stream stands still after each break. */
+/** Measures how long a caller's stream pauses after each break. */
 export interface BreakMeter {
-  /** Takes a text and the number of the connection that carried it. */
+  /** Records the next text and the number of the connection that delivered it. */
   recordText(text: string, connection: number): void;
-  /** Notes that what serves the stream broke now. */
+  /** Records that the entry or engine that serves the stream fails now. */
   recordBreak(): void;
   countBreaks(): number;
   countTokens(): number;
@@ -13,7 +13,7 @@
   waitForTokens(count: number): Promise<boolean>;
   stop(): void;
   listResumeMs(): readonly number[];
-  /** Times between tokens while nothing was broken. */
+  /** Lists the times between tokens while nothing was broken, in milliseconds. */
   listGapsMs(): readonly number[];
   buildReport(expectedTokens: number): ChainReport;
 }
@@ -24,8 +24,8 @@
 }
 
 /**
- * Creates a meter. The stream continues with the first token that another attempt or another
- * connection brings: tokens that were under way at the break do not count.
+ * Creates a meter. The stream has resumed at the first token of another attempt or connection:
+ * tokens in flight at the break do not count.
  *
  * @param promptText - as for `checkChain`
  */
@@ -37,23 +37,23 @@
   const gapsMs: number[] = [];
   let lastMs: number | null = null;
   let breaks = 0;
-  let open: readonly { readonly atMs: number; readonly source: string }[] = [];
+  let openBreaks: readonly { readonly atMs: number; readonly source: string }[] = [];
   let waiters: readonly Waiter[] = [];
   let isStopped = false;
 
-  const closeBreaks = () => {
-    const continued = open.filter((one) => one.source !== source);
+  const closeResumedBreaks = () => {
+    const continued = openBreaks.filter((one) => one.source !== source);
     if (continued.length === 0) return;
     const nowMs = readMs();
     continued.forEach(({ atMs }) => resumeMs.push(nowMs - atMs));
-    open = open.filter((one) => one.source === source);
+    openBreaks = openBreaks.filter((one) => one.source === source);
   };
   const recordGap = () => {
     const nowMs = readMs();
     if (lastMs !== null) gapsMs.push(nowMs - lastMs);
-    lastMs = open.length === 0 ? nowMs : null;
+    lastMs = openBreaks.length === 0 ? nowMs : null;
   };
-  const wake = () => {
+  const resolveWaiters = () => {
     const reached = waiters.filter(({ count }) => isStopped || meter.countTokens() >= count);
     if (reached.length === 0) return;
     waiters = waiters.filter((waiter) => !reached.includes(waiter));
@@ -63,25 +63,25 @@
     recordText: (text, connection) => {
       meter.recordText(text);
       source = `${meter.listNonces().at(-1)}/${connection}`;
-      closeBreaks();
+      closeResumedBreaks();
       recordGap();
-      wake();
+      resolveWaiters();
     },
     recordBreak: () => {
       breaks += 1;
       lastMs = null;
-      open = [...open, { atMs: readMs(), source }];
+      openBreaks = [...openBreaks, { atMs: readMs(), source }];
     },
     countBreaks: () => breaks,
     countTokens: meter.countTokens,
     waitForTokens: (count) =>
       new Promise((resolve) => {
         waiters = [...waiters, { count, resolve }];
-        wake();
+        resolveWaiters();
       }),
     stop: () => {
       isStopped = true;
-      wake();
+      resolveWaiters();
     },
     listResumeMs: () => resumeMs,
     listGapsMs: () => gapsMs,
--- a/tools/bench/resume/_lib/runRounds/index.ts
+++ b/tools/bench/resume/_lib/runRounds/index.ts
@@ -3,30 +3,30 @@
 import { breakGenerations, restoreSystem } from '../breakGenerations';
 import type { BenchSystem } from '../startBenchSystem';
 
-/** A caller with how it ended. */
+/** Result of a caller, with the prefix of its stream ids. */
 export interface EndedCaller {
   readonly streamPrefix: string;
   readonly result: CallerResult;
 }
 
-/** What a run of rounds does. */
+/** Options of `runRounds`. */
 export interface RoundsOptions {
   readonly kind: BreakKind;
   readonly system: BenchSystem;
   readonly randomness: Randomness;
-  /** Broken generations after which it ends. */
+  /** Number of broken generations after which the run ends. */
   readonly generations: number;
-  /** Breaks in each round. */
+  /** Number of faults injected in each round. */
   readonly breaksPerRound: number;
   /** Starts the callers of a round. */
   readonly startCallers: () => readonly BenchCaller[];
   readonly handleRound: (broken: number) => void;
 }
 
-/** Tokens that a caller has, at most, when what serves it breaks. */
+/** Largest number of tokens that the chosen caller has received when the fault is injected. */
 const MAX_BREAK_TOKEN = 100;
 
-/** More rounds than this bring no more: something keeps callers from running at all. */
+/** Ends the run if callers fail to run at all, so that no generation can be broken. */
 const MAX_ROUNDS = 200;
 
 function choose<T>(values: readonly T[], randomness: Randomness): T | undefined {
@@ -54,7 +54,7 @@
 /**
  * Runs rounds of callers and breaks until enough generations were broken.
  *
- * The first round is not measured: in it the processes compile the code that the others run.
+ * The first round is a warm-up and not measured: in it the processes compile their code.
  */
 export async function runRounds(options: RoundsOptions): Promise<readonly EndedCaller[]> {
   const ended: EndedCaller[] = [];
--- a/tools/bench/resume/_lib/startScratchCaller/index.ts
+++ b/tools/bench/resume/_lib/startBaselineCaller/index.ts
@@ -5,26 +5,26 @@
 import type { BenchCaller, CallerRequest, CallerResult } from '../../types';
 
 /**
- * Silence after which the baseline gives a connection up. A hundred gaps: a client without
- * knowledge of the stream's own pace could hardly choose less.
+ * Idle timeout of the baseline's connections. It is a hundred token gaps: a client that does not
+ * know the pace of the stream could hardly choose a shorter one.
  */
-const SILENCE_LIMIT_MS = 1000;
+const IDLE_TIMEOUT_MS = 1000;
 
-/** Pause after a request that brought nothing, so that a full engine is not asked in a loop. */
+/** Delay after an attempt without tokens, so that a full engine is not polled in a tight loop. */
 const RETRY_DELAY_MS = 20;
 
 const MAX_ATTEMPTS = 50;
 
 interface Attempt {
-  /** Takes the text of each event. */
+  /** Called with the text of each event. */
   readonly handleText: (text: string) => void;
   readonly streamId: string;
 }
 
-/** Runs one attempt; true if it came to its end. */
+/** Runs one attempt; returns true if the stream completed. */
 async function runAttempt(url: string, body: object, attempt: Attempt): Promise<boolean> {
   const connection = new AbortController();
-  const opening = setTimeout(() => connection.abort(), SILENCE_LIMIT_MS);
+  const opening = setTimeout(() => connection.abort(), IDLE_TIMEOUT_MS);
   try {
     const answer = await fetch(`${url}/v1/chat/completions`, {
       method: 'POST',
@@ -34,7 +34,7 @@
     });
     clearTimeout(opening);
     if (!answer.ok || answer.body === null) return false;
-    for await (const event of decodeServerSentEvents(readChunks(answer.body, SILENCE_LIMIT_MS))) {
+    for await (const event of decodeServerSentEvents(readChunks(answer.body, IDLE_TIMEOUT_MS))) {
       if (event.data === '[DONE]') return true;
       const chunk = JSON.parse(event.data) as { choices: { delta: { content: string } }[] };
       attempt.handleText(chunk.choices[0]?.delta.content ?? '');
@@ -48,38 +48,38 @@
   }
 }
 
-/** Cancels what the engine may still generate; a frozen one does so when it comes back. */
+/** Cancels an attempt at the engine; a frozen engine handles the request once it is unfrozen. */
 function cancelAttempt(url: string, streamId: string): void {
   fetch(`${url}/v1/streams/${streamId}`, { method: 'DELETE' }).catch(() => undefined);
 }
 
 /**
- * Starts the baseline: a caller straight at the engines that begins again from the start at the
- * next one when its stream breaks, and throws away what it had.
+ * Starts a caller of the baseline: it connects directly to the engines and, when its stream breaks,
+ * discards the tokens received and starts over at the next engine.
  *
- * Its answer continues when it has more tokens than before the break.
+ * Its answer counts as resumed once it has more tokens than before the break.
  *
- * @param name - start of its stream ids
+ * @param name - prefix of its stream ids
  */
-export function startScratchCaller(request: CallerRequest, name: string): BenchCaller {
+export function startBaselineCaller(request: CallerRequest, name: string): BenchCaller {
   const body = { ...request.body, model: request.model };
   const resumeMs: number[] = [];
   let url = '';
-  let best = 0;
+  let mostTokens = 0;
   let breaks = 0;
-  let open: readonly number[] = [];
+  let openBreaksMs: readonly number[] = [];
   let waiters: readonly { readonly count: number; readonly resolve: (is: boolean) => void }[] = [];
-  const wake = (isOver: boolean) => {
-    const woken = waiters.filter(({ count }) => isOver || best >= count);
+  const resolveWaiters = (isOver: boolean) => {
+    const woken = waiters.filter(({ count }) => isOver || mostTokens >= count);
     waiters = waiters.filter((waiter) => !woken.includes(waiter));
-    woken.forEach(({ count, resolve }) => resolve(best >= count));
+    woken.forEach(({ count, resolve }) => resolve(mostTokens >= count));
   };
   const handleProgress = (tokens: number) => {
-    if (tokens <= best) return;
-    best = tokens;
-    open.forEach((atMs) => resumeMs.push(performance.now() - atMs));
-    open = [];
-    wake(false);
+    if (tokens <= mostTokens) return;
+    mostTokens = tokens;
+    openBreaksMs.forEach((atMs) => resumeMs.push(performance.now() - atMs));
+    openBreaksMs = [];
+    resolveWaiters(false);
   };
   const run = async (): Promise<CallerResult> => {
     let texts: string[] = [];
@@ -97,12 +97,12 @@
       if (!isDone) cancelAttempt(url, streamId);
       if (!isDone && received.length === 0) await wait(RETRY_DELAY_MS);
     }
-    wake(true);
+    resolveWaiters(true);
     const chain = checkChain(`${request.model}\n${renderPrompt(body)}`, texts, {
       expectedTokens: request.tokens,
     });
     return {
-      whole: isDone,
+      isComplete: isDone,
       reason: isDone ? '' : 'attempts used up',
       chain,
       breaks,
@@ -115,12 +115,12 @@
     readUrl: () => url,
     recordBreak: () => {
       breaks += 1;
-      open = [...open, performance.now()];
+      openBreaksMs = [...openBreaksMs, performance.now()];
     },
     waitForTokens: (count) =>
       new Promise((resolve) => {
         waiters = [...waiters, { count, resolve }];
-        wake(false);
+        resolveWaiters(false);
       }),
     result: run(),
   };
--- a/tools/bench/resume/_lib/startBenchSystem/index.ts
+++ b/tools/bench/resume/_lib/startBenchSystem/index.ts
@@ -10,11 +10,11 @@
   type EntryProcess,
 } from '../../../../embedded';
 
-/** Engines and platform in this process, entries in processes of their own. */
+/** A system with engines and platform in this process and entries as separate processes. */
 export interface BenchSystem {
   readonly backends: Backends;
   listEntries(): readonly EntryProcess[];
-  /** Ends the entries of a zone at once; resolves when the last has ended. */
+  /** Kills the entries of a zone; resolves when all have exited. */
   killEntries(availabilityZone: string): Promise<void>;
   /** Starts new entries in place of those that were killed. */
   replaceEntries(): Promise<void>;
--- a/tools/bench/resume/_lib/startCaller/index.ts
+++ b/tools/bench/resume/_lib/startCaller/index.ts
@@ -3,7 +3,7 @@
 import type { BenchCaller, CallerRequest, CallerResult } from '../../types';
 import { createBreakMeter } from '../createBreakMeter';
 
-/** Starts a caller that uses the published client at the entries. */
+/** Starts a caller that streams from the entries with the published client. */
 export function startCaller(request: CallerRequest, apiKey: string): BenchCaller {
   const meter = createBreakMeter(`${request.model}\n${renderPrompt(request.body)}`);
   let generationId = '';
@@ -14,7 +14,7 @@
     url = new URL(String(input)).origin;
     return fetch(input, init);
   };
-  const follow = async (): Promise<string> => {
+  const followStream = async (): Promise<string> => {
     const { urls: baseUrls, body } = request;
     const batches = streamGeneration({ baseUrls, apiKey, body, fetch: openConnection });
     try {
@@ -30,11 +30,11 @@
     }
   };
   const run = async (): Promise<CallerResult> => {
-    const reason = await follow();
+    const reason = await followStream();
     const chain = meter.buildReport(request.tokens);
-    const whole = reason === '' && chain.tokens === request.tokens;
+    const isComplete = reason === '' && chain.tokens === request.tokens;
     return {
-      whole,
+      isComplete,
       reason,
       chain,
       breaks: meter.countBreaks(),
--- a/tools/bench/resume/_lib/waitUntilIdle/index.ts
+++ b/tools/bench/resume/_lib/waitUntilIdle/index.ts
@@ -4,7 +4,7 @@
 const POLL_INTERVAL_MS = 20;
 const TIMEOUT_MS = 40_000;
 
-/** Waits until no engine generates any more, so that the count of its tokens is final. */
+/** Waits until no engine generates tokens, so that their token counts are final. */
 export async function waitUntilIdle(engines: readonly StandInEngine[]): Promise<void> {
   const isBusy = (engine: StandInEngine) =>
     engine.listAttempts().some(({ state }) => state === AttemptState.Decoding);
--- a/tools/bench/resume/runResumeBench/index.ts
+++ b/tools/bench/resume/runResumeBench/index.ts
@@ -7,25 +7,25 @@
 import { runRounds, type EndedCaller, type RoundsOptions } from '../_lib/runRounds';
 import { startBenchSystem, type BenchSystem } from '../_lib/startBenchSystem';
 import { startCaller } from '../_lib/startCaller';
-import { startScratchCaller } from '../_lib/startScratchCaller';
+import { startBaselineCaller } from '../_lib/startBaselineCaller';
 import { waitUntilIdle } from '../_lib/waitUntilIdle';
 import { BreakKind, type BenchCaller, type ResumeReport } from '../types';
 
 /** Options of the bench. */
 export interface ResumeBenchOptions {
-  /** Broken generations over all scenarios and both modes; the baseline's come on top. */
+  /** Broken generations over all scenarios and modes, not counting those of the baseline. */
   readonly generations: number;
   readonly seed: number;
   readonly scenarios: readonly BreakKind[];
   readonly modes: readonly SurvivalMode[];
-  /** Takes lines that tell how far it is. */
+  /** Writes a line about the progress of the bench. */
   readonly writeProgress: (line: string) => void;
 }
 
 /** Callers of a round: half of the slots that long work may use. */
 const CALLERS_PER_ROUND = 36;
 
-/** A zone's loss breaks two thirds of a round by itself. */
+/** Faults per round. One loss of a zone breaks two thirds of a round's generations by itself. */
 const BREAKS_PER_ROUND: Readonly<Record<BreakKind, number>> = {
   [BreakKind.Kill]: 2,
   [BreakKind.Freeze]: 2,
@@ -42,7 +42,7 @@
   readonly startCallers: RoundsOptions['startCallers'];
 }
 
-async function measure(
+async function measureScenario(
   system: BenchSystem,
   run: Run,
   options: ResumeBenchOptions,
@@ -66,7 +66,7 @@
   };
 }
 
-/** Callers of the system: the published client at all entries. */
+/** Creates a starter of callers that use the published client at all entries. */
 function createCallerStarter(system: BenchSystem, seed: number) {
   const randomness = createSeededRandomness(seed);
   return (): readonly BenchCaller[] => {
@@ -76,8 +76,8 @@
   };
 }
 
-/** Callers of the baseline: straight at the engines. */
-function createScratchStarter(system: BenchSystem, seed: number) {
+/** Creates a starter of baseline callers, which connect directly to the engines. */
+function createBaselineCallerStarter(system: BenchSystem, seed: number) {
   const randomness = createSeededRandomness(seed);
   let started = 0;
   return (): readonly BenchCaller[] => {
@@ -85,7 +85,7 @@
     const requests = buildCallerRequests(CALLERS_PER_ROUND, urls, randomness);
     return requests.map((request) => {
       started += 1;
-      return startScratchCaller(request, `scratch-${started}`);
+      return startBaselineCaller(request, `scratch-${started}`);
     });
   };
 }
@@ -101,15 +101,17 @@
     const system = await startBenchSystem(buildBenchConfiguration(mode));
     try {
       const startCallers = createCallerStarter(system, seed);
-      measured.push(await measure(system, { kind, mode, generations, startCallers }, options));
+      measured.push(
+        await measureScenario(system, { kind, mode, generations, startCallers }, options),
+      );
       if (mode === modes[0]) {
         const baseline = {
           kind,
           mode: BASELINE_MODE,
           generations: Math.ceil(generations * BASELINE_SHARE),
-          startCallers: createScratchStarter(system, seed),
+          startCallers: createBaselineCallerStarter(system, seed),
         };
-        measured.push(await measure(system, baseline, options));
+        measured.push(await measureScenario(system, baseline, options));
       }
     } finally {
       await system.stop();
@@ -119,10 +121,10 @@
 }
 
 /**
- * Breaks generations in each way and each survival mode, and measures how they go on.
+ * Breaks generations with each fault in each survival mode, and measures how they resume.
  *
- * Platform, engines and callers run in this process, entries in processes of their own. The
- * baseline runs on the same engines in the same run.
+ * Platform, engines and callers run in this process, entries in separate processes. The baseline
+ * uses the same engines in the same run.
  */
 export async function runResumeBench(options: ResumeBenchOptions): Promise<ResumeReport> {
   const measured: MeasuredScenario[] = [];
--- a/tools/bench/resume/types/BreakKind.ts
+++ b/tools/bench/resume/types/BreakKind.ts
@@ -1,10 +1,10 @@
-/** What breaks the generations. */
+/** Fault that breaks the generations. */
 export const BreakKind = {
-  /** An engine dies; its connections close. */
+  /** An engine is killed; its connections close. */
   Kill: 'kill',
-  /** An engine stops without a word; its connections stay. */
+  /** An engine freezes; its connections stay open without data. */
   Freeze: 'freeze',
-  /** All engines and entries of an availability zone die at once. */
+  /** All engines and entries of an availability zone are killed at once. */
   Zone: 'zone',
 } as const;
 
--- a/tools/bench/resume/types/ResumeReport.ts
+++ b/tools/bench/resume/types/ResumeReport.ts
@@ -21,15 +21,15 @@
   readonly repeated: number;
   readonly mixed: number;
   readonly resumeMs: LatencySummary;
-  /** Gaps between tokens of streams that nothing had broken: how busy the machine was meanwhile. */
+  /** Gaps between tokens of unbroken streams; they show how busy the machine was. */
   readonly gapMs: LatencySummary;
-  /** Tokens that engines generated beyond those delivered, of the broken generations. */
+  /** Tokens of broken generations that were generated but not delivered, per delivered token. */
   readonly extraTokensRatio: number;
-  /** Reasons of lost generations, with their numbers. */
+  /** Number of lost generations by reason. */
   readonly reasons: Readonly<Record<string, number>>;
 }
 
-/** The bench's last line. */
+/** Report that the bench prints as its last line. */
 export interface ResumeReport {
   readonly generations: number;
   readonly started: number;
--- a/tools/bench/slopes/SlopesCommand.ts
+++ b/tools/bench/slopes/SlopesCommand.ts
@@ -24,7 +24,7 @@
   return value;
 };
 
-/** Measures what an entry uses against the size of what is around it. */
+/** Measures the resource usage of an entry as a function of the size of the system. */
 export class SlopesCommand extends Command {
   static override paths = [['slopes']];
 
--- a/tools/bench/slopes/_lib/computeSlope/index.ts
+++ b/tools/bench/slopes/_lib/computeSlope/index.ts
@@ -1,7 +1,7 @@
 import { linearRegression, linearRegressionLine, rSquared } from 'simple-statistics';
 import type { SlopeFit, SlopePoint } from '../../types';
 
-/** Figures of a point that are fitted. */
+/** Measures of a point to which a line is fitted. */
 export type SlopeMeasure = Exclude<keyof SlopePoint, 'size'>;
 
 const DIGITS = 5;
--- a/tools/bench/slopes/_lib/readProcessUsage/index.ts
+++ b/tools/bench/slopes/_lib/readProcessUsage/index.ts
@@ -1,4 +1,4 @@
-/** What a process says that it has used. */
+/** Resource usage that a process reports. */
 export interface ProcessUsage {
   readonly cpuS: number;
   readonly residentBytes: number;
@@ -11,7 +11,7 @@
   return Number(line.slice(name.length + 1));
 };
 
-/** Reads the usage of a process from its metrics. */
+/** Reads the resource usage of a process from its metrics. */
 export async function readProcessUsage(url: string): Promise<ProcessUsage> {
   const response = await fetch(`${url}/metrics`);
   const text = await response.text();
--- a/tools/bench/slopes/_lib/renderSlopeFolder/index.ts
+++ b/tools/bench/slopes/_lib/renderSlopeFolder/index.ts
@@ -12,12 +12,12 @@
 
 const FLEET_SLOTS = 8;
 
-/** More than any point runs at once, so that nothing waits. */
+/** More than any point uses at once, so that no request waits. */
 export const ENGINE_SLOTS = 512;
 
-/** URLs of the started back ends. */
+/** URLs of the started backend servers. */
 export interface SlopeServers {
-  /** Servers that only report. */
+  /** Servers that only report their load. */
   readonly fleet: readonly string[];
   /** Engines that generate. */
   readonly engines: readonly string[];
@@ -40,7 +40,7 @@
   places: ['all'],
 });
 
-/** Writes the configuration folder of one point and gives its path. */
+/** Writes the configuration folder of one point and returns its path. */
 export async function renderSlopeFolder(
   folder: string,
   load: SlopeLoad,
--- a/tools/bench/slopes/_lib/runSlopePoint/index.ts
+++ b/tools/bench/slopes/_lib/runSlopePoint/index.ts
@@ -4,7 +4,7 @@
 import { startSlopeSystem, type SlopeSystem } from '../startSlopeSystem';
 import { startStreams } from '../startStreams';
 
-/** How long a point is measured. */
+/** Duration of the measurement of a point. */
 export interface SlopeWindow {
   /** Time for start-up work to settle before the measurement, in milliseconds. */
   readonly settleMs: number;
@@ -25,7 +25,7 @@
   keeper: await readProcessUsage(keeperUrl),
 });
 
-const readWindow = async (
+const measureWindow = async (
   system: SlopeSystem,
   { settleMs, windowMs }: SlopeWindow,
 ): Promise<Omit<SlopePoint, 'size'>> => {
@@ -58,7 +58,7 @@
   const stopStreams = startStreams(system.entryUrl, load.streams);
   const stopRequests = startKeyedRequests(system.entryUrl, load.keyedRequests);
   try {
-    return await readWindow(system, window);
+    return await measureWindow(system, window);
   } finally {
     await stopRequests();
     await stopStreams();
--- a/tools/bench/slopes/_lib/startFleet/index.ts
+++ b/tools/bench/slopes/_lib/startFleet/index.ts
@@ -3,7 +3,7 @@
   type LoopbackServer,
 } from '../../../../../standins/_lib/createLoopbackServer';
 
-/** Servers that report a load and nothing else, each on a port of its own. */
+/** Backend servers that only report their load, each on its own port. */
 export interface Fleet {
   readonly urls: readonly string[];
   stop(): Promise<void>;
@@ -40,9 +40,9 @@
 };
 
 /**
- * Starts back ends whose load changes with each report, so that each report is news.
+ * Starts backend servers whose load changes with each report, so that each report is news.
  *
- * They stand in one process: what is measured is the process that polls them.
+ * They share this process: only the process that polls them is measured.
  */
 export async function startFleet(count: number): Promise<Fleet> {
   const servers = await Promise.all(Array.from({ length: count }, startServer));
--- a/tools/bench/slopes/_lib/startKeyedRequests/index.ts
+++ b/tools/bench/slopes/_lib/startKeyedRequests/index.ts
@@ -17,7 +17,7 @@
   if (!response.ok) throw new Error(`keyed request ${key}: ${response.status} ${text}`);
 };
 
-/** Sends keyed requests at a steady rate; the returned function stops and waits for the last. */
+/** Sends keyed requests at a constant rate; the returned function stops and waits for the last. */
 export function startKeyedRequests(url: string, perSecond: number): () => Promise<void> {
   if (perSecond === 0) return async () => {};
   const running: Promise<void>[] = [];
--- a/tools/bench/slopes/_lib/startSlopeSystem/index.ts
+++ b/tools/bench/slopes/_lib/startSlopeSystem/index.ts
@@ -26,7 +26,7 @@
   stop(): Promise<void>;
 }
 
-/** Gap between tokens that the users ask for at the size of two years from now. */
+/** Token gap that the users specify for the size expected in two years. */
 const TOKEN_GAP_MS = 28;
 
 const MODELS = ['review', 'status'].map((model) => ({ model, version: '1', adapter: '' }));
@@ -35,7 +35,7 @@
 
 const READY_POLL_MS = 50;
 
-/** An entry listens before it has read a configuration; a balancer asks `/readyz` too. */
+/** Waits for `/readyz`, since an entry listens before it has read a configuration. */
 const waitUntilReady = async (url: string): Promise<void> => {
   for (;;) {
     const { ok } = await fetch(`${url}/readyz`);
@@ -55,7 +55,7 @@
     gapMs: TOKEN_GAP_MS,
   });
 
-/** Starts platform, back ends, configuration and entries for one point. */
+/** Starts the platform, backend servers, configuration, entries and keeper of one point. */
 export async function startSlopeSystem(load: SlopeLoad): Promise<SlopeSystem> {
   const notifier = createEventNotifier();
   const children: Child[] = [];
--- a/tools/bench/slopes/_lib/startStreams/index.ts
+++ b/tools/bench/slopes/_lib/startStreams/index.ts
@@ -2,7 +2,7 @@
 
 const MAX_TOKENS = 100_000;
 
-/** Runs one long generation and throws its tokens away. */
+/** Runs one long generation and discards its tokens. */
 const followStream = async (url: string, index: number, signal: AbortSignal): Promise<void> => {
   const response = await fetch(`${url}/v1/completions`, {
     method: 'POST',
@@ -28,7 +28,7 @@
   const abort = new AbortController();
   const running = Array.from({ length: count }, (_value, index) =>
     followStream(url, index, abort.signal).catch((error: unknown) => {
-      // The end of the point aborts what still runs; anything else spoils its figures.
+      // Only the abort at the end of the point is expected; any other error invalidates its figures.
       if (!abort.signal.aborted) throw error;
     }),
   );
--- a/tools/bench/slopes/runSlopesBench/index.ts
+++ b/tools/bench/slopes/runSlopesBench/index.ts
@@ -2,7 +2,7 @@
 import { runSlopePoint, type SlopeWindow } from '../_lib/runSlopePoint';
 import { SlopeAxis, type SlopeFit, type SlopeLoad, type SlopePoint } from '../types';
 
-/** Points and lines of one axis. */
+/** Points of one axis and the lines fitted to them. */
 export interface SlopeReport {
   readonly points: readonly SlopePoint[];
   readonly fits: Readonly<Record<SlopeMeasure, SlopeFit>>;
@@ -57,7 +57,7 @@
   return buildReport(points);
 };
 
-/** Runs all points one after the other: two at once would share the processor. */
+/** Runs all points in sequence, since concurrent points would compete for the processor. */
 export async function runSlopesBench(
   options: SlopesOptions,
 ): Promise<Readonly<Partial<Record<SlopeAxis, SlopeReport>>>> {
--- a/tools/bench/slopes/types/SlopeAxis.ts
+++ b/tools/bench/slopes/types/SlopeAxis.ts
@@ -1,11 +1,11 @@
-/** What is varied while the rest stays as it is. */
+/** Size that is varied while all others stay constant. */
 export const SlopeAxis = {
-  /** Back ends that a lone entry polls by itself. */
+  /** Backend servers that a single entry polls. */
   PolledServers: 'polledServers',
   Peers: 'peers',
   Workspaces: 'workspaces',
   Streams: 'streams',
-  /** Keyed requests a second: each writes claim rows. */
+  /** Keyed requests per second; each writes claim rows. */
   KeyedRequests: 'keyedRequests',
 } as const;
 
--- a/tools/bench/slopes/types/SlopeLoad.ts
+++ b/tools/bench/slopes/types/SlopeLoad.ts
@@ -1,7 +1,7 @@
 /** Size of a system under measurement. */
 export interface SlopeLoad {
   readonly polledServers: number;
-  /** Other entries beside the measured one. */
+  /** Number of entries in addition to the measured one. */
   readonly peers: number;
   readonly workspaces: number;
   /** Streams running through the measured entry. */
--- a/tools/bench/slopes/types/SlopePoint.ts
+++ b/tools/bench/slopes/types/SlopePoint.ts
@@ -1,11 +1,11 @@
-/** What the measured entry and the keeper beside it used at one size. */
+/** Resource usage of the measured entry and of the keeper on its VM at one size. */
 export interface SlopePoint {
   readonly size: number;
   /** Processor time, in percent of one core. */
   readonly cpuPercent: number;
   readonly residentMb: number;
   readonly heapMb: number;
-  /** The same of the keeper that runs beside the entry. */
+  /** The same for the keeper on the entry's VM. */
   readonly keeperCpuPercent: number;
   readonly keeperResidentMb: number;
   /** Reads of the platform's table by all processes, per second. */
