--- a/scripts/gateway-loader.cjs
+++ b/scripts/gateway-loader.cjs
@@ -1,6 +1,6 @@
-// Loads the bundled gateway with the code cache that the build writes next to it: compiling the bundle
-// is a large part of the processor time until a VM is ready. V8 rejects a cache from other flags or
-// another Node.js version; the loader logs this.
+// Loads the bundled gateway with the code cache that the build writes next to it: compiling the
+// bundle is a large part of the processor time until a VM is ready. V8 rejects a cache from other
+// flags or another Node.js version; the loader logs this.
 'use strict';
 
 const { readFileSync } = require('node:fs');
--- a/scripts/write-code-cache.cjs
+++ b/scripts/write-code-cache.cjs
@@ -1,6 +1,6 @@
-// Starts the bundled gateway on loopback, sends traffic through it, and writes the functions compiled
-// so far as its code cache. The build runs this script with the flags of the deploy file, since V8
-// rejects a cache that was made under other flags.
+// Starts the bundled gateway on loopback, sends traffic through it, and writes the functions
+// compiled so far as its code cache. The build runs this script with the flags of the deploy file,
+// since V8 rejects a cache that was made under other flags.
 'use strict';
 
 const { writeFileSync } = require('node:fs');
--- a/tools/bench/config/_lib/runOutage/index.ts
+++ b/tools/bench/config/_lib/runOutage/index.ts
@@ -16,8 +16,8 @@
  * Runs an outage of each kind; during each, restarts an entry and lets an operator apply a change.
  *
  * @param durationMs - total duration of the outages
- * @returns duration of the outages; outcomes of the operator's attempts; time from the restart of an
- *   entry until it had a configuration again, which it could only get from its peers
+ * @returns duration of the outages; outcomes of the operator's attempts; time from the restart of
+ *   an entry until it had a configuration again, which it could only get from its peers
  */
 export async function runOutage(
   deps: ChangesDependencies,
--- a/tools/bench/load/_lib/createBaselineRouter/index.ts
+++ b/tools/bench/load/_lib/createBaselineRouter/index.ts
@@ -53,8 +53,8 @@
 }
 
 /**
- * Creates a baseline: a router with the same hard filter and engine priorities, but a simple rule of
- * choice and no admission control. Requests wait in the engines' own queues.
+ * Creates a baseline: a router with the same hard filter and engine priorities, but a simple rule
+ * of choice and no admission control. Requests wait in the engines' own queues.
  */
 export function createBaselineRouter(
   name: BaselineName,
--- a/tools/bench/load/_lib/findDeploymentShape/index.ts
+++ b/tools/bench/load/_lib/findDeploymentShape/index.ts
@@ -11,8 +11,8 @@
 
 /**
  * Servers and zones as in the users' brief. The round trips keep its proportions: at Sello, clients
- * are slightly closer to a zone than the zones are to each other; at Cymdeithas, clients are several
- * times farther from a zone than the zones are from each other.
+ * are slightly closer to a zone than the zones are to each other; at Cymdeithas, clients are
+ * several times farther from a zone than the zones are from each other.
  */
 const SHAPES: Readonly<Record<string, DeploymentShape>> = {
   sello: {
--- a/tools/bench/load/_lib/runBenchRequest/index.ts
+++ b/tools/bench/load/_lib/runBenchRequest/index.ts
@@ -93,7 +93,7 @@
       legSignal,
     );
   };
-  /** Records a failed attempt; a server that does not answer a probe is suspected by all entries. */
+  /** Records a failed attempt; all entries suspect a server that does not answer a probe. */
   const recordFailure = async ({ server }: Slot, error: EngineError): Promise<void> => {
     excluded.push(server.name);
     if (error.kind === 'broken' || (await entry.engines.probe(server)).isErr()) {
--- a/tools/bench/load/_lib/runPhase/index.ts
+++ b/tools/bench/load/_lib/runPhase/index.ts
@@ -25,7 +25,7 @@
   readonly clientRoundTripMs: number;
 }
 
-/** Sends each request at its arrival time, whether or not earlier ones have finished (open loop). */
+/** Sends each request at its arrival time, even if earlier ones still run (open loop). */
 export async function runPhase(
   arrivals: readonly Arrival[],
   entries: readonly BenchEntry[],
--- a/tools/bench/load/prediction/_lib/drawLengths/index.ts
+++ b/tools/bench/load/prediction/_lib/drawLengths/index.ts
@@ -11,8 +11,8 @@
 const drawReview: LengthPattern = (_, __, randomness) => drawNormal(900, 200, randomness);
 
 /**
- * Patterns of lengths: reviews of similar dossiers, a long tail, two kinds of letters, and a service
- * whose answers become longer in mid-run, as after a new model version.
+ * Patterns of lengths: reviews of similar dossiers, a long tail, two kinds of letters, and a
+ * service whose answers become longer in mid-run, as after a new model version.
  */
 export const LENGTH_PATTERNS: Readonly<Record<string, LengthPattern>> = {
   normal: drawReview,
--- a/tools/bench/load/prediction/_lib/predictFromBuckets/index.ts
+++ b/tools/bench/load/prediction/_lib/predictFromBuckets/index.ts
@@ -40,7 +40,7 @@
     .map((part) => buildBucket(part, total));
 }
 
-/** Computes the expected waste over all pairs of a length's bucket and the bucket reserved first. */
+/** Computes the expected waste over all pairs of a length's bucket and the first reserved one. */
 function computeExpectedWaste(buckets: readonly Bucket[]): number {
   const computeWaste = (fallsIn: number, given: number): number => {
     const bucket = buckets[given];
--- a/tools/bench/slopes/_lib/startStreams/index.ts
+++ b/tools/bench/slopes/_lib/startStreams/index.ts
@@ -28,7 +28,7 @@
   const abort = new AbortController();
   const running = Array.from({ length: count }, (_value, index) =>
     followStream(url, index, abort.signal).catch((error: unknown) => {
-      // Only the abort at the end of the point is expected; any other error invalidates its figures.
+      // Only the abort at the end of the point is expected; other errors invalidate its figures.
       if (!abort.signal.aborted) throw error;
     }),
   );
--- a/tools/demo/runDemo/test.ts
+++ b/tools/demo/runDemo/test.ts
@@ -1,5 +1,5 @@
-// Guards against an answer that breaks off or repeats tokens when its engine is killed in mid-stream:
-// without the tokens that the entry keeps, the second attempt would start over.
+// Guards against an answer that breaks off or repeats tokens when its engine is killed in
+// mid-stream: without the tokens that the entry keeps, the second attempt would start over.
 import test from 'ava';
 import { runDemo } from '.';
 
--- a/tools/embedded/createStreamMeter/index.ts
+++ b/tools/embedded/createStreamMeter/index.ts
@@ -16,8 +16,8 @@
 /**
  * Creates a meter of one stream.
  *
- * A change of nonce shows where another attempt resumed the stream. Its first token is the first one
- * that the killed engine cannot have sent: tokens in flight at the kill don't shorten the figure.
+ * A change of nonce shows where another attempt resumed the stream. Its first token is the first
+ * one that the killed engine cannot have sent: tokens in flight at the kill don't count.
  *
  * @param promptText - model as the engine knows it, a newline, and the prompt of `renderPrompt`
  * @param readMs - monotonic time in milliseconds
--- a/tools/embedded/startBackends/index.ts
+++ b/tools/embedded/startBackends/index.ts
@@ -36,7 +36,7 @@
  * Starts a stand-in for each backend server of a configuration.
  *
  * @param configuration - its URLs are replaced by those of the stand-ins
- * @param engineSettings - settings of all engines; name, slots and models come from the configuration
+ * @param engineSettings - settings of all engines; names and, by default, slots and models are configured
  */
 export async function startBackends(
   configuration: Configuration,
--- a/tools/platform-demo/main.ts
+++ b/tools/platform-demo/main.ts
@@ -32,7 +32,7 @@
   process.stdout.write(`${text}\n`);
 };
 
-/** Sends events after the last one that the caller has, until all are sent or the server crashed. */
+/** Sends events after the caller's last one, until all are sent or the server has crashed. */
 const generate = (
   server: StandInServer,
   request: ReceivedRequest,
--- a/tools/scenario/_lib/waitForCondition/index.ts
+++ b/tools/scenario/_lib/waitForCondition/index.ts
@@ -16,7 +16,7 @@
   }
 };
 
-/** Polls until `probe` returns true or the run has ended, at the latest at the scenario's timeout. */
+/** Polls until `probe` returns true or the run has ended, at the latest at its timeout. */
 const probeUntil = async (context: RunContext, probe: () => Promise<boolean>): Promise<void> => {
   while (!context.isStopped() && !(await probe())) {
     await new Promise((resolve) => {
--- a/tools/scenario/startChild/index.ts
+++ b/tools/scenario/startChild/index.ts
@@ -13,7 +13,7 @@
   readonly onStart: (child: Child) => void;
 }
 
-/** Starts a Node.js process and keeps its output lines; each line and the exit wake waiting steps. */
+/** Starts a Node.js process and keeps its output; each line and the exit wake waiting steps. */
 export function startChild(options: ChildOptions): Child {
   const { availabilityZone, notifier, name, restart } = options;
   const child = spawn(process.execPath, [...options.args], { stdio: ['ignore', 'pipe', 'pipe'] });
--- a/tools/scenario/types/Caller.ts
+++ b/tools/scenario/types/Caller.ts
@@ -1,8 +1,8 @@
 /** How the latest connection of a caller, or an operator's command, ended. */
 export interface CallerEnd {
   /**
-   * `finished`: the answer is complete; `failed`: an error was returned; `cut`: the connection broke
-   * off without an error.
+   * `finished`: the answer is complete; `failed`: an error was returned; `cut`: the connection
+   * broke off without an error.
    */
   readonly kind: 'finished' | 'failed' | 'cut';
   /** HTTP status, or exit code of a command. */
--- a/tools/vm-cost/main.ts
+++ b/tools/vm-cost/main.ts
@@ -1,5 +1,5 @@
-// Measures the processor time of the gateway process of one VM in three phases: start, idle and load.
-// Needs a build of the gateway:
+// Measures the processor time of the gateway process of one VM in three phases: start, idle and
+// load. Needs a build of the gateway:
 // `npx tsx tools/vm-cost/main.ts [vms] [lookups per second and VM] [streams per second and VM]`.
 // The CPU profile of one process stays in the folder that the last line names.
 import { mkdtempSync } from 'node:fs';
--- a/tools/warm-up/main.ts
+++ b/tools/warm-up/main.ts
@@ -1,5 +1,5 @@
-// Traffic that the build sends through the bundled gateway before it writes the code cache: lookups,
-// streams, one of them resumed at another server, and calls between VMs. Bundled into target/.
+// Traffic that the build sends through the bundled gateway before it writes the code cache:
+// lookups, streams, one of them resumed at another server, and calls between VMs. Part of target/.
 import { once } from 'node:events';
 import { request as sendRequest, type IncomingMessage } from 'node:http';
 import { setTimeout as wait } from 'node:timers/promises';
