--- a/tests/gateway/_lib/callServer/index.ts
+++ b/tests/gateway/_lib/callAnyServer/index.ts
@@ -1,9 +1,9 @@
 import type { StandInServer } from '../../../../standins/gateway';
-import { nextAnywhere } from '../nextAnywhere';
+import { takeNextRequest } from '../takeNextRequest';
 import type { TestGateway } from '../startTestGateway';
 
 /** Sends a lookup, and answers it where it arrives; returns that server. */
-export const callServer = async (
+export const callAnyServer = async (
   bench: TestGateway,
   {
     headers = {},
@@ -11,7 +11,7 @@
   }: { readonly id: string; readonly headers?: Readonly<Record<string, string>> },
 ): Promise<StandInServer> => {
   const answered = bench.send({ target: '/safe/x', id });
-  const { request, server } = await nextAnywhere(bench.servers);
+  const { request, server } = await takeNextRequest(bench.servers);
   server.answer(request, 200, 'yes', headers);
   await answered;
   return server;
--- a/tests/gateway/_lib/removeBackup/index.ts
+++ b/tests/gateway/_lib/removeBackup/index.ts
@@ -1,7 +1,7 @@
 import { TABLES } from '../../../../platform';
 import { formatStandInEvent, type StandInServer } from '../../../../standins/gateway';
 import { findBackup } from '../findBackup';
-import { nextAnywhere, type Taken } from '../nextAnywhere';
+import { takeNextRequest, type TakenRequest } from '../takeNextRequest';
 import type { FollowedAnswer, TestGateway } from '../startTestGateway';
 
 /**
@@ -11,13 +11,13 @@
 export const removeBackup = async (
   bench: TestGateway,
   followed: FollowedAnswer,
-): Promise<{ readonly first: Taken; readonly backup: StandInServer }> => {
-  const first = await nextAnywhere(bench.servers);
+): Promise<{ readonly first: TakenRequest; readonly backup: StandInServer }> => {
+  const first = await takeNextRequest(bench.servers);
   const backup = findBackup(bench, first);
   bench.store.writeRow(TABLES.servers, backup.id, null);
   await bench.waitForLine('server gone', ({ server }) => server === backup.id);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 3);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 3);
   await followed.waitForText(formatStandInEvent(3));
   return { first, backup };
 };
--- a/tests/gateway/_lib/startTestGateway/index.ts
+++ b/tests/gateway/_lib/startTestGateway/index.ts
@@ -36,7 +36,7 @@
   /** Resolves when the body has this text. */
   waitForText(text: string): Promise<void>;
   /** Closes the connection. */
-  leave(): void;
+  disconnect(): void;
   readonly done: Promise<TestAnswer>;
 }
 
@@ -63,7 +63,7 @@
   readonly settings?: Partial<GatewaySettings>;
   readonly clock?: Clock;
   /** Store and servers of another test gateway, which ends them; else own ones. */
-  readonly beside?: Pick<TestGateway, 'servers' | 'store'>;
+  readonly sharedWith?: Pick<TestGateway, 'servers' | 'store'>;
 }
 
 const ZONES = ['z1', 'z2', 'z3'];
@@ -102,7 +102,7 @@
   });
   return {
     done,
-    leave: () => sent.destroy(),
+    disconnect: () => sent.destroy(),
     waitForText: (text) =>
       new Promise((resolve) => {
         const look = (): void => {
@@ -125,12 +125,12 @@
     waiters.forEach((look) => look());
   };
   const log: EventLog = { info: take, warn: take, error: take };
-  const { beside } = options;
-  const store = beside?.store ?? (await createStandInStore());
-  const serverIds = beside?.servers.map(({ id }) => id) ?? options.serverIds ?? ['i-1', 'i-2'];
+  const { sharedWith } = options;
+  const store = sharedWith?.store ?? (await createStandInStore());
+  const serverIds = sharedWith?.servers.map(({ id }) => id) ?? options.serverIds ?? ['i-1', 'i-2'];
   const servers =
-    beside?.servers ?? (await Promise.all(serverIds.map((id) => createStandInServer(id))));
-  if (!beside) {
+    sharedWith?.servers ?? (await Promise.all(serverIds.map((id) => createStandInServer(id))));
+  if (!sharedWith) {
     servers.forEach((server, index) => {
       store.writeRow(
         TABLES.servers,
@@ -145,7 +145,7 @@
       CONFIGURATION_KEY,
       buildWireConfiguration(options.configuration),
     );
-  if (options.isConfigured !== false && !beside) configure();
+  if (options.isConfigured !== false && !sharedWith) configure();
 
   const waitForLine: TestGateway['waitForLine'] = (message, passes = () => true) =>
     new Promise((resolve) => {
@@ -194,7 +194,7 @@
     waitForLine,
     stop: async () => {
       await gateway.stop();
-      if (!beside) await Promise.all([store.stop(), ...servers.map((server) => server.stop())]);
+      if (!sharedWith) await Promise.all([store.stop(), ...servers.map((server) => server.stop())]);
     },
   };
 };
--- a/tests/gateway/_lib/nextAnywhere/index.ts
+++ b/tests/gateway/_lib/takeNextRequest/index.ts
@@ -1,13 +1,13 @@
 import type { ReceivedRequest, StandInServer } from '../../../../standins/gateway';
 
 /** A request and the server that got it. */
-export interface Taken {
+export interface TakenRequest {
   readonly server: StandInServer;
   readonly request: ReceivedRequest;
 }
 
 /** Takes the next request that any of these servers gets. */
-export const nextAnywhere = (servers: readonly StandInServer[]): Promise<Taken> =>
+export const takeNextRequest = (servers: readonly StandInServer[]): Promise<TakenRequest> =>
   new Promise((resolve) => {
     let isTaken = false;
     const look = (): void => {
--- a/tests/gateway/calls.test.ts
+++ b/tests/gateway/calls.test.ts
@@ -6,10 +6,10 @@
 import { buildGatewaySettings, type StandInServer } from '../../standins/gateway';
 import { readOk } from '../_lib/readOk';
 import { buildWireEntry } from '../../standins/gateway';
-import { buildIdleServices } from './_lib/buildIdleServices';
+import { buildStubServices } from './_lib/buildStubServices';
 import { countRequests } from './_lib/countRequests';
 import { startTestGateway } from './_lib/startTestGateway';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { takeNextRequest } from './_lib/takeNextRequest';
 
 /** Calls of which one must be lent a repeat. */
 const MAX_TRIES = 20;
@@ -21,7 +21,7 @@
     body: 'payment',
     headers: { 'x-other': 'kept', [HEADERS.hold]: 'smuggled', [HEADERS.kvFrom]: 'smuggled' },
   });
-  const { request, server } = await nextAnywhere(bench.servers);
+  const { request, server } = await takeNextRequest(bench.servers);
   t.is(request.target, '/unsafe/x?y=1');
   t.is(request.body, 'payment');
   t.is(request.headers[HEADERS.requestId], 'request-1');
@@ -47,9 +47,9 @@
 test('a repeatable call goes to another server after a failure', async (t) => {
   const bench = await startTestGateway({ clock: createFakeClock() });
   const answered = bench.send({ target: '/safe/x' });
-  const first = await nextAnywhere(bench.servers);
+  const first = await takeNextRequest(bench.servers);
   first.server.answer(first.request, 500, 'broken');
-  const second = await nextAnywhere(bench.servers.filter((server) => server !== first.server));
+  const second = await takeNextRequest(bench.servers.filter((server) => server !== first.server));
   second.server.answer(second.request, 200, 'fine');
   const answer = await answered;
   t.is(answer.status, 200);
@@ -68,7 +68,7 @@
   let lent = 0;
   let address = '';
   const handlers = createGatewayHandlers({
-    ...buildIdleServices(),
+    ...buildStubServices(),
     handleKnowledge: (taken) => ({
       ...taken,
       sender: { ...self, address },
@@ -118,7 +118,7 @@
 test('a non-idempotent call is never sent twice once it may have run', async (t) => {
   const bench = await startTestGateway({ clock: createFakeClock() });
   const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const { request } = await nextAnywhere(bench.servers);
+  const { request } = await takeNextRequest(bench.servers);
   request.socket.resetAndDestroy();
   const answer = await answered;
   t.is(answer.status, 502);
@@ -132,9 +132,9 @@
 test('a call that surely did not run goes to another server, whatever its kind', async (t) => {
   const bench = await startTestGateway({ clock: createFakeClock() });
   const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const first = await nextAnywhere(bench.servers);
+  const first = await takeNextRequest(bench.servers);
   first.server.answer(first.request, 503, '', { [HEADERS.notRun]: '1' });
-  const second = await nextAnywhere(bench.servers.filter((server) => server !== first.server));
+  const second = await takeNextRequest(bench.servers.filter((server) => server !== first.server));
   second.server.answer(second.request, 200, 'fine');
   t.is((await answered).status, 200);
   await bench.stop();
@@ -146,7 +146,7 @@
 test('an answer with the id of another request is never handed on', async (t) => {
   const bench = await startTestGateway({ serverIds: ['i-1'] });
   const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const { request, server } = await nextAnywhere(bench.servers);
+  const { request, server } = await takeNextRequest(bench.servers);
   server.answer(request, 200, 'not yours', { [HEADERS.requestId]: 'another' });
   const answer = await answered;
   t.is(answer.status, 502);
@@ -157,7 +157,7 @@
 test('an answer without the signature of the server is not handed on as a success', async (t) => {
   const bench = await startTestGateway({ serverIds: ['i-1'] });
   const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const { request } = await nextAnywhere(bench.servers);
+  const { request } = await takeNextRequest(bench.servers);
   request.response.writeHead(200, { [HEADERS.requestId]: 'request-1' });
   request.response.end('unsigned');
   t.is((await answered).status, 502);
@@ -170,7 +170,7 @@
 test('an answer without a length is handed on without one', async (t) => {
   const bench = await startTestGateway({ serverIds: ['i-1'] });
   const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const { request } = await nextAnywhere(bench.servers);
+  const { request } = await takeNextRequest(bench.servers);
   request.socket.end(
     `HTTP/1.1 200 OK\r\nConnection: close\r\n${HEADERS.requestId}: request-1\r\n` +
       `${HEADERS.signature}: s\r\n\r\nall of it`,
@@ -207,7 +207,7 @@
     body: '1',
     headers: { [HEADERS.deadlineMs]: '150' },
   });
-  const { request } = await nextAnywhere(bench.servers);
+  const { request } = await takeNextRequest(bench.servers);
   t.is((await answered).status, 504);
   await request.closed;
   await bench.stop();
@@ -225,7 +225,7 @@
     `GET /safe/x HTTP/1.1\r\nHost: a.example\r\n${HEADERS.requestId}: r\r\n` +
       `${HEADERS.authorization}: Bearer key-1\r\n\r\n`,
   );
-  const { request } = await nextAnywhere(bench.servers);
+  const { request } = await takeNextRequest(bench.servers);
   socket.destroy();
   await request.closed;
   t.pass();
--- a/tests/gateway/crashingRequests.test.ts
+++ b/tests/gateway/crashingRequests.test.ts
@@ -11,12 +11,12 @@
   createStandInServer,
   formatStandInEvent,
 } from '../../standins/gateway';
-import { buildStream } from './_lib/buildStream';
+import { buildStreamRequest } from './_lib/buildStreamRequest';
 import { countRequests } from './_lib/countRequests';
-import { crashNext } from './_lib/crashNext';
+import { crashNextServer } from './_lib/crashNextServer';
 import { findFreePort } from '../../standins/_lib/findFreePort';
-import { listEvents } from './_lib/listEvents';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { formatEvents } from './_lib/formatEvents';
+import { takeNextRequest } from './_lib/takeNextRequest';
 import { sendEvents } from './_lib/sendEvents';
 import { startTestGateway } from './_lib/startTestGateway';
 
@@ -33,11 +33,11 @@
 test('a stream that crashed three servers is sent to no fourth one, nor when it comes again', async (t) => {
   const configuration = buildConfiguration(5);
   const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration });
-  const followed = bench.follow(buildStream());
-  for (let crashed = 0; crashed < 3; crashed += 1) await crashNext(bench);
+  const followed = bench.follow(buildStreamRequest());
+  for (let crashed = 0; crashed < 3; crashed += 1) await crashNextServer(bench);
   t.false((await followed.done).isWhole);
   t.is(countRequests(bench), 3);
-  const again = await bench.send({ ...buildStream(), id: 'request-2' });
+  const again = await bench.send({ ...buildStreamRequest(), id: 'request-2' });
   t.is(again.status, REFUSED_STATUS);
   t.is(countRequests(bench), 3);
   await bench.stop();
@@ -47,7 +47,7 @@
   const configuration = buildConfiguration(5);
   const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration });
   const answered = bench.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
-  for (let crashed = 0; crashed < 3; crashed += 1) await crashNext(bench, { begins: false });
+  for (let crashed = 0; crashed < 3; crashed += 1) await crashNextServer(bench, { begins: false });
   await answered;
   t.is(countRequests(bench), 3);
   await bench.waitForLine(
@@ -70,7 +70,7 @@
   bench.store.writeRow(TABLES.servers, 'i-9', buildWireEntry(witness, { service: 'other' }));
   await bench.waitForLine('server known', ({ server }) => server === 'i-9');
   const answered = bench.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
-  for (let crashed = 0; crashed < 3; crashed += 1) await crashNext(bench, { begins: false });
+  for (let crashed = 0; crashed < 3; crashed += 1) await crashNextServer(bench, { begins: false });
   await answered;
   const verdict = await Promise.race([
     bench.waitForLine('request crashed a server', ({ crashes }) => crashes === 3),
@@ -88,16 +88,16 @@
   const settings = { peerAddress: `127.0.0.1:${port}` };
   const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration, settings });
   const other = await startTestGateway({
-    beside: bench,
+    sharedWith: bench,
     settings: { vm: 'vm-2', seedAddresses: [settings.peerAddress] },
   });
   await bench.waitForLine('peers known');
-  const first = other.follow(buildStream({ [HEADERS.deadlineMs]: '1500' }));
-  await crashNext(bench);
-  await crashNext(bench);
+  const first = other.follow(buildStreamRequest({ [HEADERS.deadlineMs]: '1500' }));
+  await crashNextServer(bench);
+  await crashNextServer(bench);
   await first.done;
-  const second = bench.follow({ ...buildStream(), id: 'request-2' });
-  await crashNext(bench);
+  const second = bench.follow({ ...buildStreamRequest(), id: 'request-2' });
+  await crashNextServer(bench);
   await second.done;
   t.is(countRequests(bench), 3);
   await other.stop();
@@ -107,14 +107,17 @@
 test('the quarantine of a request outlives the end of all VMs at once', async (t) => {
   const configuration = buildConfiguration(5);
   const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration });
-  const followed = bench.follow(buildStream());
-  for (let crashed = 0; crashed < 3; crashed += 1) await crashNext(bench);
+  const followed = bench.follow(buildStreamRequest());
+  for (let crashed = 0; crashed < 3; crashed += 1) await crashNextServer(bench);
   await followed.done;
   await bench.waitForLine('quarantine written');
   await bench.gateway.stop();
-  const restarted = await startTestGateway({ beside: bench, settings: { isFirstStart: false } });
+  const restarted = await startTestGateway({
+    sharedWith: bench,
+    settings: { isFirstStart: false },
+  });
   await restarted.waitForLine('quarantine rows read');
-  const again = await restarted.send({ ...buildStream(), id: 'request-2' });
+  const again = await restarted.send({ ...buildStreamRequest(), id: 'request-2' });
   t.is(again.status, REFUSED_STATUS);
   t.is(countRequests(bench), 3);
   await restarted.stop();
@@ -125,18 +128,18 @@
   const configuration = buildConfiguration(5);
   const clock = createFakeClock();
   const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration, clock });
-  const followed = bench.follow(buildStream());
+  const followed = bench.follow(buildStreamRequest());
   for (let crashed = 0; crashed < 3; crashed += 1) {
-    const { request, server } = await nextAnywhere(bench.servers);
-    server.begin(request);
-    server.emit(request, crashed + 1, crashed + 1);
+    const { request, server } = await takeNextRequest(bench.servers);
+    server.startStream(request);
+    server.sendEvents(request, crashed + 1, crashed + 1);
     await followed.waitForText(formatStandInEvent(crashed + 1));
     clock.advance(1100);
     await server.crash();
   }
-  const last = await nextAnywhere(bench.servers);
+  const last = await takeNextRequest(bench.servers);
   sendEvents(last, 4, 5);
-  t.is((await followed.done).body, listEvents(1, 5));
+  t.is((await followed.done).body, formatEvents(1, 5));
   await bench.stop();
 });
 
@@ -150,22 +153,22 @@
   });
   const call = bench.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
   for (let reset = 0; reset < 3; reset += 1) {
-    (await nextAnywhere(bench.servers)).request.socket.resetAndDestroy();
+    (await takeNextRequest(bench.servers)).request.socket.resetAndDestroy();
   }
   await call;
-  const stream = bench.follow(buildStream());
+  const stream = bench.follow(buildStreamRequest());
   for (let reset = 0; reset < 3; reset += 1) {
-    (await nextAnywhere(bench.servers)).request.socket.resetAndDestroy();
+    (await takeNextRequest(bench.servers)).request.socket.resetAndDestroy();
   }
-  sendEvents(await nextAnywhere(bench.servers), 1, 2);
-  t.is((await stream.done).body, listEvents(1, 2));
+  sendEvents(await takeNextRequest(bench.servers), 1, 2);
+  t.is((await stream.done).body, formatEvents(1, 2));
   await bench.waitForLine('crash not confirmed');
   t.deepEqual(
     bench.lines.filter(({ message }) => message === 'request crashed a server'),
     [],
   );
   const again = bench.send({ target: '/safe/x', id: 'request-2' });
-  const { request, server } = await nextAnywhere(bench.servers);
+  const { request, server } = await takeNextRequest(bench.servers);
   server.answer(request, 200, 'yes');
   t.is((await again).status, 200);
   await bench.stop();
--- a/tests/gateway/drain.test.ts
+++ b/tests/gateway/drain.test.ts
@@ -3,7 +3,7 @@
 import { createFakeClock } from '../../standins/fakes';
 import { countRequests } from './_lib/countRequests';
 import { startTestGateway } from './_lib/startTestGateway';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { takeNextRequest } from './_lib/takeNextRequest';
 
 // Symptom: a caller's connection ends without an answer although its call was read.
 // Sequence: SIGTERM; a caller keeps its connection, and sends a call just before the process ends.
@@ -16,10 +16,10 @@
   // A call that takes long keeps the process alive.
   const patient = { [HEADERS.deadlineMs]: '20000' };
   const long = bench.send({ target: '/unsafe/x', body: '1', id: 'request-1', headers: patient });
-  const first = await nextAnywhere(bench.servers);
+  const first = await takeNextRequest(bench.servers);
   await clock.advanceAsync(3000);
   const late = bench.send({ target: '/unsafe/x', body: '1', id: 'request-2' });
-  const second = await nextAnywhere(bench.servers);
+  const second = await takeNextRequest(bench.servers);
   await clock.advanceAsync(200);
   const refused = await bench.send({ target: '/unsafe/x', body: '1', id: 'request-3' });
   t.is(refused.status, 503);
@@ -46,7 +46,7 @@
   const refused = await bench.send({ target: '/stream/x', body: 'a prompt', id: 'request-1' });
   t.is(refused.status, 503);
   const taken = bench.send({ target: '/safe/x', id: 'request-2' });
-  const { request, server } = await nextAnywhere(bench.servers);
+  const { request, server } = await takeNextRequest(bench.servers);
   server.answer(request, 200, 'done');
   t.is((await taken).status, 200);
   await clock.advanceAsync(1000);
--- a/tests/gateway/leavingServers.test.ts
+++ b/tests/gateway/leavingServers.test.ts
@@ -5,11 +5,11 @@
 import { HEADERS, TABLES } from '../../platform';
 import { createFakeClock } from '../../standins/fakes';
 import { buildWireEntry, type StandInServer } from '../../standins/gateway';
-import { buildStream } from './_lib/buildStream';
-import { callServer } from './_lib/callServer';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { buildStreamRequest } from './_lib/buildStreamRequest';
+import { callAnyServer } from './_lib/callAnyServer';
+import { takeNextRequest } from './_lib/takeNextRequest';
 import { sendEvents } from './_lib/sendEvents';
-import { sendInVain } from './_lib/sendInVain';
+import { sendExpectingRefusal } from './_lib/sendExpectingRefusal';
 import { startTestGateway, type TestGateway } from './_lib/startTestGateway';
 
 const LEAVING = { [HEADERS.leaving]: '1' };
@@ -21,7 +21,7 @@
 const listUsed = async (bench: TestGateway, name: string): Promise<ReadonlySet<string>> => {
   const used = new Set<string>();
   for (let call = 0; call < CALLS; call += 1) {
-    const { id } = await callServer(bench, { id: `${name}-${call}` });
+    const { id } = await callAnyServer(bench, { id: `${name}-${call}` });
     used.add(id);
   }
   return used;
@@ -30,10 +30,10 @@
 test('a server that said in an answer that it leaves gets nothing more while the store is away', async (t) => {
   const bench = await startTestGateway({ clock: createFakeClock() });
   bench.store.setMode('silent');
-  const leaving = await callServer(bench, { id: 'first', headers: LEAVING });
+  const leaving = await callAnyServer(bench, { id: 'first', headers: LEAVING });
   t.false((await listUsed(bench, 'call')).has(leaving.id));
-  const followed = bench.follow(buildStream());
-  const taken = await nextAnywhere(bench.servers);
+  const followed = bench.follow(buildStreamRequest());
+  const taken = await takeNextRequest(bench.servers);
   t.not(taken.server, leaving);
   sendEvents(taken, 1, 2);
   t.true((await followed.done).isWhole);
@@ -42,7 +42,7 @@
 
 test('an entry that was written before does not bring a server back that leaves', async (t) => {
   const bench = await startTestGateway();
-  const leaving = await callServer(bench, { id: 'first', headers: LEAVING });
+  const leaving = await callAnyServer(bench, { id: 'first', headers: LEAVING });
   bench.store.writeRow(TABLES.servers, leaving.id, null);
   await bench.waitForLine('server gone', ({ server }) => server === leaving.id);
   const known = bench.lines.length;
@@ -60,8 +60,8 @@
   const [leaving] = bench.servers as [StandInServer];
   leaving.leave();
   for (let stream = 0; stream < CALLS; stream += 1) {
-    const followed = bench.follow({ ...buildStream(), id: `stream-${stream}` });
-    const taken = await nextAnywhere(bench.servers);
+    const followed = bench.follow({ ...buildStreamRequest(), id: `stream-${stream}` });
+    const taken = await takeNextRequest(bench.servers);
     t.not(taken.server, leaving);
     sendEvents(taken, 1, 2);
     await followed.done;
@@ -72,9 +72,9 @@
 test('a failure that bears the word of leaving counts as well', async (t) => {
   const bench = await startTestGateway({ clock: createFakeClock() });
   const answered = bench.send({ target: '/safe/x' });
-  const first = await nextAnywhere(bench.servers);
+  const first = await takeNextRequest(bench.servers);
   first.server.answer(first.request, 503, '', { ...LEAVING, [HEADERS.notRun]: '1' });
-  const second = await nextAnywhere(bench.servers);
+  const second = await takeNextRequest(bench.servers);
   second.server.answer(second.request, 200, 'yes');
   t.is((await answered).status, 200);
   t.false((await listUsed(bench, 'call')).has(first.server.id));
@@ -88,10 +88,10 @@
   const clock = createFakeClock();
   const bench = await startTestGateway({ clock });
   const answered = bench.send({ target: '/safe/x' });
-  const first = await nextAnywhere(bench.servers);
+  const first = await takeNextRequest(bench.servers);
   const pause = { [HEADERS.notRun]: '1', [HEADERS.retryAfter]: '2.5' };
   first.server.answer(first.request, 503, '', pause);
-  const second = await nextAnywhere(bench.servers);
+  const second = await takeNextRequest(bench.servers);
   second.server.answer(second.request, 200, 'yes');
   await answered;
   clock.advance(2400);
@@ -106,14 +106,14 @@
   const bench = await startTestGateway({ clock });
   const answered = bench.send({ target: '/safe/x' });
   for (const seconds of ['3', '2']) {
-    const { request, server } = await nextAnywhere(bench.servers);
+    const { request, server } = await takeNextRequest(bench.servers);
     server.answer(request, 503, '', { [HEADERS.notRun]: '1', [HEADERS.retryAfter]: seconds });
   }
   t.is((await answered).status, 503);
-  const refused = await sendInVain(bench, { target: '/safe/x', id: 'second' });
+  const refused = await sendExpectingRefusal(bench, { target: '/safe/x', id: 'second' });
   t.is(refused?.status, 503);
   t.is(refused?.headers['retry-after'], '2');
-  const stream = await sendInVain(bench, { ...buildStream(), id: 'third' });
+  const stream = await sendExpectingRefusal(bench, { ...buildStreamRequest(), id: 'third' });
   t.is(stream?.status, 503);
   t.is(stream?.headers['retry-after'], '2');
   await bench.stop();
--- a/tests/gateway/overload.test.ts
+++ b/tests/gateway/overload.test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
 import { quantile } from 'simple-statistics';
-import { runModelLoad, type ModelLoad, type ModelResult } from '../../standins/model';
+import { simulateLoad, type SimulatedLoad, type SimulatedLoadResult } from '../../standins/model';
 
 const SEEDS = [1, 2];
 
 const repeat = (count: number, seconds: number): number[] => new Array<number>(seconds).fill(count);
 
-const countTwice = ({ outcomes }: ModelResult): number =>
+const countTwice = ({ outcomes }: SimulatedLoadResult): number =>
   outcomes.filter(({ refusals }) => refusals > 1).length;
 
 /** Time to the first event that one stream in ten exceeds. */
-const findSlowestTenth = ({ outcomes }: ModelResult): number =>
+const findSlowestTenth = ({ outcomes }: SimulatedLoadResult): number =>
   quantile(
     outcomes.map(({ firstEventMs }) => firstEventMs ?? Infinity),
     0.9,
@@ -20,15 +20,15 @@
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
 /** Plays a load with some seeds over the gateways' own code, in virtual time. */
-const play = async (load: Omit<ModelLoad, 'seed' | 'engines' | 'vms'>) => {
+const play = async (load: Omit<SimulatedLoad, 'seed' | 'engines' | 'vms'>) => {
   const results = await Promise.all(
-    SEEDS.map((seed) => runModelLoad({ seed, engines: 13, vms: 9, ...load })),
+    SEEDS.map((seed) => simulateLoad({ seed, engines: 13, vms: 9, ...load })),
   );
   return {
     streams: results[0]?.outcomes.length ?? 0,
-    inTime: mean(results.map(({ inTime }) => inTime)),
-    sends: mean(results.map(({ sends }) => sends)),
-    tokensPerStream: mean(results.map(({ readTokensPerStream }) => readTokensPerStream)),
+    inTime: mean(results.map(({ withinGoal }) => withinGoal)),
+    sends: mean(results.map(({ attempts }) => attempts)),
+    tokensPerStream: mean(results.map(({ prefillTokensPerStream }) => prefillTokensPerStream)),
     refusedTwice: mean(results.map(countTwice)),
     slowestTenthMs: mean(results.map(findSlowestTenth)),
   };
@@ -37,7 +37,7 @@
 const NONE_DOWN = { count: 0, fromS: 0, untilS: 0 };
 
 test('a load that engines can read is served in time, without a refusal', async (t) => {
-  const result = await play({ streamsPerS: repeat(3, 18), down: NONE_DOWN });
+  const result = await play({ streamsPerS: repeat(3, 18), outage: NONE_DOWN });
   t.is(result.inTime, 54);
   t.is(result.refusedTwice, 0);
 });
@@ -48,7 +48,7 @@
 // or both requests of one VM, find the same engine idle and send there.
 // Cause: the choice counted what reports show, and what this VM had sent only before it asked.
 test('prompts that come together are spread over idle engines', async (t) => {
-  const result = await play({ streamsPerS: repeat(6, 16), bunch: 6, down: NONE_DOWN });
+  const result = await play({ streamsPerS: repeat(6, 16), burstSize: 6, outage: NONE_DOWN });
   t.log(result);
   t.is(result.inTime, result.streams);
   t.true(result.slowestTenthMs <= 1600);
@@ -60,7 +60,11 @@
 // Cause: a limit that is to keep queues short was applied where there was no queue.
 // Before: none of 10 in time, all refused twice.
 test('long prompts are sent to free engines', async (t) => {
-  const result = await play({ streamsPerS: repeat(1, 10), promptTokens: 24_000, down: NONE_DOWN });
+  const result = await play({
+    streamsPerS: repeat(1, 10),
+    promptTokens: 24_000,
+    outage: NONE_DOWN,
+  });
   t.log(result);
   t.is(result.refusedTwice, 0);
   t.true(result.inTime >= 9);
@@ -74,7 +78,7 @@
 test('in a burst with half of the engines lost, most streams come in time', async (t) => {
   const result = await play({
     streamsPerS: [...repeat(3, 6), ...repeat(16, 4), ...repeat(3, 8)],
-    down: { count: 6, fromS: 5, untilS: 9 },
+    outage: { count: 6, fromS: 5, untilS: 9 },
   });
   t.log(result);
   t.true(result.inTime >= 74);
@@ -84,7 +88,7 @@
 
 // Before, mean of three seeds: 99 of 196 in time, 413 sends, 21,500 tokens read for each in time.
 test('at twice what engines can read, no prompt is read for long in vain', async (t) => {
-  const result = await play({ streamsPerS: repeat(14, 14), down: NONE_DOWN });
+  const result = await play({ streamsPerS: repeat(14, 14), outage: NONE_DOWN });
   t.log(result);
   t.true(result.inTime >= 104);
   t.true(result.sends <= 196);
@@ -95,7 +99,7 @@
 test('at four times what engines can read, those that are sent come in time', async (t) => {
   const result = await play({
     streamsPerS: [...repeat(3, 3), ...repeat(28, 8), ...repeat(3, 6)],
-    down: NONE_DOWN,
+    outage: NONE_DOWN,
   });
   t.log(result);
   t.true(result.inTime >= 80);
--- a/tests/gateway/rollouts.test.ts
+++ b/tests/gateway/rollouts.test.ts
@@ -113,7 +113,7 @@
   const { bench, clock, started, stop } = await setUp(500);
   await sendUntil(bench, clock, 'rollout status written', isReverted);
   const tried = countAll(started);
-  const later = await startTestGateway({ beside: bench, clock, settings: { vm: 'vm-2' } });
+  const later = await startTestGateway({ sharedWith: bench, clock, settings: { vm: 'vm-2' } });
   const early = await sendUntil(later, clock, 'rollout verdict', isReverted);
   const statuses = await sendCalls(later, clock, SETTLE_MS / STEP_MS + 60);
   t.true([...early, ...statuses].every((status) => status === 200));
--- a/tests/gateway/serverClient.test.ts
+++ b/tests/gateway/serverClient.test.ts
@@ -102,7 +102,7 @@
   const { server: entry } = buildAttempt(server.address, server.id);
   t.is((await client.readReport(entry))?.running, 0);
   server.freeze();
-  const asked = server.nextQuestion();
+  const asked = server.nextStatusRequest();
   const report = client.readReport(entry);
   await asked;
   clock.advance(1000);
@@ -118,7 +118,7 @@
   const server = await createStandInServer('i-1');
   const client = createServerClient({ clock: createFakeClock() });
   const attempt = buildAttempt(server.address, server.id);
-  const asked = server.nextQuestion();
+  const asked = server.nextStatusRequest();
   await client.readReport(attempt.server);
   const signal = new AbortController();
   const sent = client.sendAttempt({ ...attempt, newConnection: true }, signal.signal);
--- a/tests/gateway/serverLimits.test.ts
+++ b/tests/gateway/serverLimits.test.ts
@@ -3,12 +3,12 @@
 import { HEADERS } from '../../platform';
 import { createFakeClock } from '../../standins/fakes';
 import type { StandInServer } from '../../standins/gateway';
-import { buildStream } from './_lib/buildStream';
+import { buildStreamRequest } from './_lib/buildStreamRequest';
 import { findFreePort } from '../../standins/_lib/findFreePort';
-import { callServer } from './_lib/callServer';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { callAnyServer } from './_lib/callAnyServer';
+import { takeNextRequest } from './_lib/takeNextRequest';
 import { sendEvents } from './_lib/sendEvents';
-import { sendInVain } from './_lib/sendInVain';
+import { sendExpectingRefusal } from './_lib/sendExpectingRefusal';
 import { startTestGateway } from './_lib/startTestGateway';
 
 /** What a limit allows in this time, and by how much arrivals may exceed it. */
@@ -26,11 +26,11 @@
   const clock = createFakeClock();
   const bench = await startTestGateway({ clock, serverIds: ['i-1'] });
   t.teardown(bench.stop);
-  await callServer(bench, { id: 'first', headers: nameLimit('3.7') });
+  await callAnyServer(bench, { id: 'first', headers: nameLimit('3.7') });
   clock.advance(1000);
-  await callServer(bench, { id: 'same', headers: nameLimit('3.7') });
+  await callAnyServer(bench, { id: 'same', headers: nameLimit('3.7') });
   clock.advance(1000);
-  await callServer(bench, { id: 'none' });
+  await callAnyServer(bench, { id: 'none' });
   const named = bench.lines.filter(({ message }) => message === 'server limit');
   t.deepEqual(
     named.map(({ before, limitPerS, server }) => ({ before, limitPerS, server })),
@@ -44,14 +44,14 @@
 test('a server gets no more lookups than the limit that it names, and the others get the rest', async (t) => {
   const bench = await startTestGateway({ clock: createFakeClock() });
   t.teardown(bench.stop);
-  const limited = await callServer(bench, {
+  const limited = await callAnyServer(bench, {
     id: 'first',
     headers: nameLimit(String(LIMIT_PER_S)),
   });
   let arrived = 1;
   for (let call = 0; call < CALLS; call += 1) {
     const answered = bench.send({ target: '/safe/x', id: `call-${call}` });
-    const { request, server } = await nextAnywhere(bench.servers);
+    const { request, server } = await takeNextRequest(bench.servers);
     const isLimited = server === limited;
     if (isLimited) arrived += 1;
     server.answer(request, 200, 'yes', isLimited ? nameLimit(String(LIMIT_PER_S)) : {});
@@ -63,15 +63,15 @@
 test('prompts count for the limit that a server names', async (t) => {
   const bench = await startTestGateway({ clock: createFakeClock() });
   t.teardown(bench.stop);
-  const first = bench.follow({ ...buildStream(), id: 'first' });
-  const taken = await nextAnywhere(bench.servers);
+  const first = bench.follow({ ...buildStreamRequest(), id: 'first' });
+  const taken = await takeNextRequest(bench.servers);
   taken.request.response.setHeader(HEADERS.limit, String(LIMIT_PER_S));
   sendEvents(taken, 1, 2);
   await first.done;
   let arrived = 1;
   for (let stream = 0; stream < CALLS; stream += 1) {
-    const followed = bench.follow({ ...buildStream(), id: `stream-${stream}` });
-    const next = await nextAnywhere(bench.servers);
+    const followed = bench.follow({ ...buildStreamRequest(), id: `stream-${stream}` });
+    const next = await takeNextRequest(bench.servers);
     if (next.server === taken.server) {
       arrived += 1;
       next.request.response.setHeader(HEADERS.limit, String(LIMIT_PER_S));
@@ -85,8 +85,8 @@
 test('a lookup beyond the limits of all servers is refused at once, with a time to come back', async (t) => {
   const bench = await startTestGateway({ clock: createFakeClock(), serverIds: ['i-1'] });
   t.teardown(bench.stop);
-  await callServer(bench, { id: 'first', headers: nameLimit('0.5') });
-  const refused = await sendInVain(bench, { target: '/unsafe/x', id: 'second' });
+  await callAnyServer(bench, { id: 'first', headers: nameLimit('0.5') });
+  const refused = await sendExpectingRefusal(bench, { target: '/unsafe/x', id: 'second' });
   t.is(refused?.status, 503);
   t.true(Number(refused?.headers['retry-after']) > 0);
 });
@@ -95,10 +95,10 @@
   const clock = createFakeClock();
   const bench = await startTestGateway({ clock, serverIds: ['i-1'] });
   t.teardown(bench.stop);
-  await callServer(bench, { id: 'first', headers: nameLimit('0.5') });
+  await callAnyServer(bench, { id: 'first', headers: nameLimit('0.5') });
   clock.advance(WINDOW_S * 1000);
-  await callServer(bench, { id: 'last of the limit' });
-  for (let call = 0; call < CALLS; call += 1) await callServer(bench, { id: `call-${call}` });
+  await callAnyServer(bench, { id: 'last of the limit' });
+  for (let call = 0; call < CALLS; call += 1) await callAnyServer(bench, { id: `call-${call}` });
   t.is(bench.servers[0]?.countRequests(), CALLS + 2);
 });
 
@@ -107,12 +107,12 @@
   const first = await startTestGateway({ serverIds: ['i-1'], settings: { peerAddress } });
   t.teardown(first.stop);
   const second = await startTestGateway({
-    beside: first,
+    sharedWith: first,
     settings: { vm: 'vm-2', availabilityZone: 'z2', seedAddresses: [peerAddress] },
   });
   t.teardown(second.stop);
   await second.waitForLine('peers known');
-  await callServer(first, { id: 'first', headers: nameLimit(String(LIMIT_PER_S)) });
+  await callAnyServer(first, { id: 'first', headers: nameLimit(String(LIMIT_PER_S)) });
   await second.waitForLine('server limit', ({ source }) => source === 'told');
   const [server] = first.servers as [StandInServer];
   server.addListener(() => {
--- a/tests/gateway/sharedRows.test.ts
+++ b/tests/gateway/sharedRows.test.ts
@@ -7,7 +7,7 @@
 import type { StatementsResponse, StatementsRequest } from '../../src/application/rows';
 import { QUIET_LOG } from '../../standins/fakes';
 import { readOk } from '../_lib/readOk';
-import { buildIdleServices } from './_lib/buildIdleServices';
+import { buildStubServices } from './_lib/buildStubServices';
 
 const STATEMENTS: StatementsResponse = {
   heldMs: 12.5,
@@ -31,7 +31,7 @@
 /** A gateway that answers as the test says, and a client that calls it. */
 const setUp = async (answer: (request: StatementsRequest) => Promise<StatementsResponse>) => {
   const handlers = createGatewayHandlers({
-    ...buildIdleServices(),
+    ...buildStubServices(),
     handleKnowledge: (knowledge) => knowledge,
     handleRequest: answer,
   });
--- a/tests/gateway/storeOutages.test.ts
+++ b/tests/gateway/storeOutages.test.ts
@@ -143,7 +143,7 @@
       const { configure, leave, play, store } = setUp(lostAtMs);
       const steps = [
         { atMs: 4900, run: configure },
-        { atMs: lostAtMs, run: () => store.loseWaiting(table) },
+        { atMs: lostAtMs, run: () => store.dropPendingCalls(table) },
         { atMs: lostAtMs + 10, run: table === TABLES.operator ? configure : leave },
         { atMs: lostAtMs + 900, run: configure },
       ];
--- a/tests/gateway/storeRestores.test.ts
+++ b/tests/gateway/storeRestores.test.ts
@@ -3,7 +3,7 @@
 import test from 'ava';
 import { PATHS, CONFIGURATION_KEY, HEADERS, TABLES } from '../../platform';
 import { buildWireConfiguration, buildWireEntry, type StandInServer } from '../../standins/gateway';
-import { callServer } from './_lib/callServer';
+import { callAnyServer } from './_lib/callAnyServer';
 import { startTestGateway, type TestGateway } from './_lib/startTestGateway';
 
 /** Whole reads after which what the store holds must be known; a sound VM makes two. */
@@ -17,7 +17,7 @@
 
 /** Writes rows that the copy lacks, so that the store falls behind what the gateway holds. */
 const writeBeyondCopy = async ({ servers, store, waitForLine }: TestGateway): Promise<void> => {
-  store.saveCopy();
+  store.saveSnapshot();
   for (let row = 0; row < OTHER_ROWS; row += 1) store.writeRow(TABLES.status, 'other', { row });
   store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildWireConfiguration({ version: 3 }));
   servers.forEach((server) =>
@@ -45,8 +45,8 @@
 test('the log says when the store came back in another era', async (t) => {
   const bench = await startTestGateway();
   t.teardown(bench.stop);
-  bench.store.saveCopy();
-  bench.store.restoreCopy();
+  bench.store.saveSnapshot();
+  bench.store.restoreSnapshot();
   t.true(await isToldInTime(bench, 'store era', ({ era }) => era === 2));
 });
 
@@ -54,7 +54,7 @@
   const bench = await startTestGateway();
   t.teardown(bench.stop);
   await writeBeyondCopy(bench);
-  bench.store.restoreCopy();
+  bench.store.restoreSnapshot();
   bench.store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildWireConfiguration({ version: 4 }));
   t.true(await isToldInTime(bench, 'configuration in force', ({ version }) => version === 4));
 });
@@ -63,7 +63,7 @@
   const bench = await startTestGateway();
   t.teardown(bench.stop);
   await writeBeyondCopy(bench);
-  bench.store.restoreCopy();
+  bench.store.restoreSnapshot();
   const [leaving] = bench.servers as [StandInServer];
   bench.store.writeRow(
     TABLES.servers,
@@ -82,13 +82,14 @@
     for (; reads < MAX_READS; reads += 1) await bench.store.waitForCall(PATHS.readRows);
   };
   const counted = countReads();
-  bench.store.restoreCopy();
+  bench.store.restoreSnapshot();
   const isTold = bench.waitForLine(
     'store era',
     ({ era, table }) => era === 2 && table === TABLES.servers,
   );
   await Promise.race([counted, isTold]);
-  for (let call = 0; call < CALLS_SENT; call += 1) await callServer(bench, { id: `call-${call}` });
+  for (let call = 0; call < CALLS_SENT; call += 1)
+    await callAnyServer(bench, { id: `call-${call}` });
   t.true(reads < MAX_READS, `${reads} reads`);
 });
 
@@ -96,17 +97,17 @@
   const bench = await startTestGateway();
   t.teardown(bench.stop);
   const [leaving] = bench.servers as [StandInServer];
-  bench.store.saveCopy();
+  bench.store.saveSnapshot();
   bench.store.writeRow(
     TABLES.servers,
     leaving.id,
     buildWireEntry(leaving, { state: 'draining', sequence: 3 }),
   );
   await bench.waitForLine('server leaving', ({ server }) => server === leaving.id);
-  bench.store.restoreCopy();
+  bench.store.restoreSnapshot();
   await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   for (let call = 0; call < CALLS_SENT; call += 1) {
-    t.not((await callServer(bench, { id: `call-${call}` })).id, leaving.id);
+    t.not((await callAnyServer(bench, { id: `call-${call}` })).id, leaving.id);
   }
 });
 
@@ -114,13 +115,13 @@
   const bench = await startTestGateway();
   t.teardown(bench.stop);
   const [gone] = bench.servers as [StandInServer];
-  bench.store.saveCopy();
+  bench.store.saveSnapshot();
   bench.store.writeRow(TABLES.servers, gone.id, null);
   await bench.waitForLine('server gone', ({ server }) => server === gone.id);
-  bench.store.restoreCopy();
+  bench.store.restoreSnapshot();
   await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   for (let call = 0; call < CALLS_SENT; call += 1) {
-    t.not((await callServer(bench, { id: `call-${call}` })).id, gone.id);
+    t.not((await callAnyServer(bench, { id: `call-${call}` })).id, gone.id);
   }
 });
 
@@ -129,16 +130,16 @@
   t.teardown(bench.stop);
   const [kept, late] = bench.servers as [StandInServer, StandInServer];
   bench.store.writeRow(TABLES.servers, late.id, null);
-  bench.store.saveCopy();
+  bench.store.saveSnapshot();
   bench.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
   bench.store.writeRow(TABLES.servers, kept.id, null);
   await bench.waitForLine('server gone', ({ server }) => server === kept.id);
-  bench.store.restoreCopy();
+  bench.store.restoreSnapshot();
   await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
-  t.is((await callServer(bench, { id: 'meanwhile' })).id, late.id);
+  t.is((await callAnyServer(bench, { id: 'meanwhile' })).id, late.id);
   bench.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
   t.is(
-    (await callServer(bench, { id: 'after', headers: { [HEADERS.load]: '0,0,8' } })).id,
+    (await callAnyServer(bench, { id: 'after', headers: { [HEADERS.load]: '0,0,8' } })).id,
     late.id,
   );
 });
--- a/tests/model/_lib/checkRowsWorld/index.ts
+++ b/tests/model/_lib/listRowsViolations/index.ts
@@ -1,4 +1,4 @@
-import { WORLD_TABLES, type RowsVm, type RowsWorld } from '../../../../standins/rows';
+import { FLEET_TABLES, type RowsVm, type RowsFleet } from '../../../../standins/rows';
 
 /** A change that the store acknowledged. */
 export interface AcknowledgedChange {
@@ -8,8 +8,8 @@
 }
 
 /** What was known of the world when it is looked at. */
-export interface WorldView {
-  readonly world: RowsWorld;
+export interface RowsObservation {
+  readonly world: RowsFleet;
   readonly changes: readonly AcknowledgedChange[];
   readonly changeMs: number;
   /** Whether the VM has been undisturbed for the settling time, as has the store. */
@@ -17,7 +17,7 @@
 }
 
 /** Rows that a VM lacks, or holds although they are gone, of those that it takes for complete. */
-const listWrongRows = ({ store }: RowsWorld, vm: RowsVm, table: string): string[] => {
+const listWrongRows = ({ store }: RowsFleet, vm: RowsVm, table: string): string[] => {
   const version = vm.readVersion(table);
   const held = vm.readRows(table);
   const present = store.listRowsAt(table, version);
@@ -37,17 +37,17 @@
 };
 
 /** Lists what must hold and does not. */
-export const listBrokenRules = ({
+export const listRowsViolations = ({
   changeMs,
   changes,
   isInTouch,
   world,
-}: WorldView): readonly string[] => {
+}: RowsObservation): readonly string[] => {
   const nowMs = world.clock.readMonotonicMs();
   return world.vms
     .filter((vm) => vm.isAlive())
     .flatMap((vm) =>
-      WORLD_TABLES.flatMap((table) => {
+      FLEET_TABLES.flatMap((table) => {
         const due = changes
           .filter((change) => change.table === table && change.atMs <= nowMs - changeMs)
           .reduce((newest, { version }) => Math.max(newest, version), 0);
--- a/tests/model/_lib/playRowsSchedule/index.ts
+++ b/tests/model/_lib/runRowsSchedule/index.ts
@@ -1,7 +1,7 @@
 import { createSeededRandomness } from '../../../../standins/fakes';
-import { createRowsWorld, type RowsVm, type RowsWorld } from '../../../../standins/rows';
+import { createRowsFleet, type RowsVm, type RowsFleet } from '../../../../standins/rows';
 import type { EventLog } from '../../../../src/application/ports';
-import { listBrokenRules, type AcknowledgedChange } from '../checkRowsWorld';
+import { listRowsViolations, type AcknowledgedChange } from '../listRowsViolations';
 
 /** A schedule of changes and disturbances, drawn from its seed. */
 export interface ScheduleOptions {
@@ -12,7 +12,7 @@
 }
 
 /** What a play showed. */
-export interface SchedulePlay {
+export interface ScheduleResult {
   /** What did not hold, the first ones. */
   readonly broken: readonly string[];
   readonly steps: readonly string[];
@@ -42,17 +42,17 @@
 }
 
 /** Plays a schedule. */
-export const playRowsSchedule = async ({
+export const runRowsSchedule = async ({
   hasRestores = false,
   log,
   seed,
-}: ScheduleOptions): Promise<SchedulePlay> => {
+}: ScheduleOptions): Promise<ScheduleResult> => {
   const randomness = createSeededRandomness(seed);
   const draw = (least: number, most: number): number =>
     Math.floor(least + randomness.readFraction() * (most - least));
   const pick = <T>(items: readonly T[]): T => items[draw(0, items.length)] as T;
   const bounds = pick(BOUNDS);
-  const world: RowsWorld = createRowsWorld({ seed, bounds, zones: ZONES, ...(log ? { log } : {}) });
+  const world: RowsFleet = createRowsFleet({ seed, bounds, zones: ZONES, ...(log ? { log } : {}) });
   const { clock, store } = world;
   const changes: AcknowledgedChange[] = [];
   /** When each VM, and the store, was disturbed last; Infinity while it is. */
@@ -92,7 +92,7 @@
     () => {
       const vm = pickVm();
       const how = pick(['stopped', 'suspended'] as const);
-      addSpan(`${vm.name} ${how}`, vm.name, () => vm.clock.stand(how), vm.clock.resume);
+      addSpan(`${vm.name} ${how}`, vm.name, () => vm.clock.pause(how), vm.clock.resume);
     },
     () => {
       const vm = pickVm();
@@ -100,8 +100,8 @@
       addSpan(
         `${vm.name} store ${path}`,
         vm.name,
-        () => vm.store.setPath(path),
-        () => vm.store.setPath('open'),
+        () => vm.store.setReachability(path),
+        () => vm.store.setReachability('open'),
       );
     },
     () => {
@@ -171,7 +171,7 @@
 
   /** What was lost is written again a little later, as it stood last. */
   const restoreStore = (): void => {
-    const lost = store.restoreCopy(draw(1, MAX_LOST));
+    const lost = store.restoreSnapshot(draw(1, MAX_LOST));
     // While it is silent it stays disturbed.
     disturbedMs.set(STORE, Math.max(disturbedMs.get(STORE) ?? 0, clock.readMonotonicMs()));
     const last = new Map(lost.map((row) => [`${row.table}/${row.key}`, row]));
@@ -214,7 +214,7 @@
     const nextMs = Math.min(nowMs + LOOK_MS, Math.max(nowMs, left[0]?.atMs ?? Infinity));
     await clock.advanceAsync(nextMs - nowMs);
     while (left[0] && left[0].atMs <= nextMs) left.shift()?.run();
-    broken.push(...listBrokenRules({ world, changes, changeMs: bounds.changeMs, isInTouch }));
+    broken.push(...listRowsViolations({ world, changes, changeMs: bounds.changeMs, isInTouch }));
   }
   world.vms.forEach((vm) => vm.kill());
   return {
--- a/tests/model/sharedRows.test.ts
+++ b/tests/model/sharedRows.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import { playRowsSchedule } from './_lib/playRowsSchedule';
+import { runRowsSchedule } from './_lib/runRowsSchedule';
 
 /** More by hand: `JACKDAW_SCHEDULES=20000 npx ava tests/model/sharedRows.test.ts`. */
 const SCHEDULES = Number(process.env.JACKDAW_SCHEDULES ?? 300);
@@ -21,7 +21,7 @@
 ): Promise<string[]> => {
   const found: string[] = [];
   for (const seed of seeds) {
-    const { broken } = await playRowsSchedule({ seed, ...options });
+    const { broken } = await runRowsSchedule({ seed, ...options });
     if (broken.length > 0) found.push(`seed ${seed}: ${broken.join('; ')}`);
   }
   return found;
--- a/tools/rollout-model/main.ts
+++ b/tools/rollout-model/main.ts
@@ -1,7 +1,7 @@
 // Simulates many rollouts in virtual time, decided by the gateways' own code:
 // `npx tsx tools/rollout-model/main.ts [count] [vms]`.
 import { createSeededRandomness } from '../../standins/fakes';
-import { runRolloutModel, VersionTrait, type RolloutModel } from '../../standins/rollouts';
+import { simulateRollout, VersionTrait, type RolloutSimulation } from '../../standins/rollouts';
 
 const [count = 200, vms = 9] = process.argv.slice(2).map(Number);
 
@@ -10,7 +10,7 @@
 const MAX_EXTRA_TRIALS = 25;
 const MAX_LATE_MS = 2000;
 
-const drawModel = (seed: number): RolloutModel => {
+const drawModel = (seed: number): RolloutSimulation => {
   // Adjacent seeds give similar first numbers: spread the seeds and skip the first numbers.
   const { readFraction: draw } = createSeededRandomness(seed * 7919);
   for (let skipped = 0; skipped < 20; skipped += 1) draw();
@@ -32,7 +32,7 @@
 const counts = new Map<string, number>();
 for (let seed = 1; seed <= count; seed += 1) {
   const model = drawModel(seed);
-  const result = await runRolloutModel(model);
+  const result = await simulateRollout(model);
   const { lateMs, requests, state, trials } = result;
   const name = `${model.trait === VersionTrait.Good ? 'good' : 'bad'} ${state ?? 'no status'}`;
   counts.set(name, (counts.get(name) ?? 0) + 1);
