--- a/tools/bench/config/_lib/createOperator/index.ts
+++ b/tools/bench/config/_lib/createOperator/index.ts
@@ -15,21 +15,21 @@
 /** An accepted apply. */
 export interface AcceptedApply {
   readonly row: ConfigurationRow;
-  /** When the operator was told, `performance.now()`. */
+  /** When the apply returned to the operator, as `performance.now()`. */
   readonly atMs: number;
 }
 
-/** An operator who changes the weight of the workspace of his own name. */
+/** An operator who changes the weight of the workspace with the operator's name. */
 export interface Operator {
   readonly name: string;
-  /** Puts a first configuration into force. */
+  /** Applies the first configuration. */
   applyFirst(configuration: Configuration): Promise<AcceptedApply | string>;
-  /** Reads the newest version, changes it and applies it; gives an error's kind if refused. */
+  /** Changes the newest version and applies it; resolves with the kind of error if refused. */
   applyChange(): Promise<AcceptedApply | string>;
   /** Repeats `applyChange` until it is accepted. */
   applyUntilAccepted(): Promise<AcceptedApply>;
   listHistory(limit: number): Promise<readonly ConfigurationRow[]>;
-  /** Weights that were accepted, oldest first. */
+  /** Lists the accepted applies, oldest first. */
   listAccepted(): readonly AcceptedApply[];
   countConflicts(): number;
   close(): Promise<void>;
@@ -42,7 +42,7 @@
   return { ...configuration, workspaces };
 }
 
-/** Creates an operator with his own connections to the table. */
+/** Creates an operator with separate connections to the table. */
 export function createOperator(name: string, settings: DynamoTableSettings): Operator {
   const clock = createSystemClock();
   const randomness = createSystemRandomness();
--- a/tools/bench/config/_lib/runChanges/index.ts
+++ b/tools/bench/config/_lib/runChanges/index.ts
@@ -3,12 +3,12 @@
 import type { VersionTracker } from '../createVersionTracker';
 import type { Fleet } from '../startFleet';
 
-/** Each so many rounds an answer of the table is lost after it took effect. */
+/** Every this many rounds, an answer of the table to a completed write is lost. */
 const LOSE_ANSWER_EVERY = 5;
-/** Each so many rounds an entry is restarted while the change spreads. */
+/** Every this many rounds, an entry is restarted while the change propagates. */
 const RESTART_EVERY = 8;
 
-/** What the rounds need. */
+/** Dependencies of the rounds. */
 export interface ChangesDependencies {
   readonly platform: StandInPlatform;
   readonly fleet: Fleet;
@@ -23,8 +23,8 @@
 }
 
 /**
- * Runs rounds in which all operators apply a change of their own at the same moment; who loses
- * applies again over the winner's.
+ * Runs rounds in which all operators apply a change concurrently; after a conflict, an operator
+ * applies again on top of the accepted version.
  *
  * @returns time from each accepted apply until it was in force at every running entry
  */
--- a/tools/bench/load/_lib/startBenchAttempt/index.ts
+++ b/tools/bench/load/_lib/startBenchAttempt/index.ts
@@ -3,20 +3,20 @@
 import type { EngineClient, EngineError, Slot } from '../../../../../src/application/ports';
 import type { GenerationRequest, TokenBatch } from '../../../../../src/domain/types';
 
-/** An attempt whose first batch is there. */
+/** An attempt whose first batch has arrived. */
 export interface StartedAttempt {
   readonly first: TokenBatch;
   readonly rest: AsyncIterator<Result<TokenBatch, EngineError>>;
 }
 
-/** What an attempt sends. */
+/** Content of an attempt. */
 export interface AttemptStart {
   readonly request: GenerationRequest;
   readonly streamId: string;
   readonly prefixTokenIds: readonly number[];
 }
 
-/** Starts an attempt and waits for its first batch; aborted, it is cancelled at the engine. */
+/** Starts an attempt and waits for its first batch; an abort cancels it at the engine. */
 export async function startBenchAttempt(
   engines: EngineClient,
   { request, streamId, prefixTokenIds }: AttemptStart,
--- a/tools/scenario/_lib/readAnswer/index.ts
+++ b/tools/scenario/_lib/readAnswer/index.ts
@@ -12,7 +12,7 @@
   }
 };
 
-/** The end of a request that nothing answered. */
+/** The end of a request that received no answer. */
 export const NO_ANSWER: CallerEnd = {
   kind: 'cut',
   status: 0,
--- a/tools/scenario/_lib/waitForCondition/index.ts
+++ b/tools/scenario/_lib/waitForCondition/index.ts
@@ -5,7 +5,7 @@
 
 const PROBE_INTERVAL_MS = 20;
 
-/** True once the entry's `/readyz` answers so. */
+/** Returns whether the entry's `/readyz` answers that it is ready. */
 const probeReadiness = async (context: RunContext, name: string): Promise<boolean> => {
   try {
     const response = await fetch(`${context.deployment.readUrl(name)}/readyz`);
@@ -16,7 +16,7 @@
   }
 };
 
-/** Asks until the answer is yes; the scenario's own limit ends it. */
+/** Polls until `probe` returns true or the run has ended, at the latest at its timeout. */
 const probeUntil = async (context: RunContext, probe: () => Promise<boolean>): Promise<void> => {
   while (!context.isStopped() && !(await probe())) {
     await new Promise((resolve) => {
@@ -75,7 +75,7 @@
   log: ({ name, text }, context) => context.notifier.waitFor(() => findLine(context, name, text)),
 };
 
-/** Waits for the event that a step names; an empty text is no wait. */
+/** Waits for the condition that a step names; returns at once for an empty text. */
 export async function waitForCondition(context: RunContext, text: string): Promise<void> {
   if (text === '') return;
   const condition = parseCondition(text);
--- a/tools/scenario/createStepHandlers/index.ts
+++ b/tools/scenario/createStepHandlers/index.ts
@@ -41,7 +41,7 @@
     model: step.model,
     stream: step.via !== 'unstreamed',
     max_tokens: step.tokens,
-    // The same key stands for the same dossier, whoever sends it.
+    // Requests with the same key have the same prompt, whoever sends them.
     messages: [{ role: 'user', content: `Review dossier ${step.key || step.name}.` }],
   },
 });
@@ -62,7 +62,7 @@
   return caller;
 };
 
-const signal =
+const createSignalHandler =
   (name: NodeJS.Signals) =>
   (step: { readonly target: string }, context: RunContext): void => {
     const found = findChildren(context, step.target);
@@ -138,7 +138,7 @@
         name: step.name,
         path: `/services/${step.service}/run`,
         headers: buildHeaders(step),
-        // The same key stands for the same work, whoever sends it.
+        // Calls with the same key have the same work, whoever sends them.
         body: { work: step.key || step.name },
       };
       const caller = createCaller(request, context.notifier);
@@ -146,10 +146,10 @@
       context.running.push(sendCall(caller, context.deployment.readUrl(step.entry)));
     },
     abandon: (step, context) => findCaller(context, step.name).readConnection().abort.abort(),
-    kill: signal('SIGKILL'),
-    freeze: signal('SIGSTOP'),
-    thaw: signal('SIGCONT'),
-    terminate: signal('SIGTERM'),
+    kill: createSignalHandler('SIGKILL'),
+    freeze: createSignalHandler('SIGSTOP'),
+    thaw: createSignalHandler('SIGCONT'),
+    terminate: createSignalHandler('SIGTERM'),
     start: async (step, context) => {
       await Promise.all(findChildren(context, step.target).map((child) => child.restart()));
     },
--- a/tools/scenario/runScenario/index.ts
+++ b/tools/scenario/runScenario/index.ts
@@ -47,32 +47,34 @@
     ])
     .join('\n');
 
-/** Rejects after the scenario's own limit: only to fail, never to go on. */
-const startLimit = (timeoutMs: number): { readonly over: Promise<never>; stop: () => void } => {
+/** Starts the scenario's timeout; `expired` never resolves and rejects when the time is over. */
+const startTimeout = (
+  timeoutMs: number,
+): { readonly expired: Promise<never>; stop: () => void } => {
   let timer: NodeJS.Timeout;
-  const over = new Promise<never>((_resolve, reject) => {
-    timer = setTimeout(() => reject(new Error(`not over after ${timeoutMs} ms`)), timeoutMs);
+  const expired = new Promise<never>((_resolve, reject) => {
+    timer = setTimeout(() => reject(new Error(`timed out after ${timeoutMs} ms`)), timeoutMs);
   });
-  return { over, stop: () => clearTimeout(timer) };
+  return { expired, stop: () => clearTimeout(timer) };
 };
 
-/** Runs one scenario on real processes and ends them all. */
+/** Runs one scenario with real processes, and kills all of them at the end. */
 export async function runScenario({ name, scenario }: ScenarioFile): Promise<ScenarioResult> {
   const startedMs = performance.now();
-  const board = createEventNotifier();
-  const limit = startLimit(scenario.timeout_ms);
-  const deployment = createDeployment(scenario, board);
-  let stopped = false;
+  const notifier = createEventNotifier();
+  const timeout = startTimeout(scenario.timeout_ms);
+  const deployment = createDeployment(scenario, notifier);
+  let isStopped = false;
   let step = 'start';
   const run = async (): Promise<readonly string[]> => {
     await deployment.start();
     const context: RunContext = {
       scenario,
       deployment,
-      notifier: board,
+      notifier,
       callers: new Map(),
       running: [],
-      isStopped: () => stopped,
+      isStopped: () => isStopped,
       listDecisions: () => deployment.started.flatMap(readDecisions),
     };
     step = 'readiness';
@@ -85,12 +87,12 @@
   };
   let faults: readonly string[];
   try {
-    faults = await Promise.race([run(), limit.over]);
+    faults = await Promise.race([run(), timeout.expired]);
   } catch (error) {
     faults = [`${step}: ${error instanceof Error ? error.message : String(error)}`];
   }
-  stopped = true;
-  limit.stop();
+  isStopped = true;
+  timeout.stop();
   const logs = faults.length > 0 ? renderLogs(deployment) : '';
   await deployment.stop();
   return { name, faults, tookMs: performance.now() - startedMs, logs };
--- a/tools/scenario/startChild/index.ts
+++ b/tools/scenario/startChild/index.ts
@@ -9,11 +9,11 @@
   readonly args: readonly string[];
   readonly notifier: EventNotifier;
   readonly restart: () => Promise<void>;
-  /** Called once it has been started. */
+  /** Called right after the process was spawned. */
   readonly onStart: (child: Child) => void;
 }
 
-/** Starts a Node.js process and keeps its lines; each line and the exit are events. */
+/** Starts a Node.js process and keeps its output; each line and the exit wake waiting steps. */
 export function startChild(options: ChildOptions): Child {
   const { availabilityZone, notifier, name, restart } = options;
   const child = spawn(process.execPath, [...options.args], { stdio: ['ignore', 'pipe', 'pipe'] });
