--- a/tests/model/_lib/createClaimModel/index.ts
+++ b/tests/model/_lib/createClaimModel/index.ts
@@ -10,22 +10,22 @@
 import type { ClaimRow } from '../../../../src/domain/types';
 import type { Model } from '../findViolation';
 
-/** What a VM draws for its revisions. */
+/** Random first revisions that a VM uses for its claim and for its takeover. */
 export interface ActorRevisions {
   readonly claim: number;
   readonly takeOver: number;
 }
 
-/** The rules under test; a test replaces one by a faulty one. */
+/** The rules under test; a test may replace one by a faulty one. */
 export interface ClaimRules {
   readonly chooseAcquireStep: typeof chooseAcquireStep;
   readonly chooseTakeoverStep: typeof chooseTakeoverStep;
   readonly chooseUpdateStep: typeof chooseUpdateStep;
-  /** Random revisions of the two VMs: for a claim, and for a takeover. */
+  /** First revisions of the two VMs. */
   readonly revisions: readonly [ActorRevisions, ActorRevisions];
 }
 
-/** The product's rules. */
+/** The rules that the gateway uses. */
 export const CLAIM_RULES: ClaimRules = {
   chooseAcquireStep,
   chooseTakeoverStep,
@@ -39,7 +39,7 @@
 type Write = Extract<ClaimStep, { kind: 'write' }>;
 type Phase = 'acquire' | 'take-over' | 'update' | 'ended';
 
-/** One VM: claims the key, takes over what it finds taken, then updates. */
+/** One VM: claims the key, takes over a claim that it finds held, then updates the claim. */
 interface Actor {
   readonly phase: Phase;
   readonly claim: ClaimRow;
@@ -50,41 +50,41 @@
   readonly step: ClaimStep;
 }
 
-/** A write, and the claim id of the holder whose update it is, or null if it is no update. */
+/** A write, with the claim id of the holder that sent it as an update; null for other writes. */
 interface SentWrite {
   readonly write: Write;
   readonly holder: string | null;
 }
 
-/** State of the model: the table, writes still on their way, and two VMs. */
+/** State of the model: the claim's row, delayed writes, and two VMs. */
 export interface ClaimWorld {
   readonly row: ClaimRow | null;
-  readonly late: readonly SentWrite[];
+  readonly delayed: readonly SentWrite[];
   readonly actors: readonly [Actor, Actor];
-  readonly granted: number;
+  readonly grantCount: number;
   readonly faultsLeft: number;
   readonly removalsLeft: number;
-  readonly wrong: string | null;
+  readonly violation: string | null;
 }
 
-const CHANGE = { attempt: 1 };
+const UPDATE = { attempt: 1 };
 
-const wrap = (row: ClaimRow | null): ClaimReply => ({
+const buildReply = (row: ClaimRow | null): ClaimReply => ({
   kind: 'current',
   row: row === null ? null : { row, expiresAtS: 0 },
 });
 
-/** Lets a write reach the table. Whatever a holder changes must be its own row. */
+/** Applies a conditional write. An update by a holder must only change the holder's own claim. */
 function applyWrite(world: ClaimWorld, { write, holder }: SentWrite): ClaimWorld {
   const { row } = world;
   if ((row?.revision ?? null) !== write.expectedRevision) return world;
-  const foreign = holder !== null && row?.claimId !== holder;
-  const wrong = foreign ? 'a holder that was replaced changed the row' : world.wrong;
-  return { ...world, row: write.row, wrong };
+  const isForeign = holder !== null && row?.claimId !== holder;
+  const violation = isForeign ? 'a replaced holder changed the row' : world.violation;
+  return { ...world, row: write.row, violation };
 }
 
 function startUpdate(actor: Actor, row: ClaimRow): Actor {
-  const sent = { ...row, ...CHANGE, revision: row.revision + 1 };
+  const sent = { ...row, ...UPDATE, revision: row.revision + 1 };
   const step: ClaimStep = { kind: 'write', row: sent, expectedRevision: row.revision };
   return { ...actor, phase: 'update', holder: row.claimId, sent, step };
 }
@@ -97,15 +97,15 @@
   return { ...actor, phase: 'take-over', seen, sent, step };
 }
 
-/** Moves an actor whose change came to its end on to its next one. */
-function startNext(actor: Actor, step: ClaimStep): Actor {
+/** Starts the next operation of an actor whose operation has ended. */
+function startNextOperation(actor: Actor, step: ClaimStep): Actor {
   const ended: Actor = { ...actor, phase: 'ended', step };
   if (step.kind === 'done') return actor.phase === 'update' ? ended : startUpdate(actor, step.row);
-  const isTaken = actor.phase === 'acquire' && step.kind === 'lost' && step.row !== null;
-  return isTaken ? startTakeOver(actor, step.row) : ended;
+  const isHeld = actor.phase === 'acquire' && step.kind === 'lost' && step.row !== null;
+  return isHeld ? startTakeOver(actor, step.row) : ended;
 }
 
-/** Creates the model of two VMs that claim one key. */
+/** Creates the model of two VMs that claim the same key. */
 export function createClaimModel(
   rules: ClaimRules,
   bounds: { readonly faults: number; readonly removals: number },
@@ -113,7 +113,7 @@
   const chooseStep: Record<Phase, (actor: Actor, reply: ClaimReply) => ClaimStep> = {
     acquire: ({ sent }, reply) => rules.chooseAcquireStep(sent, reply, 0),
     'take-over': ({ seen, sent }, reply) => rules.chooseTakeoverStep(seen ?? sent, sent, reply),
-    update: ({ sent }, reply) => rules.chooseUpdateStep(sent, CHANGE, reply),
+    update: ({ sent }, reply) => rules.chooseUpdateStep(sent, UPDATE, reply),
     ended: ({ step }) => step,
   };
 
@@ -122,44 +122,44 @@
     const step = chooseStep[actor.phase](actor, reply);
     const sent = step.kind === 'write' ? step.row : actor.sent;
     const ended = step.kind === 'done' || step.kind === 'lost';
-    const next = ended ? startNext(actor, step) : { ...actor, step, sent };
+    const next = ended ? startNextOperation(actor, step) : { ...actor, step, sent };
     const isGrant = actor.phase === 'acquire' && step.kind === 'done';
     return {
       ...world,
       actors: world.actors.map((other, n) => (n === index ? next : other)) as [Actor, Actor],
-      granted: world.granted + (isGrant ? 1 : 0),
+      grantCount: world.grantCount + (isGrant ? 1 : 0),
     };
   };
 
-  const listWriteEnds = (world: ClaimWorld, index: number, write: Write): ClaimWorld[] => {
+  const listWriteOutcomes = (world: ClaimWorld, index: number, write: Write): ClaimWorld[] => {
     const { holder } = world.actors[index] as Actor;
     const applied = applyWrite(world, { write, holder });
-    const reply: ClaimReply = applied === world ? wrap(world.row) : { kind: 'written' };
+    const reply: ClaimReply = applied === world ? buildReply(world.row) : { kind: 'written' };
     const answered = handleReply(applied, index, reply);
     if (world.faultsLeft === 0) return [answered];
     const faultsLeft = world.faultsLeft - 1;
-    const late = [...world.late, { write, holder }];
+    const delayed = [...world.delayed, { write, holder }];
     const unknown: ClaimReply = { kind: 'unknown' };
     return [
       answered,
       handleReply({ ...applied, faultsLeft }, index, unknown),
-      // Lost on its way, unless it still arrives.
-      handleReply({ ...world, faultsLeft, late }, index, unknown),
+      // The write is lost, or applied later.
+      handleReply({ ...world, faultsLeft, delayed }, index, unknown),
     ];
   };
 
   const listActorSteps = (world: ClaimWorld, index: number): ClaimWorld[] => {
     const { step } = world.actors[index] as Actor;
-    if (step.kind === 'read') return [handleReply(world, index, wrap(world.row))];
-    return step.kind === 'write' ? listWriteEnds(world, index, step) : [];
+    if (step.kind === 'read') return [handleReply(world, index, buildReply(world.row))];
+    return step.kind === 'write' ? listWriteOutcomes(world, index, step) : [];
   };
 
   const listNext = (world: ClaimWorld): ClaimWorld[] => [
     ...listActorSteps(world, 0),
     ...listActorSteps(world, 1),
-    ...world.late.map((sent, n) => ({
+    ...world.delayed.map((sent, n) => ({
       ...applyWrite(world, sent),
-      late: world.late.filter((_, other) => other !== n),
+      delayed: world.delayed.filter((_, other) => other !== n),
     })),
     ...(world.removalsLeft > 0 && world.row !== null
       ? [{ ...world, row: null, removalsLeft: world.removalsLeft - 1 }]
@@ -192,17 +192,17 @@
   return {
     initial: {
       row: null,
-      late: [],
+      delayed: [],
       actors: [buildActor(0), buildActor(1)],
-      granted: 0,
+      grantCount: 0,
       faultsLeft: bounds.faults,
       removalsLeft: bounds.removals,
-      wrong: null,
+      violation: null,
     },
     listNext,
-    checkState: ({ wrong, granted, removalsLeft }) => {
-      const isDouble = granted > 1 && removalsLeft === bounds.removals;
-      return wrong ?? (isDouble ? 'both VMs were granted the claim' : null);
+    checkState: ({ violation, grantCount, removalsLeft }) => {
+      const isGrantedTwice = grantCount > 1 && removalsLeft === bounds.removals;
+      return violation ?? (isGrantedTwice ? 'both VMs were granted the claim' : null);
     },
   };
 }
--- a/tests/model/_lib/createLeaseModel/index.ts
+++ b/tests/model/_lib/createLeaseModel/index.ts
@@ -8,16 +8,16 @@
 } from '../../../../src/domain/lease';
 import type { Model } from '../findViolation';
 
-/** The rules under test; a test replaces one by a faulty one. */
+/** The rules under test; a test may replace one by a faulty one. */
 export interface LeaseRules {
   readonly updateLeaseObservation: typeof updateLeaseObservation;
   readonly isOrderAllowed: typeof isOrderAllowed;
   readonly isTakeoverDue: typeof isTakeoverDue;
-  /** Whether the lease counts from before the write was sent, or from its answer. */
+  /** Whether the lease starts when the write is sent or when it is answered. */
   readonly countsFrom: 'send' | 'answer';
 }
 
-/** The product's rules. */
+/** The rules that the keeper uses. */
 export const LEASE_RULES: LeaseRules = {
   updateLeaseObservation,
   isOrderAllowed,
@@ -25,28 +25,28 @@
   countsFrom: 'send',
 };
 
-/** Lease times in ticks of the model. */
+/** Duration and margins of the lease, in ticks of the model. */
 const DURATION = 2;
 const ORDER_MARGIN = 1;
 const TAKEOVER_MARGIN = 1;
-/** Ages beyond this are alike: all of the rules' times have passed. */
+/** Older ages are equivalent, since every duration and margin has passed. */
 const MAX_AGE = DURATION + TAKEOVER_MARGIN + 1;
 
 interface PendingWrite {
   readonly row: LeaseRow;
   readonly expectedRevision: number | null;
   readonly sentAt: number;
-  /** Whether it took effect, once it has reached the table. */
+  /** Whether the write was applied; null until the write reaches the table. */
   readonly isWritten: boolean | null;
 }
 
-/** One keeper: reads, writes the lease where the rules allow it, and sends orders. */
+/** One keeper: reads the lease, writes the lease where the rules allow, and sends orders. */
 interface Keeper {
-  readonly sighting: LeaseObservation | null;
+  readonly observation: LeaseObservation | null;
   readonly held: HeldLease | null;
-  /** Sent, not answered yet; takes effect at any moment, or never. */
+  /** A write without an answer yet; applied at any time or never. */
   readonly pending: PendingWrite | null;
-  /** Revision and time of an order on its way. */
+  /** Revision and send time of an order in flight. */
   readonly order: { readonly revision: number; readonly sentAt: number } | null;
 }
 
@@ -55,12 +55,12 @@
   readonly now: number;
   readonly row: LeaseRow | null;
   readonly keepers: readonly [Keeper, Keeper];
-  /** Writes whose sender gave them up, and that still arrive. */
-  readonly late: readonly PendingWrite[];
-  /** Highest revision of an order that the engine took. */
-  readonly taken: number;
+  /** Writes that arrive after their sender gave them up. */
+  readonly delayed: readonly PendingWrite[];
+  /** Highest revision among the orders that the engine accepted. */
+  readonly highestRevision: number;
   readonly faultsLeft: number;
-  readonly wrong: string | null;
+  readonly violation: string | null;
 }
 
 const applyWrite = (world: LeaseWorld, write: PendingWrite): LeaseWorld =>
@@ -79,44 +79,44 @@
 const formatWrite = ({ row, expectedRevision, isWritten }: PendingWrite): string =>
   `${formatRow(row)}/${expectedRevision}/${isWritten}`;
 
-/** Times count only by their age, so that the search ends although time does not. */
+/** Formats times as capped ages, so that the state space is finite. */
 function formatKey(world: LeaseWorld): string {
   const formatAge = (atMs: number): number => Math.min(MAX_AGE, world.now - atMs);
-  const formatKeeper = ({ sighting, held, pending, order }: Keeper): string =>
+  const formatKeeper = ({ observation, held, pending, order }: Keeper): string =>
     [
-      sighting && `${formatRow(sighting.row)}@${formatAge(sighting.firstSeenAtMs)}`,
+      observation && `${formatRow(observation.row)}@${formatAge(observation.firstSeenAtMs)}`,
       held && `${held.revision}@${formatAge(held.renewedAtMs)}`,
       pending && `${formatWrite(pending)}@${formatAge(pending.sentAt)}`,
       order && `${order.revision}@${formatAge(order.sentAt)}`,
     ].join(',');
-  const { row, keepers, late, taken, faultsLeft, wrong } = world;
-  const parts = [formatRow(row), ...keepers.map(formatKeeper), ...late.map(formatWrite)];
-  return [...parts, taken, faultsLeft, wrong].join(';');
+  const { row, keepers, delayed, highestRevision, faultsLeft, violation } = world;
+  const parts = [formatRow(row), ...keepers.map(formatKeeper), ...delayed.map(formatWrite)];
+  return [...parts, highestRevision, faultsLeft, violation].join(';');
 }
 
-/** Creates the model of two keepers of one region. */
+/** Creates the model of two keepers that compete for the lease of a region. */
 export function createLeaseModel(
   rules: LeaseRules,
   bounds: { readonly faults: number; readonly revisions: number },
 ): Model<LeaseWorld> {
   const listReads = (world: LeaseWorld, index: number): LeaseWorld[] => {
-    const { sighting: before, pending } = world.keepers[index] as Keeper;
+    const { observation: before, pending } = world.keepers[index] as Keeper;
     if (pending !== null) return [];
-    const sighting = rules.updateLeaseObservation(before, world.row, world.now);
+    const observation = rules.updateLeaseObservation(before, world.row, world.now);
     const isOwn = world.row?.holder === `keeper-${index}`;
-    return [updateKeeper(world, index, isOwn ? { sighting } : { sighting, held: null })];
+    return [updateKeeper(world, index, isOwn ? { observation } : { observation, held: null })];
   };
 
   const listWriteStarts = (world: LeaseWorld, index: number): LeaseWorld[] => {
-    const { sighting, pending } = world.keepers[index] as Keeper;
-    if (sighting === null || pending !== null) return [];
+    const { observation, pending } = world.keepers[index] as Keeper;
+    if (observation === null || pending !== null) return [];
     const holder = `keeper-${index}`;
-    const isOwn = sighting.row?.holder === holder;
-    if (!isOwn && !rules.isTakeoverDue(sighting, world.now, TAKEOVER_MARGIN)) return [];
-    const revision = (sighting.row?.revision ?? 0) + 1;
+    const isOwn = observation.row?.holder === holder;
+    if (!isOwn && !rules.isTakeoverDue(observation, world.now, TAKEOVER_MARGIN)) return [];
+    const revision = (observation.row?.revision ?? 0) + 1;
     if (revision > bounds.revisions) return [];
     const row: LeaseRow = { holder, vm: holder, durationMs: DURATION, revision };
-    const expectedRevision = sighting.row?.revision ?? null;
+    const expectedRevision = observation.row?.revision ?? null;
     return [
       updateKeeper(world, index, {
         pending: { row, expectedRevision, sentAt: world.now, isWritten: null },
@@ -129,12 +129,12 @@
       return updateKeeper(world, index, { held: null, pending: null });
     const renewedAtMs = rules.countsFrom === 'send' ? pending.sentAt : world.now;
     const held = { revision: pending.row.revision, renewedAtMs, durationMs: DURATION };
-    const sighting = rules.updateLeaseObservation(null, pending.row, world.now);
-    return updateKeeper(world, index, { held, sighting, pending: null });
+    const observation = rules.updateLeaseObservation(null, pending.row, world.now);
+    return updateKeeper(world, index, { held, observation, pending: null });
   };
 
-  /** A write reaches the table, its answer comes some time after, or either is lost or late. */
-  const listWriteEnds = (world: LeaseWorld, index: number): LeaseWorld[] => {
+  /** A write reaches the table and is answered later; write and answer may be lost or delayed. */
+  const listWriteOutcomes = (world: LeaseWorld, index: number): LeaseWorld[] => {
     const pending = world.keepers[index]?.pending ?? null;
     if (pending === null) return [];
     const lost = updateKeeper(world, index, { pending: null });
@@ -146,21 +146,21 @@
     const applied = applyWrite(world, pending);
     const isWritten = applied !== world;
     const reached = updateKeeper(applied, index, { pending: { ...pending, isWritten } });
-    const late = [...lost.late, pending];
-    return faultsLeft < 0 ? [reached] : [reached, { ...lost, late, faultsLeft }];
+    const delayed = [...lost.delayed, pending];
+    return faultsLeft < 0 ? [reached] : [reached, { ...lost, delayed, faultsLeft }];
   };
 
   const listOrders = (world: LeaseWorld, index: number): LeaseWorld[] => {
     const { held, order } = world.keepers[index] as Keeper;
     if (order !== null) {
       const { revision } = order;
-      const isOld = revision < world.taken;
+      const isStale = revision < world.highestRevision;
       const arrived = updateKeeper(world, index, { order: null });
       return [
         {
           ...arrived,
-          taken: Math.max(world.taken, revision),
-          wrong: isOld ? 'an old order arrived after a newer one' : world.wrong,
+          highestRevision: Math.max(world.highestRevision, revision),
+          violation: isStale ? 'an old order arrived after a newer one' : world.violation,
         },
       ];
     }
@@ -169,7 +169,7 @@
     return [updateKeeper(world, index, { order: sent })];
   };
 
-  /** Time stands still while an order is older than the margin: by then it has arrived. */
+  /** An order arrives within its margin: time stops while an order of that age is in flight. */
   const listTicks = (world: LeaseWorld): LeaseWorld[] => {
     const isOverdue = world.keepers.some(
       ({ order }) => order !== null && world.now - order.sentAt >= ORDER_MARGIN,
@@ -177,31 +177,31 @@
     return isOverdue ? [] : [{ ...world, now: world.now + 1 }];
   };
 
-  const keeper: Keeper = { sighting: null, held: null, pending: null, order: null };
+  const keeper: Keeper = { observation: null, held: null, pending: null, order: null };
   return {
     initial: {
       now: 0,
       row: null,
       keepers: [keeper, keeper],
-      late: [],
-      taken: 0,
+      delayed: [],
+      highestRevision: 0,
       faultsLeft: bounds.faults,
-      wrong: null,
+      violation: null,
     },
     listNext: (world) => [
       ...listTicks(world),
       ...[0, 1].flatMap((index) => [
         ...listReads(world, index),
         ...listWriteStarts(world, index),
-        ...listWriteEnds(world, index),
+        ...listWriteOutcomes(world, index),
         ...listOrders(world, index),
       ]),
-      ...world.late.map((write, n) => ({
+      ...world.delayed.map((write, n) => ({
         ...applyWrite(world, write),
-        late: world.late.filter((_, other) => other !== n),
+        delayed: world.delayed.filter((_, other) => other !== n),
       })),
     ],
-    checkState: ({ wrong }) => wrong,
+    checkState: ({ violation }) => violation,
     formatKey,
   };
 }
--- a/tests/model/_lib/findViolation/index.ts
+++ b/tests/model/_lib/findViolation/index.ts
@@ -1,21 +1,21 @@
-/** A model: all states that can follow a state, and what must never hold. */
+/** A model: an initial state, the successors of each state, and an invariant. */
 export interface Model<State> {
   readonly initial: State;
   readonly listNext: (state: State) => readonly State[];
-  /** What is wrong with the state, or null. */
+  /** Describes how the state violates the invariant; null if the state is valid. */
   readonly checkState: (state: State) => string | null;
-  /** Alike for states that behave alike; the JSON of the state if absent. */
+  /** Returns the same key for equivalent states; defaults to the JSON of the state. */
   readonly formatKey?: (state: State) => string;
 }
 
 /** Result of a search that visited every state. */
 export interface SearchResult<State> {
   readonly states: number;
-  /** Shortest way to a state that is wrong, or null. */
+  /** Shortest path to a state that violates the invariant, or null. */
   readonly violation: { readonly reason: string; readonly path: readonly State[] } | null;
 }
 
-/** Searches stop with an error beyond this, since a partial one shows nothing. */
+/** A larger search throws, since a partial search proves nothing. */
 const MAX_STATES = 2_000_000;
 
 interface Visit<State> {
@@ -27,7 +27,7 @@
   return visit.from === null ? [visit.state] : [...buildPath(visit.from), visit.state];
 }
 
-/** Visits every state that can be reached, breadth first, until one is wrong. */
+/** Visits every reachable state, breadth first, until a state violates the invariant. */
 export function findViolation<State>(model: Model<State>): SearchResult<State> {
   const formatKey = model.formatKey ?? JSON.stringify;
   const seen = new Set([formatKey(model.initial)]);
@@ -47,7 +47,8 @@
         }
       }
     }
-    if (seen.size > MAX_STATES) throw new Error('the model has too many states');
+    if (seen.size > MAX_STATES)
+      throw new Error('the model has more states than the search may visit');
     level = next;
   }
   return { states: seen.size, violation: null };
--- a/tests/model/_lib/playRowsSchedule/index.ts
+++ b/tests/model/_lib/runRowsSchedule/index.ts
@@ -1,20 +1,20 @@
 import { createSeededRandomness } from '../../../../standins/fakes';
 import { createRowsWorld, type RowsVm, type RowsWorld } from '../../../../standins/rows';
 import type { EventLog } from '../../../../src/application/ports';
-import { listBrokenRules, type AcknowledgedChange } from '../checkRowsWorld';
+import { listRowsViolations, type AcknowledgedChange } from '../listRowsViolations';
 
-/** A schedule of changes and disturbances, drawn from its seed. */
+/** Options of a random schedule of changes and disturbances. */
 export interface ScheduleOptions {
   readonly seed: number;
-  /** True: the store may come back from a copy. */
+  /** Whether the store may be restored from an older copy. */
   readonly hasRestores?: boolean;
   readonly log?: (vm: string) => EventLog;
 }
 
-/** What a play showed. */
-export interface SchedulePlay {
-  /** What did not hold, the first ones. */
-  readonly broken: readonly string[];
+/** Outcome of a schedule. */
+export interface ScheduleResult {
+  /** The first violations of the rules. */
+  readonly violations: readonly string[];
   readonly steps: readonly string[];
   readonly calls: number;
 }
@@ -25,13 +25,13 @@
 ] as const;
 
 const ZONES = ['z1', 'z1', 'z1', 'z2', 'z2'];
-const LOOK_MS = 100;
-/** Changes go on for so long after the last disturbance has ended. */
+const CHECK_INTERVAL_MS = 100;
+/** Time after the last disturbance during which changes continue. */
 const CALM_MS = 12_000;
 const DISTURBED_MS = 22_000;
 const STEPS = 30;
 
-/** Changes that a copy lacks at the most, and the time until they are written again. */
+/** Most changes that a copy lacks, and the longest time until a lost row is written again. */
 const MAX_LOST = 9;
 const MAX_REWRITE_MS = 1500;
 
@@ -41,12 +41,12 @@
   readonly run: () => void;
 }
 
-/** Plays a schedule. */
-export const playRowsSchedule = async ({
+/** Runs a random schedule in virtual time and checks the rules after each step. */
+export const runRowsSchedule = async ({
   hasRestores = false,
   log,
   seed,
-}: ScheduleOptions): Promise<SchedulePlay> => {
+}: ScheduleOptions): Promise<ScheduleResult> => {
   const randomness = createSeededRandomness(seed);
   const draw = (least: number, most: number): number =>
     Math.floor(least + randomness.readFraction() * (most - least));
@@ -55,7 +55,7 @@
   const world: RowsWorld = createRowsWorld({ seed, bounds, zones: ZONES, ...(log ? { log } : {}) });
   const { clock, store } = world;
   const changes: AcknowledgedChange[] = [];
-  /** When each VM, and the store, was disturbed last; Infinity while it is. */
+  /** Last disturbed time of each VM and the store; Infinity during a disturbance. */
   const disturbedMs = new Map<string, number>();
   const STORE = 'store';
 
@@ -68,7 +68,7 @@
   const add = (atMs: number, name: string, run: () => void): void => {
     steps.push({ atMs, name: `${atMs} ${name}`, run });
   };
-  /** A disturbance of a VM or the store, and its end. */
+  /** Adds the begin and the end of a disturbance; `disturbed` is the VM or the store, if any. */
   const addSpan = (
     name: string,
     disturbed: string | null,
@@ -132,14 +132,14 @@
     },
     () => {
       const vm = pickVm();
-      const ways = pick(['in', 'out', 'both'] as const);
+      const directions = pick(['in', 'out', 'both'] as const);
       const setLinks = (isCut: boolean): void =>
         world.vms.forEach(({ name }) => {
-          if (ways !== 'out') world.setLink(name, vm.name, isCut);
-          if (ways !== 'in') world.setLink(vm.name, name, isCut);
+          if (directions !== 'out') world.setLink(name, vm.name, isCut);
+          if (directions !== 'in') world.setLink(vm.name, name, isCut);
         });
       addSpan(
-        `${vm.name} cut off from VMs, ${ways}`,
+        `${vm.name} cut off from VMs, ${directions}`,
         null,
         () => setLinks(true),
         () => setLinks(false),
@@ -169,10 +169,10 @@
       }),
   ];
 
-  /** What was lost is written again a little later, as it stood last. */
+  /** Restores the store from a copy; the last value of each lost row is written again later. */
   const restoreStore = (): void => {
     const lost = store.restoreCopy(draw(1, MAX_LOST));
-    // While it is silent it stays disturbed.
+    // A store that is silent stays disturbed.
     disturbedMs.set(STORE, Math.max(disturbedMs.get(STORE) ?? 0, clock.readMonotonicMs()));
     const last = new Map(lost.map((row) => [`${row.table}/${row.key}`, row]));
     last.forEach(({ key, table, value }) =>
@@ -203,22 +203,27 @@
   }
 
   steps.sort((one, other) => one.atMs - other.atMs);
-  const isInTouch = (vm: RowsVm): boolean =>
+  const isSettled = (vm: RowsVm): boolean =>
     [vm.name, STORE].every(
       (name) => (disturbedMs.get(name) ?? -Infinity) <= clock.readMonotonicMs() - bounds.settleMs,
     );
-  const broken: string[] = [];
-  const left = [...steps];
-  while (clock.readMonotonicMs() < DISTURBED_MS + CALM_MS + 6000 && broken.length === 0) {
+  const violations: string[] = [];
+  const remaining = [...steps];
+  while (clock.readMonotonicMs() < DISTURBED_MS + CALM_MS + 6000 && violations.length === 0) {
     const nowMs = clock.readMonotonicMs();
-    const nextMs = Math.min(nowMs + LOOK_MS, Math.max(nowMs, left[0]?.atMs ?? Infinity));
+    const nextMs = Math.min(
+      nowMs + CHECK_INTERVAL_MS,
+      Math.max(nowMs, remaining[0]?.atMs ?? Infinity),
+    );
     await clock.advanceAsync(nextMs - nowMs);
-    while (left[0] && left[0].atMs <= nextMs) left.shift()?.run();
-    broken.push(...listBrokenRules({ world, changes, changeMs: bounds.changeMs, isInTouch }));
+    while (remaining[0] && remaining[0].atMs <= nextMs) remaining.shift()?.run();
+    violations.push(
+      ...listRowsViolations({ world, changes, changeMs: bounds.changeMs, isSettled }),
+    );
   }
   world.vms.forEach((vm) => vm.kill());
   return {
-    broken: broken.slice(0, 3),
+    violations: violations.slice(0, 3),
     steps: steps.map(({ name }) => name),
     calls: store.countCalls(),
   };
--- a/tests/model/claims.test.ts
+++ b/tests/model/claims.test.ts
@@ -1,22 +1,22 @@
-// Every order of the steps of two VMs that claim one key, with writes whose answer is lost, writes
-// that are lost or arrive late, pauses anywhere (a VM that does not move), and a row that the
-// platform removes. Each seeded fault must be found, else the search shows nothing.
+// Explores every interleaving of two VMs that claim the same key, with lost answers, lost or delayed
+// writes, pauses of a VM, and a row that the platform removes. The search must also find each seeded
+// fault, which shows that it can detect a violation.
 import test from 'ava';
 import { CLAIM_RULES, createClaimModel, type ClaimRules } from './_lib/createClaimModel';
 import { findViolation } from './_lib/findViolation';
 
 const BOUNDS = { faults: 3, removals: 1 };
 
-test('no order of steps gives two grants, or lets a replaced holder write', (t) => {
+test('no interleaving grants a claim twice or lets a replaced holder write', (t) => {
   const { states, violation } = findViolation(createClaimModel(CLAIM_RULES, BOUNDS));
   t.is(violation, null);
   t.log(`${states} states`);
   t.true(states > 1000);
 });
 
-const SEEDED: readonly (readonly [string, Partial<ClaimRules>])[] = [
+const FAULTY_RULES: readonly (readonly [string, Partial<ClaimRules>])[] = [
   [
-    'a lost answer taken for a grant',
+    'a lost answer is treated as a grant',
     {
       chooseAcquireStep: (sent, reply, nowS) =>
         reply.kind === 'unknown'
@@ -25,17 +25,17 @@
     },
   ],
   [
-    'an update that does not compare claim ids',
+    'an update does not compare claim ids',
     {
       chooseUpdateStep: (sent, change, reply) => {
         const row = reply.kind === 'current' ? (reply.row?.row ?? sent) : sent;
-        const blind = { ...sent, claimId: row.claimId };
-        return CLAIM_RULES.chooseUpdateStep(blind, change, reply);
+        const unchecked = { ...sent, claimId: row.claimId };
+        return CLAIM_RULES.chooseUpdateStep(unchecked, change, reply);
       },
     },
   ],
   [
-    'first revisions alike',
+    'both VMs use the same first revision',
     {
       revisions: [
         { claim: 1, takeOver: 1000 },
@@ -44,7 +44,7 @@
     },
   ],
   [
-    'a takeover that counts on by one',
+    'a takeover increments the revision by one',
     {
       revisions: [
         { claim: 100, takeOver: 1 },
@@ -54,7 +54,7 @@
   ],
 ];
 
-SEEDED.forEach(([name, rules]) => {
+FAULTY_RULES.forEach(([name, rules]) => {
   test(`finds a seeded fault: ${name}`, (t) => {
     const { violation } = findViolation(createClaimModel({ ...CLAIM_RULES, ...rules }, BOUNDS));
     t.truthy(violation);
--- a/tests/model/configurations.test.ts
+++ b/tests/model/configurations.test.ts
@@ -1,6 +1,6 @@
-// Two operators apply a configuration at the same moment, in any order of their reads and writes,
-// with answers lost and writes that arrive after they were given up; and every way in which a group
-// of VMs can be split from the table. Each seeded fault must be found, else this shows nothing.
+// Two operators apply a configuration concurrently, with any interleaving of their reads and writes,
+// lost answers, and writes that arrive after they were given up. Also checks every network partition
+// between VMs and the table. The checks must also find each seeded fault.
 import test from 'ava';
 import fc from 'fast-check';
 import {
@@ -44,7 +44,7 @@
   return { outcomes, rows };
 }
 
-/** Exactly one operator is told that it was accepted, and its row is the one that stands. */
+/** Exactly one operator's change is accepted, and the stored row is that change. */
 const buildProperty = (wrap: Wrap) =>
   fc.asyncProperty(
     fc.scheduler(),
@@ -68,13 +68,13 @@
 
 const RUNS = { seed: 7, numRuns: 500 };
 
-test('of two operators one is accepted, and nothing accepted is replaced', async (t) => {
+test('exactly one of two concurrent changes is accepted, and an accepted change is not replaced', async (t) => {
   const property = buildProperty((table) => table);
   await fc.assert(property, RUNS);
   t.pass();
 });
 
-test('finds a seeded fault: versions written without their condition', async (t) => {
+test('finds a seeded fault: versions are written unconditionally', async (t) => {
   const ignoreConditions: Wrap = (table) => ({
     ...table,
     writeItem: (item) => table.writeItem(item, { kind: 'any' }),
@@ -83,35 +83,38 @@
   t.true(failed);
 });
 
-/** Splits of up to nine VMs: some read the table, a group that cannot hears only itself. */
-function findUnsafeSplit(check: typeof checkFreshness): string | null {
+/**
+ * Finds a partition of up to nine VMs with a wrong decision. Some VMs read the table; the VMs of one
+ * group do not, and hear only each other.
+ */
+function findUnsafePartition(check: typeof checkFreshness): string | null {
   for (let vms = 1; vms <= 9; vms += 1) {
-    for (let reading = 0; reading < vms; reading += 1) {
-      for (let heard = 1; heard <= vms - reading; heard += 1) {
-        const goesOn = check({
+    for (let readers = 0; readers < vms; readers += 1) {
+      for (let heard = 1; heard <= vms - readers; heard += 1) {
+        const isServing = check({
           newestReadAgeMs: FRESHNESS_LIMIT_MS + 1,
           vmsHeard: heard,
           vmsRegistered: vms,
           behindMs: 0,
         }).isOk();
-        // A table that is up is read by at least half of the VMs; one that no VM reads is down.
-        const isUp = reading * 2 >= vms;
-        const split = `${heard} of ${vms} VMs hear each other, ${reading} read the table`;
-        if (goesOn && isUp) return split;
-        if (!goesOn && reading === 0 && heard * 2 > vms) return split;
+        // At least half of the VMs read a table that is up; a table that no VM reads is down.
+        const isUp = readers * 2 >= vms;
+        const partition = `${heard} of ${vms} VMs hear each other, ${readers} read the table`;
+        if (isServing && isUp) return partition;
+        if (!isServing && readers === 0 && heard * 2 > vms) return partition;
       }
     }
   }
   return null;
 }
 
-test('no split lets a VM go on that may miss a change, and an outage stops no majority', (t) => {
-  t.is(findUnsafeSplit(checkFreshness), null);
+test('no partition lets a VM serve that may miss a change, and an outage stops no majority', (t) => {
+  t.is(findUnsafePartition(checkFreshness), null);
 });
 
-test('finds a seeded fault: an even split goes on', (t) => {
-  const found = findUnsafeSplit((evidence) =>
+test('finds a seeded fault: half of the VMs keep serving in an even partition', (t) => {
+  const partition = findUnsafePartition((evidence) =>
     checkFreshness({ ...evidence, vmsHeard: evidence.vmsHeard + 0.5 }),
   );
-  t.is(found, '1 of 2 VMs hear each other, 1 read the table');
+  t.is(partition, '1 of 2 VMs hear each other, 1 read the table');
 });
--- a/tests/model/leases.test.ts
+++ b/tests/model/leases.test.ts
@@ -1,6 +1,6 @@
-// Every order of the steps of two keepers of one region, in small ticks of time: pauses anywhere (a
-// keeper that does not move while time does), answers lost after the write took effect, writes that
-// arrive after they were given up, orders under way. The engine ignores fencing tokens.
+// Explores every interleaving of two keepers of one region in discrete time, with pauses of a keeper,
+// answers lost after the write was applied, writes that arrive after they were given up, and orders
+// in flight. The engine ignores fencing tokens.
 import test from 'ava';
 import { createLeaseModel, LEASE_RULES, type LeaseRules } from './_lib/createLeaseModel';
 import { findViolation } from './_lib/findViolation';
@@ -19,25 +19,25 @@
   });
 });
 
-const SEEDED: readonly (readonly [string, Partial<LeaseRules>])[] = [
-  ['a keeper that trusts its lease for ever', { isOrderAllowed: (held) => held !== null }],
+const FAULTY_RULES: readonly (readonly [string, Partial<LeaseRules>])[] = [
+  ['a keeper never lets its lease expire', { isOrderAllowed: (held) => held !== null }],
   [
-    'an order sent up to the end of the lease',
+    'orders are sent until the end of the lease',
     {
       isOrderAllowed: (held, nowMs) => LEASE_RULES.isOrderAllowed(held, nowMs, -1),
     },
   ],
   [
-    'a takeover before the lease has run out',
+    'a takeover happens before the lease has expired',
     {
-      isTakeoverDue: (sighting, nowMs, marginMs) =>
-        LEASE_RULES.isTakeoverDue(sighting, nowMs, marginMs - 2),
+      isTakeoverDue: (observation, nowMs, marginMs) =>
+        LEASE_RULES.isTakeoverDue(observation, nowMs, marginMs - 2),
     },
   ],
-  ['a lease counted from the answer', { countsFrom: 'answer' }],
+  ['the lease starts at the answer', { countsFrom: 'answer' }],
 ];
 
-SEEDED.forEach(([name, rules]) => {
+FAULTY_RULES.forEach(([name, rules]) => {
   test(`finds a seeded fault: ${name}`, (t) => {
     const model = createLeaseModel({ ...LEASE_RULES, ...rules }, { faults: 0, revisions: 3 });
     const { violation } = findViolation(model);
--- a/tests/model/rollouts.test.ts
+++ b/tests/model/rollouts.test.ts
@@ -1,5 +1,5 @@
-// Guards against a bad version that gets more requests than it may, or for longer, and against a good
-// one that is held up: a roll-out over many VMs, with losses.
+// Simulates rollouts over many VMs, with failures. Guards against a bad version that gets too many
+// requests or is reverted too late, and against a good version that is delayed.
 import test from 'ava';
 import { RolloutState } from '../../src/domain/rollouts';
 import {
@@ -11,15 +11,15 @@
 
 const BASE = { vms: 9, requestsPerS: 120, durationMs: 12_000, failing: 0.05 } as const;
 
-/** Half of what the operator bears. */
-const MAX_PART = 0.05;
-const MAX_EXTRA = 25;
-const MAX_LATE_MS = 2000;
+/** Half of the share of requests that the operator tolerates for a bad version. */
+const MAX_SHARE = 0.05;
+const MAX_EXTRA_TRIALS = 25;
+const MAX_REVERT_DELAY_MS = 2000;
 
 const BAD_TRAITS = Object.values(VersionTrait).filter((trait) => trait !== VersionTrait.Good);
 
 const isBounded = ({ lateMs, requests, trials }: RolloutModelResult): boolean =>
-  trials <= MAX_PART * requests + MAX_EXTRA && lateMs <= MAX_LATE_MS;
+  trials <= MAX_SHARE * requests + MAX_EXTRA_TRIALS && lateMs <= MAX_REVERT_DELAY_MS;
 
 const runSeeds = async (
   seeds: readonly number[],
@@ -31,7 +31,7 @@
 };
 
 BAD_TRAITS.forEach((trait) =>
-  test(`a version that is bad (${trait}) is reverted, and gets no more than its part`, async (t) => {
+  test(`a bad version (${trait}) is reverted and gets no more than its share`, async (t) => {
     const results = await runSeeds([1, 2, 3, 4, 5], { ...BASE, trait });
     t.deepEqual(
       results.map(({ state }) => state),
@@ -41,7 +41,7 @@
   }),
 );
 
-test('a good version is completed in time, at few calls to the store', async (t) => {
+test('a good version is completed in time with few store calls', async (t) => {
   const results = await runSeeds([1, 2, 3, 4, 5], { ...BASE, trait: VersionTrait.Good });
   t.deepEqual(
     results.map(({ state }) => state),
@@ -60,7 +60,7 @@
   t.true(result !== undefined && isBounded(result), JSON.stringify(result));
 });
 
-test('the next VM judges where the one that judged is lost', async (t) => {
+test('another VM takes over as judge when the judging VM is lost', async (t) => {
   const losses = { ...BASE, judgeLostAtMs: 1500 };
   const bad = await runSeeds([1, 2, 3], { ...losses, trait: VersionTrait.FailsLater });
   t.true(bad.every(isBounded), JSON.stringify(bad));
@@ -69,7 +69,7 @@
   t.true(good.every(({ state }) => state === RolloutState.Completed));
 });
 
-test('a version that was reverted stays so when all processes start anew', async (t) => {
+test('a reverted version stays reverted when all processes restart', async (t) => {
   const model = { ...BASE, restartAtMs: 7000, trait: VersionTrait.FailsHalf };
   const results = await runSeeds([1, 2, 3], model);
   t.true(
@@ -79,7 +79,7 @@
   t.true(results.every(isBounded), JSON.stringify(results));
 });
 
-test('a bad version gets no more than its part while the store answers nothing', async (t) => {
+test('a bad version gets no more than its share while the store does not answer', async (t) => {
   const storeAway = { fromMs: 0, untilMs: 8000 };
   const results = await runSeeds([1, 2, 3], { ...BASE, storeAway, trait: VersionTrait.FailsHalf });
   t.true(results.every(isBounded), JSON.stringify(results));
--- a/tests/model/serverLimits.test.ts
+++ b/tests/model/serverLimits.test.ts
@@ -1,5 +1,5 @@
-// Guards against a server that gets more requests than the rate limit that it names, or far fewer: many
-// VMs ask for permits while some of them restart, freeze, join or are cut off.
+// Simulates VMs that request permits while some of them restart, freeze, join or are partitioned.
+// Guards against a server that gets more requests than its announced rate limit, or far fewer.
 import test from 'ava';
 import { measureLimit, runLimitModel, type LimitModel } from '../../standins/limits';
 
@@ -10,29 +10,29 @@
 const FLEETS = [3, 9, 85, 195];
 
 const WINDOW_MS = 4000;
-const MAX_PART = 1.2;
-const MIN_PART = 0.8;
+const MAX_USED_SHARE = 1.2;
+const MIN_USED_SHARE = 0.8;
 
-const NAMED_AT_MS = 6000;
+const ANNOUNCED_AT_MS = 6000;
 
-/** Servers may have got any number until then, of which the windows know. */
+/** Start of the checks. Until then servers may get any number of requests; the windows count them. */
 const SETTLED_MS = 9500;
 
-/** What the operator bears from three seconds after a limit was named, windows from before included. */
-const BORNE_FROM_MS = 9000;
-const BORNE_PART = 1.5;
-const BORNE_EXTRA = 5;
+/** Excess that the operator tolerates, from three seconds after a limit was announced. */
+const TOLERANCE_FROM_MS = 9000;
+const TOLERATED_RATIO = 1.5;
+const TOLERATED_EXTRA = 5;
 
-/** VMs count from so long after they got an answer that names the limit. */
-const TOLD_MS = 500;
+/** A VM's requests count from this long after the VM received the limit. */
+const KNOWN_AFTER_MS = 500;
 
-const TROUBLE = { part: 0.34, fromMs: 13_000, untilMs: 17_000 } as const;
+const FAULT = { part: 0.34, fromMs: 13_000, untilMs: 17_000 } as const;
 const END_MS = 28_000;
 
-/** Times within which the limits must be used, and after which nothing is out of order any more. */
-const USED_FROM_MS = 20_000;
+/** From here on every fault is over, and the limits must be used. */
+const RECOVERED_MS = 20_000;
 
-const play = async (
+const runSeeds = async (
   model: Omit<LimitModel, 'limitsPerS' | 'requestsPerS' | 'seed'>,
 ): Promise<{ readonly mostPart: number; readonly usedPart: number }> => {
   const parts: { readonly mostPart: number; readonly usedPart: number }[] = [];
@@ -43,7 +43,7 @@
       const options = { limitPerS, untilMs: END_MS, windowMs: WINDOW_MS };
       const counted = arrivals.filter(({ atMs, vm }) => !result.isExcused(vm, atMs));
       const { mostPart } = measureLimit(counted, { ...options, fromMs: SETTLED_MS });
-      const { usedPart } = measureLimit(arrivals, { ...options, fromMs: USED_FROM_MS });
+      const { usedPart } = measureLimit(arrivals, { ...options, fromMs: RECOVERED_MS });
       parts.push({ mostPart, usedPart });
     });
   }
@@ -54,37 +54,37 @@
 };
 
 FLEETS.forEach((vms) => {
-  test(`${vms} VMs send servers what their limits allow, and hardly less`, async (t) => {
-    const { mostPart, usedPart } = await play({ vms });
-    t.true(mostPart <= MAX_PART, `${mostPart}`);
-    t.true(usedPart >= MIN_PART, `${usedPart}`);
+  test(`${vms} VMs use the servers' limits nearly fully and do not exceed them`, async (t) => {
+    const { mostPart, usedPart } = await runSeeds({ vms });
+    t.true(mostPart <= MAX_USED_SHARE, `${mostPart}`);
+    t.true(usedPart >= MIN_USED_SHARE, `${usedPart}`);
   });
 
-  test(`what ${vms} VMs sent before they knew of a limit counts for it`, async (t) => {
+  test(`requests that ${vms} VMs sent before they knew a limit count towards it`, async (t) => {
     for (const seed of SEEDS) {
       const model = { ...BASE, vms, seed, durationMs: SETTLED_MS + WINDOW_MS };
       const { arrivals, toldAtMs } = await runLimitModel(model);
       LIMITS_PER_S.forEach((limitPerS, index) => {
         const all = arrivals[index] ?? [];
-        const isTold = (vm: string, endMs: number): boolean =>
-          (toldAtMs[index]?.get(vm) ?? Infinity) <= endMs - TOLD_MS;
+        const knowsLimit = (vm: string, endMs: number): boolean =>
+          (toldAtMs[index]?.get(vm) ?? Infinity) <= endMs - KNOWN_AFTER_MS;
         const counts = all
           .map(({ atMs }) => atMs)
-          .filter((endMs) => endMs >= BORNE_FROM_MS)
+          .filter((endMs) => endMs >= TOLERANCE_FROM_MS)
           .map((endMs) =>
             all
               .filter(({ atMs }) => atMs > endMs - WINDOW_MS && atMs <= endMs)
-              .filter(({ vm }) => isTold(vm, endMs)),
+              .filter(({ vm }) => knowsLimit(vm, endMs)),
           );
         const most = Math.max(0, ...counts.map(({ length }) => length));
-        const borne = (limitPerS * WINDOW_MS * BORNE_PART) / 1000 + BORNE_EXTRA;
-        t.true(most <= borne, `${most} of ${borne}`);
+        const tolerated = (limitPerS * WINDOW_MS * TOLERATED_RATIO) / 1000 + TOLERATED_EXTRA;
+        t.true(most <= tolerated, `${most} of ${tolerated}`);
       });
     }
   });
 
-  test(`a limit that ends is forgotten by all of ${vms} VMs`, async (t) => {
-    const limitUntilMs = NAMED_AT_MS + WINDOW_MS;
+  test(`all of ${vms} VMs drop a limit that is no longer announced`, async (t) => {
+    const limitUntilMs = ANNOUNCED_AT_MS + WINDOW_MS;
     const { arrivals } = await runLimitModel({ ...BASE, vms, seed: 1, limitUntilMs });
     LIMITS_PER_S.forEach((_, index) => {
       const { usedPart } = measureLimit(arrivals[index] ?? [], {
@@ -93,17 +93,17 @@
         untilMs: limitUntilMs + 3 * WINDOW_MS,
         windowMs: WINDOW_MS,
       });
-      t.true(usedPart >= MIN_PART, `${usedPart}`);
+      t.true(usedPart >= MIN_USED_SHARE, `${usedPart}`);
     });
   });
 });
 
 (['restart', 'freeze', 'cut', 'join'] as const).forEach((kind) =>
   FLEETS.slice(1).forEach((vms) =>
-    test(`limits hold in a fleet of ${vms} VMs of which a third has trouble (${kind})`, async (t) => {
-      const { mostPart, usedPart } = await play({ vms, troubles: [{ ...TROUBLE, kind }] });
-      t.true(mostPart <= MAX_PART, `${mostPart}`);
-      t.true(usedPart >= MIN_PART, `${usedPart}`);
+    test(`limits hold in a fleet of ${vms} VMs while a third has a fault (${kind})`, async (t) => {
+      const { mostPart, usedPart } = await runSeeds({ vms, troubles: [{ ...FAULT, kind }] });
+      t.true(mostPart <= MAX_USED_SHARE, `${mostPart}`);
+      t.true(usedPart >= MIN_USED_SHARE, `${usedPart}`);
     }),
   ),
 );
--- a/tests/model/sharedRows.test.ts
+++ b/tests/model/sharedRows.test.ts
@@ -1,56 +1,56 @@
 import test from 'ava';
-import { playRowsSchedule } from './_lib/playRowsSchedule';
+import { runRowsSchedule } from './_lib/runRowsSchedule';
 
-/** More by hand: `JACKDAW_SCHEDULES=20000 npx ava tests/model/sharedRows.test.ts`. */
+/** Schedules per run. For more: `JACKDAW_SCHEDULES=20000 npx ava tests/model/sharedRows.test.ts`. */
 const SCHEDULES = Number(process.env.JACKDAW_SCHEDULES ?? 300);
 
 const PARTS = 4;
 
 /**
- * Seeds that once broke a rule: the stand-in of a VM's path to the store did not end a call that was
- * given up, so that a lost call for the servers was waited for to its limit.
+ * Seeds that once violated a rule: the fake network path to the store did not end an abandoned call,
+ * so that a lost call for the servers table was awaited until its timeout.
  */
-const FOUND_SEEDS: readonly number[] = [150, 162, 182, 454, 494, 1234, 1438, 1494, 1826, 1974];
+const REGRESSION_SEEDS: readonly number[] = [150, 162, 182, 454, 494, 1234, 1438, 1494, 1826, 1974];
 
-/** Seeds with a store that comes back from copies: a removal of an earlier era hid that a row was gone. */
-const FOUND_RESTORE_SEEDS: readonly number[] = [631, 664, 907];
+/** Seeds with a restored store, where a deletion of an earlier era hid that a row was gone. */
+const RESTORE_REGRESSION_SEEDS: readonly number[] = [631, 664, 907];
 
-const listBroken = async (
+const listViolations = async (
   seeds: readonly number[],
   options: { readonly hasRestores?: boolean } = {},
 ): Promise<string[]> => {
-  const found: string[] = [];
+  const failures: string[] = [];
   for (const seed of seeds) {
-    const { broken } = await playRowsSchedule({ seed, ...options });
-    if (broken.length > 0) found.push(`seed ${seed}: ${broken.join('; ')}`);
+    const { violations } = await runRowsSchedule({ seed, ...options });
+    if (violations.length > 0) failures.push(`seed ${seed}: ${violations.join('; ')}`);
   }
-  return found;
+  return failures;
 };
 
 for (let part = 0; part < PARTS; part += 1) {
-  test(`VMs in touch follow every change in time, whoever reads it: part ${part}`, async (t) => {
+  test(`undisturbed VMs apply every change in time, whichever VM reads it: part ${part}`, async (t) => {
     const seeds = Array.from(
       { length: Math.ceil(SCHEDULES / PARTS) },
       (_, at) => at * PARTS + part,
     );
     t.timeout(3_600_000);
-    t.deepEqual(await listBroken(seeds), []);
+    t.deepEqual(await listViolations(seeds), []);
   });
 
-  test(`VMs in touch follow a store that comes back from copies: part ${part}`, async (t) => {
+  test(`undisturbed VMs follow a store that is restored from copies: part ${part}`, async (t) => {
     const seeds = Array.from(
       { length: Math.ceil(SCHEDULES / PARTS / 2) },
       (_, at) => at * PARTS + part,
     );
     t.timeout(3_600_000);
-    t.deepEqual(await listBroken(seeds, { hasRestores: true }), []);
+    t.deepEqual(await listViolations(seeds, { hasRestores: true }), []);
   });
 }
 
-test('schedules that once broke a rule break none', async (t) => {
-  t.deepEqual(await listBroken(FOUND_SEEDS), []);
+test('schedules that once violated a rule violate none', async (t) => {
+  t.deepEqual(await listViolations(REGRESSION_SEEDS), []);
 });
 
-test('schedules with a restored store that once broke a rule break none', async (t) => {
-  t.deepEqual(await listBroken(FOUND_RESTORE_SEEDS, { hasRestores: true }), []);
+test('schedules with a restored store that once violated a rule violate none', async (t) => {
+  t.deepEqual(await listViolations(RESTORE_REGRESSION_SEEDS, { hasRestores: true }), []);
 });
