--- a/tests/gateway/_lib/buildIdleServices/index.ts
+++ b/tests/gateway/_lib/buildStubServices/index.ts
@@ -1,7 +1,7 @@
 import type { GatewayServices } from '../../../../src/adapters/connect';
 
-/** What a gateway does that others may call and that has nothing to tell. */
-export const buildIdleServices = (): Omit<GatewayServices, 'handleKnowledge'> => ({
+/** Stubs of the calls that a gateway serves to other gateways. */
+export const buildStubServices = (): Omit<GatewayServices, 'handleKnowledge'> => ({
   lendRetry: () => false,
   recordToldPrompt: () => undefined,
   handleReservation: () => 0,
--- a/tests/gateway/_lib/countRequests/index.ts
+++ b/tests/gateway/_lib/countRequests/index.ts
@@ -1,5 +1,5 @@
 import type { TestGateway } from '../startTestGateway';
 
-/** Requests that all servers have got together. */
+/** Counts the requests that all servers have received. */
 export const countRequests = ({ servers }: TestGateway): number =>
   servers.reduce((sum, server) => sum + server.countRequests(), 0);
--- a/tests/gateway/_lib/findBackup/index.ts
+++ b/tests/gateway/_lib/findBackup/index.ts
@@ -1,10 +1,10 @@
 import { HEADERS } from '../../../../platform';
 import type { StandInServer } from '../../../../standins/gateway';
-import type { Taken } from '../nextAnywhere';
+import type { TakenRequest } from '../takeNextRequest';
 import type { TestGateway } from '../startTestGateway';
 
-/** The server that a stream's memory is to be copied to. */
-export const findBackup = ({ servers }: TestGateway, { request }: Taken): StandInServer => {
+/** Finds the server that the KV cache of a stream is copied to. */
+export const findBackup = ({ servers }: TestGateway, { request }: TakenRequest): StandInServer => {
   const address = request.headers[HEADERS.kvBackup];
   const backup = servers.find((server) => server.address === address);
   if (!backup) throw new Error(`no server at ${String(address)}`);
--- a/tests/gateway/_lib/listEvents/index.ts
+++ b/tests/gateway/_lib/formatEvents/index.ts
@@ -1,7 +1,7 @@
 import { formatStandInEvent } from '../../../../standins/gateway';
 
-/** The body that holds the events with ids from `first` to `last`. */
-export const listEvents = (first: number, last: number): string =>
+/** Formats a response body with the events from `first` to `last`. */
+export const formatEvents = (first: number, last: number): string =>
   Array.from({ length: last - first + 1 }, (_, index) => formatStandInEvent(first + index)).join(
     '',
   );
--- a/tests/gateway/_lib/listOthers/index.ts
+++ /dev/null
@@ -1,6 +0,0 @@
-import type { StandInServer } from '../../../../standins/gateway';
-import type { TestGateway } from '../startTestGateway';
-
-/** All servers but one. */
-export const listOthers = ({ servers }: TestGateway, server: StandInServer): StandInServer[] =>
-  servers.filter((other) => other !== server);
--- a/tests/gateway/_lib/removeBackup/index.ts
+++ b/tests/gateway/_lib/removeBackup/index.ts
@@ -1,21 +1,21 @@
 import { TABLES } from '../../../../platform';
 import { formatStandInEvent, type StandInServer } from '../../../../standins/gateway';
 import { findBackup } from '../findBackup';
-import { nextAnywhere, type Taken } from '../nextAnywhere';
+import { takeNextRequest, type TakenRequest } from '../takeNextRequest';
 import type { FollowedAnswer, TestGateway } from '../startTestGateway';
 
 /**
- * Removes the server that a stream's memory is copied to, then answers with the first three events:
- * from here on the run is to be moved.
+ * Removes the server that the KV cache of a stream is copied to, then sends the first three events.
+ * The gateway then has to move the run.
  */
 export const removeBackup = async (
-  bench: TestGateway,
+  harness: TestGateway,
   followed: FollowedAnswer,
-): Promise<{ readonly first: Taken; readonly backup: StandInServer }> => {
-  const first = await nextAnywhere(bench.servers);
-  const backup = findBackup(bench, first);
-  bench.store.writeRow(TABLES.servers, backup.id, null);
-  await bench.waitForLine('server gone', ({ server }) => server === backup.id);
+): Promise<{ readonly first: TakenRequest; readonly backup: StandInServer }> => {
+  const first = await takeNextRequest(harness.servers);
+  const backup = findBackup(harness, first);
+  harness.store.writeRow(TABLES.servers, backup.id, null);
+  await harness.waitForLine('server gone', ({ server }) => server === backup.id);
   first.server.begin(first.request);
   first.server.emit(first.request, 1, 3);
   await followed.waitForText(formatStandInEvent(3));
--- a/tests/gateway/_lib/sendEvents/index.ts
+++ b/tests/gateway/_lib/sendEvents/index.ts
@@ -1,7 +1,11 @@
-import type { Taken } from '../nextAnywhere';
+import type { TakenRequest } from '../takeNextRequest';
 
-/** Answers with the events from `first` to `last`, and ends the stream. */
-export const sendEvents = ({ request, server }: Taken, first: number, last: number): void => {
+/** Sends the events from `first` to `last` and ends the stream. */
+export const sendEvents = (
+  { request, server }: TakenRequest,
+  first: number,
+  last: number,
+): void => {
   server.begin(request);
   server.emit(request, first, last);
   request.response.end();
--- a/tests/gateway/_lib/startTestGateway/index.ts
+++ b/tests/gateway/_lib/startTestGateway/index.ts
@@ -13,7 +13,7 @@
 import { readOk } from '../../../_lib/readOk';
 import { buildWireConfiguration, buildWireEntry, TEST_KEY } from '../../../../standins/gateway';
 
-/** What a caller sends; the rest is filled in. */
+/** Request of a caller; omitted fields have defaults. */
 export interface TestRequest {
   readonly target: string;
   readonly method?: string;
@@ -22,25 +22,25 @@
   readonly headers?: Readonly<Record<string, string>>;
 }
 
-/** An answer, its body read to the end. */
+/** An answer with its whole body. */
 export interface TestAnswer {
   readonly status: number;
   readonly headers: IncomingMessage['headers'];
   readonly body: string;
-  /** False: the connection was closed before the answer had ended. */
+  /** False if the connection was closed before the end of the answer. */
   readonly isWhole: boolean;
 }
 
-/** An answer that is followed while it comes. */
+/** An answer that is read while it arrives. */
 export interface FollowedAnswer {
-  /** Resolves when the body has this text. */
+  /** Resolves once the body contains the text. */
   waitForText(text: string): Promise<void>;
   /** Closes the connection. */
-  leave(): void;
+  disconnect(): void;
   readonly done: Promise<TestAnswer>;
 }
 
-/** A gateway with a store and servers that a test drives. */
+/** A gateway with a fake store and fake servers that a test controls. */
 export interface TestGateway {
   readonly gateway: Gateway;
   readonly store: StandInStore;
@@ -48,22 +48,22 @@
   /** Log lines so far. */
   readonly lines: readonly (EventFields & { readonly message: string })[];
   send(request: TestRequest): Promise<TestAnswer>;
-  /** Sends a request, and follows its answer as it comes. */
+  /** Sends a request and reads its answer while it arrives. */
   follow(request: TestRequest): FollowedAnswer;
-  /** Resolves at the next log line of this kind that passes. */
+  /** Resolves with the first log line that has this message and passes the filter. */
   waitForLine(message: string, passes?: (fields: EventFields) => boolean): Promise<EventFields>;
   stop(): Promise<void>;
 }
 
-/** Changes to what a test gateway begins with. */
+/** Options of a test gateway. */
 export interface TestGatewayOptions {
   readonly serverIds?: readonly string[];
   readonly configuration?: object;
   readonly isConfigured?: boolean;
   readonly settings?: Partial<GatewaySettings>;
   readonly clock?: Clock;
-  /** Store and servers of another test gateway, which ends them; else own ones. */
-  readonly beside?: Pick<TestGateway, 'servers' | 'store'>;
+  /** Another test gateway whose store and servers are shared, and which stops them. */
+  readonly sharedWith?: Pick<TestGateway, 'servers' | 'store'>;
 }
 
 const ZONES = ['z1', 'z2', 'z3'];
@@ -77,7 +77,7 @@
   ...headers,
 });
 
-/** Follows an answer; one that never began has the status 0. */
+/** Reads an answer while it arrives; the status is 0 if no response begins. */
 const followAnswer = (sent: ClientRequest): FollowedAnswer => {
   let body = '';
   let waiters: (() => void)[] = [];
@@ -87,7 +87,7 @@
       incoming.setEncoding('utf8');
       incoming.on('data', (text: string) => {
         body += text;
-        waiters.forEach((look) => look());
+        waiters.forEach((check) => check());
       });
       incoming.on('error', () => undefined);
       incoming.on('close', () =>
@@ -102,35 +102,35 @@
   });
   return {
     done,
-    leave: () => sent.destroy(),
+    disconnect: () => sent.destroy(),
     waitForText: (text) =>
       new Promise((resolve) => {
-        const look = (): void => {
+        const check = (): void => {
           if (!body.includes(text)) return;
-          waiters = waiters.filter((waiter) => waiter !== look);
+          waiters = waiters.filter((waiter) => waiter !== check);
           resolve();
         };
-        waiters.push(look);
-        look();
+        waiters.push(check);
+        check();
       }),
   };
 };
 
-/** Starts a gateway in this process, before a store and servers on loopback. */
+/** Starts a gateway in this process, with a fake store and fake servers on loopback. */
 export const startTestGateway = async (options: TestGatewayOptions = {}): Promise<TestGateway> => {
   const lines: (EventFields & { readonly message: string })[] = [];
   let waiters: (() => void)[] = [];
-  const take = (message: string, fields: EventFields): void => {
+  const record = (message: string, fields: EventFields): void => {
     lines.push({ ...fields, message });
-    waiters.forEach((look) => look());
+    waiters.forEach((check) => check());
   };
-  const log: EventLog = { info: take, warn: take, error: take };
-  const { beside } = options;
-  const store = beside?.store ?? (await createStandInStore());
-  const serverIds = beside?.servers.map(({ id }) => id) ?? options.serverIds ?? ['i-1', 'i-2'];
+  const log: EventLog = { info: record, warn: record, error: record };
+  const { sharedWith } = options;
+  const store = sharedWith?.store ?? (await createStandInStore());
+  const serverIds = sharedWith?.servers.map(({ id }) => id) ?? options.serverIds ?? ['i-1', 'i-2'];
   const servers =
-    beside?.servers ?? (await Promise.all(serverIds.map((id) => createStandInServer(id))));
-  if (!beside) {
+    sharedWith?.servers ?? (await Promise.all(serverIds.map((id) => createStandInServer(id))));
+  if (!sharedWith) {
     servers.forEach((server, index) => {
       store.writeRow(
         TABLES.servers,
@@ -145,18 +145,18 @@
       CONFIGURATION_KEY,
       buildWireConfiguration(options.configuration),
     );
-  if (options.isConfigured !== false && !beside) configure();
+  if (options.isConfigured !== false && !sharedWith) configure();
 
   const waitForLine: TestGateway['waitForLine'] = (message, passes = () => true) =>
     new Promise((resolve) => {
-      const look = (): void => {
+      const check = (): void => {
         const found = lines.find((line) => line.message === message && passes(line));
         if (!found) return;
-        waiters = waiters.filter((waiter) => waiter !== look);
+        waiters = waiters.filter((waiter) => waiter !== check);
         resolve(found);
       };
-      waiters.push(look);
-      look();
+      waiters.push(check);
+      check();
     });
 
   const gateway = readOk(
@@ -194,7 +194,7 @@
     waitForLine,
     stop: async () => {
       await gateway.stop();
-      if (!beside) await Promise.all([store.stop(), ...servers.map((server) => server.stop())]);
+      if (!sharedWith) await Promise.all([store.stop(), ...servers.map((server) => server.stop())]);
     },
   };
 };
--- a/tests/gateway/_lib/nextAnywhere/index.ts
+++ b/tests/gateway/_lib/takeNextRequest/index.ts
@@ -1,16 +1,16 @@
 import type { ReceivedRequest, StandInServer } from '../../../../standins/gateway';
 
-/** A request and the server that got it. */
-export interface Taken {
+/** A request and the server that received it. */
+export interface TakenRequest {
   readonly server: StandInServer;
   readonly request: ReceivedRequest;
 }
 
-/** Takes the next request that any of these servers gets. */
-export const nextAnywhere = (servers: readonly StandInServer[]): Promise<Taken> =>
+/** Takes the next request that any of the servers receives. */
+export const takeNextRequest = (servers: readonly StandInServer[]): Promise<TakenRequest> =>
   new Promise((resolve) => {
     let isTaken = false;
-    const look = (): void => {
+    const check = (): void => {
       servers.forEach((server) => {
         const request = isTaken ? null : server.takeRequest();
         if (!request) return;
@@ -18,6 +18,6 @@
         resolve({ server, request });
       });
     };
-    servers.forEach((server) => server.addListener(look));
-    look();
+    servers.forEach((server) => server.addListener(check));
+    check();
   });
--- a/tests/gateway/bundle.test.ts
+++ b/tests/gateway/bundle.test.ts
@@ -3,10 +3,10 @@
 import test from 'ava';
 import { parse } from 'smol-toml';
 
-/** Longer than the build gives its slowest step. */
+/** Exceeds the timeout of the slowest build step. */
 const RUN_TIMEOUT_MS = 300_000;
 
-/** Runs a program of this repository to its end. */
+/** Runs a script of this repository and waits until it exits. */
 const run = (args: readonly string[]) =>
   spawnSync(process.execPath, args, { encoding: 'utf8', timeout: RUN_TIMEOUT_MS });
 
@@ -17,7 +17,7 @@
   t.is(run(['scripts/build-gateway.mjs']).status, 0);
 });
 
-// Before: 509 ms of processor time from start to ready; with the code cache 262 to 290.
+// Without the code cache, the start took 509 ms of processor time; with it, 262 to 290 ms.
 test('the bundled gateway starts from its code cache', (t) => {
   const started = run(NO_SETTINGS);
   t.is(started.status, 1);
@@ -25,15 +25,15 @@
   t.true(started.stderr.startsWith('/nonexistent: '));
 });
 
-test('a code cache that does not fit is left alone, and said', (t) => {
+test('a code cache that V8 rejects is not used, and the log says so', (t) => {
   const started = run(['--max-old-space-size=120', ...NO_SETTINGS]);
   t.is(started.status, 1);
   t.is(JSON.parse(started.stdout).message, 'code cache rejected');
   t.true(started.stderr.startsWith('/nonexistent: '));
 });
 
-// Node.js was built with a code cache of its own modules, which it rejects under other V8 flags.
-test('no flag makes Node.js compile its own modules at each start of the gateway', (t) => {
+// Node.js contains a code cache of its own modules, which it rejects under other V8 flags.
+test('the gateway starts without V8 flags, which would make Node.js recompile its modules', (t) => {
   const { roles } = parse(readFileSync('deploy/system.toml', 'utf8')) as {
     roles: { gateway: { run: string } };
   };
--- a/tests/gateway/calls.test.ts
+++ b/tests/gateway/calls.test.ts
@@ -6,22 +6,22 @@
 import { buildGatewaySettings, type StandInServer } from '../../standins/gateway';
 import { readOk } from '../_lib/readOk';
 import { buildWireEntry } from '../../standins/gateway';
-import { buildIdleServices } from './_lib/buildIdleServices';
+import { buildStubServices } from './_lib/buildStubServices';
 import { countRequests } from './_lib/countRequests';
 import { startTestGateway } from './_lib/startTestGateway';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { takeNextRequest } from './_lib/takeNextRequest';
 
-/** Calls of which one must be lent a repeat. */
+/** Attempts within which one call must get a retry from the other VM. */
 const MAX_TRIES = 20;
 
-test('a call is handed on with its id, its workspace, what is left of its time, and no key', async (t) => {
-  const bench = await startTestGateway({ clock: createFakeClock() });
-  const answered = bench.send({
+test('a call is forwarded with its id, its workspace and the remaining time, and without its key', async (t) => {
+  const harness = await startTestGateway({ clock: createFakeClock() });
+  const answered = harness.send({
     target: '/unsafe/x?y=1',
     body: 'payment',
     headers: { 'x-other': 'kept', [HEADERS.hold]: 'smuggled', [HEADERS.kvFrom]: 'smuggled' },
   });
-  const { request, server } = await nextAnywhere(bench.servers);
+  const { request, server } = await takeNextRequest(harness.servers);
   t.is(request.target, '/unsafe/x?y=1');
   t.is(request.body, 'payment');
   t.is(request.headers[HEADERS.requestId], 'request-1');
@@ -38,37 +38,33 @@
   t.is(answer.status, 200);
   t.is(answer.body, 'done');
   t.is(answer.headers[HEADERS.signature], 'stand-in-stamp');
-  await bench.stop();
+  await harness.stop();
 });
 
-// Symptom: a lookup fails although another server could answer it.
-// Sequence: the first server answers 500; the call may be repeated.
-// Cause: the server's failure is handed on at once.
+// Guards against forwarding the first failure of a repeatable call: a lookup must not fail with a
+// 500 while another server could answer it.
 test('a repeatable call goes to another server after a failure', async (t) => {
-  const bench = await startTestGateway({ clock: createFakeClock() });
-  const answered = bench.send({ target: '/safe/x' });
-  const first = await nextAnywhere(bench.servers);
+  const harness = await startTestGateway({ clock: createFakeClock() });
+  const answered = harness.send({ target: '/safe/x' });
+  const first = await takeNextRequest(harness.servers);
   first.server.answer(first.request, 500, 'broken');
-  const second = await nextAnywhere(bench.servers.filter((server) => server !== first.server));
+  const second = await takeNextRequest(harness.servers.filter((server) => server !== first.server));
   second.server.answer(second.request, 200, 'fine');
   const answer = await answered;
   t.is(answer.status, 200);
   t.is(answer.body, 'fine');
-  await bench.stop();
+  await harness.stop();
 });
 
-// Symptom: a payment is made twice.
-// Sequence: the server takes the call, then its connection breaks.
-// Cause: a call that may have run is sent again.
-// Symptom: lookups fail although servers are free: 'no retry left'.
-// Sequence: of 195 VMs each has less than one of the shared repeats; a server answers 500.
-// Cause: streams take a repeat that another VM lends, calls asked only for one of their own.
-test('a call that needs a repeat takes one that another VM has left', async (t) => {
+// Guards against lookups that fail with 'no retry left' while servers are free. In a fleet of 195
+// VMs, each has less than one retry of the shared budget. Streams borrowed a retry from another VM,
+// but calls used only their own VM's retries.
+test('a call that needs a retry uses one that another VM can spare', async (t) => {
   const self: Member = { vm: 'vm-2', address: '', availabilityZone: 'z2', cores: 1, ageMs: 0 };
   let lent = 0;
   let address = '';
   const handlers = createGatewayHandlers({
-    ...buildIdleServices(),
+    ...buildStubServices(),
     handleKnowledge: (taken) => ({
       ...taken,
       sender: { ...self, address },
@@ -85,16 +81,16 @@
   );
   address = new URL(peer.url).host;
   const { bounds } = buildGatewaySettings('');
-  const bench = await startTestGateway({
+  const harness = await startTestGateway({
     settings: {
       seedAddresses: [address],
       bounds: { ...bounds, retryRatio: 0, retryExtra: 0 },
     },
   });
-  await bench.waitForLine('peers known');
-  // Each request gets 500 from the first server that it comes to, and an answer from the next.
+  await harness.waitForLine('peers known');
+  // The first server that receives a request answers 500, the next one 200.
   const failed = new Set<string>();
-  bench.servers.forEach((server) =>
+  harness.servers.forEach((server) =>
     server.addListener(() => {
       const request = server.takeRequest();
       if (!request) return;
@@ -104,73 +100,72 @@
       failed.add(id);
     }),
   );
-  // On a busy machine the lender may answer too late for one call, which then ends with the 500.
+  // On a busy machine the lending VM may answer too late for a call, which then ends with the 500.
   let body = 'no';
   for (let tries = 0; tries < MAX_TRIES && body === 'no'; tries += 1) {
-    ({ body } = await bench.send({ target: '/safe/x', id: `request-${tries}` }));
+    ({ body } = await harness.send({ target: '/safe/x', id: `request-${tries}` }));
   }
   t.is(body, 'yes');
   t.true(lent >= 1);
-  await bench.stop();
+  await harness.stop();
   await peer.stop();
 });
 
+// Guards against a payment that is made twice: the server receives the call, then its connection
+// breaks, and the call is sent again although it may have run.
 test('a non-idempotent call is never sent twice once it may have run', async (t) => {
-  const bench = await startTestGateway({ clock: createFakeClock() });
-  const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const { request } = await nextAnywhere(bench.servers);
+  const harness = await startTestGateway({ clock: createFakeClock() });
+  const answered = harness.send({ target: '/unsafe/x', body: '1' });
+  const { request } = await takeNextRequest(harness.servers);
   request.socket.resetAndDestroy();
   const answer = await answered;
   t.is(answer.status, 502);
-  t.is(countRequests(bench), 1);
-  await bench.stop();
+  t.is(countRequests(harness), 1);
+  await harness.stop();
 });
 
-// Symptom: a call is refused although a server is free.
-// Sequence: the first server says that it did not run the call.
-// Cause: the refusal is taken for the end.
-test('a call that surely did not run goes to another server, whatever its kind', async (t) => {
-  const bench = await startTestGateway({ clock: createFakeClock() });
-  const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const first = await nextAnywhere(bench.servers);
+// Guards against forwarding a refusal while another server is free: the first server reports that
+// it did not run the call.
+test('a call that certainly did not run goes to another server, whatever its kind', async (t) => {
+  const harness = await startTestGateway({ clock: createFakeClock() });
+  const answered = harness.send({ target: '/unsafe/x', body: '1' });
+  const first = await takeNextRequest(harness.servers);
   first.server.answer(first.request, 503, '', { [HEADERS.notRun]: '1' });
-  const second = await nextAnywhere(bench.servers.filter((server) => server !== first.server));
+  const second = await takeNextRequest(harness.servers.filter((server) => server !== first.server));
   second.server.answer(second.request, 200, 'fine');
   t.is((await answered).status, 200);
-  await bench.stop();
+  await harness.stop();
 });
 
-// Symptom: a caller gets the answer to somebody else's request.
-// Sequence: a late answer stands on the connection where the next one is due.
-// Cause: the echoed id is not compared.
-test('an answer with the id of another request is never handed on', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const { request, server } = await nextAnywhere(bench.servers);
+// Guards against a caller that gets the answer to another request: a late answer arrives on the
+// connection where the next one is due, and the echoed id is not compared.
+test('an answer with the id of another request is never forwarded', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  const answered = harness.send({ target: '/unsafe/x', body: '1' });
+  const { request, server } = await takeNextRequest(harness.servers);
   server.answer(request, 200, 'not yours', { [HEADERS.requestId]: 'another' });
   const answer = await answered;
   t.is(answer.status, 502);
   t.false(answer.body.includes('not yours'));
-  await bench.stop();
+  await harness.stop();
 });
 
-test('an answer without the signature of the server is not handed on as a success', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const { request } = await nextAnywhere(bench.servers);
+test('an answer without the signature of the server is not forwarded as a success', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  const answered = harness.send({ target: '/unsafe/x', body: '1' });
+  const { request } = await takeNextRequest(harness.servers);
   request.response.writeHead(200, { [HEADERS.requestId]: 'request-1' });
   request.response.end('unsigned');
   t.is((await answered).status, 502);
-  await bench.stop();
+  await harness.stop();
 });
 
-// Symptom: a cut answer looks whole.
-// Sequence: a server sends an answer without a length; its end is the end of the connection.
-// Cause: the answer gets a length on the way, which says more than the server did.
-test('an answer without a length is handed on without one', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const { request } = await nextAnywhere(bench.servers);
+// Guards against a truncated answer that looks complete. The end of an answer without a length is
+// the end of its connection; a length added by the gateway would claim more than the server did.
+test('an answer without a length is forwarded without one', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  const answered = harness.send({ target: '/unsafe/x', body: '1' });
+  const { request } = await takeNextRequest(harness.servers);
   request.socket.end(
     `HTTP/1.1 200 OK\r\nConnection: close\r\n${HEADERS.requestId}: request-1\r\n` +
       `${HEADERS.signature}: s\r\n\r\nall of it`,
@@ -179,69 +174,74 @@
   t.is(answer.body, 'all of it');
   t.is(answer.headers['content-length'], undefined);
   t.is(answer.headers['transfer-encoding'], undefined);
-  await bench.stop();
+  await harness.stop();
 });
 
-// Symptom: calls to a server that has crashed and started again are reset.
-// Sequence: the server ends and a new one starts at its address; a kept connection is used again.
-// Cause: connections are kept by address, although they belong to the server that has ended.
-test('a server that takes the place of another one gets connections of its own', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  const [server] = bench.servers as [StandInServer];
-  const first = bench.send({ target: '/safe/x' });
+// Guards against calls that are reset after a server crashed and a new one started at its address:
+// connections pooled by address belong to the old server.
+test('a server that replaces another one at its address gets new connections', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  const [server] = harness.servers as [StandInServer];
+  const first = harness.send({ target: '/safe/x' });
   server.answer(await server.nextRequest(), 200, 'one');
   await first;
-  bench.store.writeRow(TABLES.servers, 'i-9', buildWireEntry(server));
-  await bench.waitForLine('server gone', ({ server: id }) => id === 'i-1');
-  const second = await bench.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '400' } });
-  // The stand-in is still i-1, and says so: it has been asked on a new connection.
+  harness.store.writeRow(TABLES.servers, 'i-9', buildWireEntry(server));
+  await harness.waitForLine('server gone', ({ server: id }) => id === 'i-1');
+  const second = await harness.send({
+    target: '/safe/x',
+    headers: { [HEADERS.deadlineMs]: '400' },
+  });
+  // The stand-in still answers as i-1, so the 503 shows that a new connection was used.
   t.is(second.status, 503);
   t.is(server.countConnections(), 2);
-  await bench.stop();
+  await harness.stop();
 });
 
-test('a call that nobody answers is given up at the deadline, and its connection closed', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  const answered = bench.send({
+test('a call without an answer is given up at the deadline, and its connection is closed', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  const answered = harness.send({
     target: '/unsafe/x',
     body: '1',
     headers: { [HEADERS.deadlineMs]: '150' },
   });
-  const { request } = await nextAnywhere(bench.servers);
+  const { request } = await takeNextRequest(harness.servers);
   t.is((await answered).status, 504);
   await request.closed;
-  await bench.stop();
+  await harness.stop();
 });
 
-// Symptom: a server works for a caller that is not there any more.
-// Sequence: the caller closes its connection while the server is at work.
-// Cause: the connection to the server is kept.
-test("a caller that leaves ends its call's connection to the server", async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  const { hostname, port } = new URL(bench.gateway.callerUrl);
+// Guards against a server that keeps working for a caller that has closed its connection: the
+// gateway must close the connection to the server as well.
+test('the connection to the server is closed when the caller disconnects', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  const { hostname, port } = new URL(harness.gateway.callerUrl);
   const { connect } = await import('node:net');
   const socket = connect(Number(port), hostname);
   socket.write(
     `GET /safe/x HTTP/1.1\r\nHost: a.example\r\n${HEADERS.requestId}: r\r\n` +
       `${HEADERS.authorization}: Bearer key-1\r\n\r\n`,
   );
-  const { request } = await nextAnywhere(bench.servers);
+  const { request } = await takeNextRequest(harness.servers);
   socket.destroy();
   await request.closed;
   t.pass();
-  await bench.stop();
+  await harness.stop();
 });
 
-test('a server that is leaving gets nothing more', async (t) => {
-  const bench = await startTestGateway({ clock: createFakeClock() });
-  const [leaving, staying] = bench.servers as [StandInServer, StandInServer];
-  bench.store.writeRow(TABLES.servers, leaving.id, buildWireEntry(leaving, { state: 'draining' }));
-  await bench.waitForLine('server leaving');
+test('a leaving server gets no more requests', async (t) => {
+  const harness = await startTestGateway({ clock: createFakeClock() });
+  const [leaving, staying] = harness.servers as [StandInServer, StandInServer];
+  harness.store.writeRow(
+    TABLES.servers,
+    leaving.id,
+    buildWireEntry(leaving, { state: 'draining' }),
+  );
+  await harness.waitForLine('server leaving');
   for (let index = 0; index < 6; index += 1) {
-    const answered = bench.send({ target: '/safe/x' });
+    const answered = harness.send({ target: '/safe/x' });
     staying.answer(await staying.nextRequest(), 200, 'fine');
     t.is((await answered).status, 200);
   }
   t.is(leaving.countRequests(), 0);
-  await bench.stop();
+  await harness.stop();
 });
--- a/tests/gateway/cli.test.ts
+++ b/tests/gateway/cli.test.ts
@@ -13,7 +13,7 @@
   return { exitCode, text: Buffer.concat(chunks).toString('utf8') };
 };
 
-test('settings that lack a field end the program with file, key and reason', async (t) => {
+test('missing settings make the program exit with file, key and reason', async (t) => {
   const folder = await mkdtemp(join(tmpdir(), 'jackdaw-'));
   const file = join(folder, 'boot.toml');
   await writeFile(file, 'node_name = "vm-1"\nip = "10.0.0.1"\ninternal_ports = [1, 2]\n');
@@ -23,12 +23,12 @@
   await rm(folder, { recursive: true });
 });
 
-test('a settings file that is not there ends the program with its name', async (t) => {
+test('a missing settings file makes the program exit with its name', async (t) => {
   const { exitCode, text } = await runCli(['--settings', 'nowhere.toml']);
   t.is(exitCode, 1);
   t.regex(text, /^nowhere\.toml: /);
 });
 
-test('a wrong command line ends with a code of its own', async (t) => {
+test('an invalid command line has its own exit code', async (t) => {
   t.is((await runCli(['--nonsense'])).exitCode, 2);
 });
--- a/tests/gateway/crashingRequests.test.ts
+++ b/tests/gateway/crashingRequests.test.ts
@@ -1,7 +1,7 @@
-// Symptom: one request ended 56 servers, and the streams that ran there with it.
-// Sequence: each server that begins to run it ends before its first event; it goes to the next one,
-// and comes again at other VMs with the same path, caller and body.
-// Cause: failures are charged to servers only; what a request did is forgotten with its attempt.
+// Guards against a request that crashes one server after another: one request ended 56 servers and
+// the streams that ran there. Each server that began to run it crashed before its first event; the
+// request was retried elsewhere and came repeated at other VMs with the same path, caller and body.
+// Failures were attributed to servers only, never to the request.
 import test from 'ava';
 import { HEADERS, TABLES } from '../../platform';
 import { createFakeClock } from '../../standins/fakes';
@@ -11,12 +11,12 @@
   createStandInServer,
   formatStandInEvent,
 } from '../../standins/gateway';
-import { buildStream } from './_lib/buildStream';
+import { buildStreamRequest } from './_lib/buildStreamRequest';
 import { countRequests } from './_lib/countRequests';
-import { crashNext } from './_lib/crashNext';
+import { crashNextServer } from './_lib/crashNextServer';
 import { findFreePort } from '../../standins/_lib/findFreePort';
-import { listEvents } from './_lib/listEvents';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { formatEvents } from './_lib/formatEvents';
+import { takeNextRequest } from './_lib/takeNextRequest';
 import { sendEvents } from './_lib/sendEvents';
 import { startTestGateway } from './_lib/startTestGateway';
 
@@ -24,149 +24,154 @@
 
 const REFUSED_STATUS = 503;
 
-/** The same routes with another bound on the servers that one request may go to. */
+/** Builds a configuration with another limit on the attempts of a request. */
 const buildConfiguration = (maxAttempts: number): object => {
   const { routes } = buildWireConfiguration() as { routes: object[] };
   return { routes: routes.map((route) => ({ ...route, max_attempts: maxAttempts })) };
 };
 
-test('a stream that crashed three servers is sent to no fourth one, nor when it comes again', async (t) => {
+test('a stream that crashed three servers is not sent to a fourth one, nor when it is repeated', async (t) => {
   const configuration = buildConfiguration(5);
-  const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration });
-  const followed = bench.follow(buildStream());
-  for (let crashed = 0; crashed < 3; crashed += 1) await crashNext(bench);
+  const harness = await startTestGateway({ serverIds: SERVER_IDS, configuration });
+  const followed = harness.follow(buildStreamRequest());
+  for (let crashed = 0; crashed < 3; crashed += 1) await crashNextServer(harness);
   t.false((await followed.done).isWhole);
-  t.is(countRequests(bench), 3);
-  const again = await bench.send({ ...buildStream(), id: 'request-2' });
-  t.is(again.status, REFUSED_STATUS);
-  t.is(countRequests(bench), 3);
-  await bench.stop();
+  t.is(countRequests(harness), 3);
+  const repeated = await harness.send({ ...buildStreamRequest(), id: 'request-2' });
+  t.is(repeated.status, REFUSED_STATUS);
+  t.is(countRequests(harness), 3);
+  await harness.stop();
 });
 
-test('a repeatable call that crashed three servers is sent to no fourth one', async (t) => {
+test('a repeatable call that crashed three servers is not sent to a fourth one', async (t) => {
   const configuration = buildConfiguration(5);
-  const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration });
-  const answered = bench.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
-  for (let crashed = 0; crashed < 3; crashed += 1) await crashNext(bench, { begins: false });
+  const harness = await startTestGateway({ serverIds: SERVER_IDS, configuration });
+  const answered = harness.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
+  for (let crashed = 0; crashed < 3; crashed += 1)
+    await crashNextServer(harness, { begins: false });
   await answered;
-  t.is(countRequests(bench), 3);
-  await bench.waitForLine(
+  t.is(countRequests(harness), 3);
+  await harness.waitForLine(
     'request crashed a server',
     ({ isQuarantined }) => isQuarantined === true,
   );
-  t.is((await bench.send({ target: '/safe/x', id: 'request-2' })).status, REFUSED_STATUS);
-  t.is(countRequests(bench), 3);
-  await bench.stop();
+  t.is((await harness.send({ target: '/safe/x', id: 'request-2' })).status, REFUSED_STATUS);
+  t.is(countRequests(harness), 3);
+  await harness.stop();
 });
 
 test('a call that crashed all servers of its service within a moment is put into quarantine', async (t) => {
   const { services } = buildWireConfiguration() as { services: object[] };
   const other = { name: 'other', health_path: '/healthz', max_conns: 50 };
-  const bench = await startTestGateway({
+  const harness = await startTestGateway({
     serverIds: ['i-1', 'i-2', 'i-3'],
     configuration: { ...buildConfiguration(5), services: [...services, other] },
   });
-  const witness = await createStandInServer('i-9');
-  bench.store.writeRow(TABLES.servers, 'i-9', buildWireEntry(witness, { service: 'other' }));
-  await bench.waitForLine('server known', ({ server }) => server === 'i-9');
-  const answered = bench.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
-  for (let crashed = 0; crashed < 3; crashed += 1) await crashNext(bench, { begins: false });
+  const bystander = await createStandInServer('i-9');
+  harness.store.writeRow(TABLES.servers, 'i-9', buildWireEntry(bystander, { service: 'other' }));
+  await harness.waitForLine('server known', ({ server }) => server === 'i-9');
+  const answered = harness.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
+  for (let crashed = 0; crashed < 3; crashed += 1)
+    await crashNextServer(harness, { begins: false });
   await answered;
   const verdict = await Promise.race([
-    bench.waitForLine('request crashed a server', ({ crashes }) => crashes === 3),
-    bench.waitForLine('crash not confirmed'),
+    harness.waitForLine('request crashed a server', ({ crashes }) => crashes === 3),
+    harness.waitForLine('crash not confirmed'),
   ]);
   t.true(verdict.isQuarantined);
-  t.is(witness.countRequests(), 0);
-  await bench.stop();
-  await witness.stop();
+  t.is(bystander.countRequests(), 0);
+  await harness.stop();
+  await bystander.stop();
 });
 
-test('servers that a request crashed at another VM count here', async (t) => {
+test('crashes that a request caused at another VM count at this one', async (t) => {
   const configuration = buildConfiguration(2);
   const port = await findFreePort();
   const settings = { peerAddress: `127.0.0.1:${port}` };
-  const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration, settings });
+  const harness = await startTestGateway({ serverIds: SERVER_IDS, configuration, settings });
   const other = await startTestGateway({
-    beside: bench,
+    sharedWith: harness,
     settings: { vm: 'vm-2', seedAddresses: [settings.peerAddress] },
   });
-  await bench.waitForLine('peers known');
-  const first = other.follow(buildStream({ [HEADERS.deadlineMs]: '1500' }));
-  await crashNext(bench);
-  await crashNext(bench);
+  await harness.waitForLine('peers known');
+  const first = other.follow(buildStreamRequest({ [HEADERS.deadlineMs]: '1500' }));
+  await crashNextServer(harness);
+  await crashNextServer(harness);
   await first.done;
-  const second = bench.follow({ ...buildStream(), id: 'request-2' });
-  await crashNext(bench);
+  const second = harness.follow({ ...buildStreamRequest(), id: 'request-2' });
+  await crashNextServer(harness);
   await second.done;
-  t.is(countRequests(bench), 3);
+  t.is(countRequests(harness), 3);
   await other.stop();
-  await bench.stop();
+  await harness.stop();
 });
 
-test('the quarantine of a request outlives the end of all VMs at once', async (t) => {
+test('the quarantine of a request survives a simultaneous restart of all VMs', async (t) => {
   const configuration = buildConfiguration(5);
-  const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration });
-  const followed = bench.follow(buildStream());
-  for (let crashed = 0; crashed < 3; crashed += 1) await crashNext(bench);
+  const harness = await startTestGateway({ serverIds: SERVER_IDS, configuration });
+  const followed = harness.follow(buildStreamRequest());
+  for (let crashed = 0; crashed < 3; crashed += 1) await crashNextServer(harness);
   await followed.done;
-  await bench.waitForLine('quarantine written');
-  await bench.gateway.stop();
-  const restarted = await startTestGateway({ beside: bench, settings: { isFirstStart: false } });
+  await harness.waitForLine('quarantine written');
+  await harness.gateway.stop();
+  const restarted = await startTestGateway({
+    sharedWith: harness,
+    settings: { isFirstStart: false },
+  });
   await restarted.waitForLine('quarantine rows read');
-  const again = await restarted.send({ ...buildStream(), id: 'request-2' });
-  t.is(again.status, REFUSED_STATUS);
-  t.is(countRequests(bench), 3);
+  const repeated = await restarted.send({ ...buildStreamRequest(), id: 'request-2' });
+  t.is(repeated.status, REFUSED_STATUS);
+  t.is(countRequests(harness), 3);
   await restarted.stop();
-  await bench.stop();
+  await harness.stop();
 });
 
-test('a request that lost three servers in the middle of its run is in no quarantine', async (t) => {
+test('a request that lost three servers in mid-stream is not quarantined', async (t) => {
   const configuration = buildConfiguration(5);
   const clock = createFakeClock();
-  const bench = await startTestGateway({ serverIds: SERVER_IDS, configuration, clock });
-  const followed = bench.follow(buildStream());
+  const harness = await startTestGateway({ serverIds: SERVER_IDS, configuration, clock });
+  const followed = harness.follow(buildStreamRequest());
   for (let crashed = 0; crashed < 3; crashed += 1) {
-    const { request, server } = await nextAnywhere(bench.servers);
+    const { request, server } = await takeNextRequest(harness.servers);
     server.begin(request);
     server.emit(request, crashed + 1, crashed + 1);
     await followed.waitForText(formatStandInEvent(crashed + 1));
     clock.advance(1100);
     await server.crash();
   }
-  const last = await nextAnywhere(bench.servers);
+  const last = await takeNextRequest(harness.servers);
   sendEvents(last, 4, 5);
-  t.is((await followed.done).body, listEvents(1, 5));
-  await bench.stop();
+  t.is((await followed.done).body, formatEvents(1, 5));
+  await harness.stop();
 });
 
-// Symptom: a caller who comes back is refused everywhere for ten minutes, though no server ended.
-// Sequence: the VM's path to the servers resets each connection; it tells the others of three crashes.
-// Cause: a connection that broke was taken for a server that ended.
+// Guards against connection resets that are counted as crashes: the network path of a VM resets
+// each connection, the VM reports three crashes, and the caller is refused everywhere for ten
+// minutes although no server ended.
 test('connections that are reset under requests put none of them into quarantine', async (t) => {
-  const bench = await startTestGateway({
+  const harness = await startTestGateway({
     serverIds: SERVER_IDS,
     configuration: buildConfiguration(5),
   });
-  const call = bench.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
+  const call = harness.send({ target: '/safe/x', headers: { [HEADERS.deadlineMs]: '2000' } });
   for (let reset = 0; reset < 3; reset += 1) {
-    (await nextAnywhere(bench.servers)).request.socket.resetAndDestroy();
+    (await takeNextRequest(harness.servers)).request.socket.resetAndDestroy();
   }
   await call;
-  const stream = bench.follow(buildStream());
+  const stream = harness.follow(buildStreamRequest());
   for (let reset = 0; reset < 3; reset += 1) {
-    (await nextAnywhere(bench.servers)).request.socket.resetAndDestroy();
+    (await takeNextRequest(harness.servers)).request.socket.resetAndDestroy();
   }
-  sendEvents(await nextAnywhere(bench.servers), 1, 2);
-  t.is((await stream.done).body, listEvents(1, 2));
-  await bench.waitForLine('crash not confirmed');
+  sendEvents(await takeNextRequest(harness.servers), 1, 2);
+  t.is((await stream.done).body, formatEvents(1, 2));
+  await harness.waitForLine('crash not confirmed');
   t.deepEqual(
-    bench.lines.filter(({ message }) => message === 'request crashed a server'),
+    harness.lines.filter(({ message }) => message === 'request crashed a server'),
     [],
   );
-  const again = bench.send({ target: '/safe/x', id: 'request-2' });
-  const { request, server } = await nextAnywhere(bench.servers);
+  const repeated = harness.send({ target: '/safe/x', id: 'request-2' });
+  const { request, server } = await takeNextRequest(harness.servers);
   server.answer(request, 200, 'yes');
-  t.is((await again).status, 200);
-  await bench.stop();
+  t.is((await repeated).status, 200);
+  await harness.stop();
 });
--- a/tests/gateway/days.test.ts
+++ b/tests/gateway/days.test.ts
@@ -27,7 +27,7 @@
 variant = "x"
 `;
 
-test('a day keeps the traffic of the deployment, and has our troubles', (t) => {
+test('an encoded day has the traffic of the deployment and the faults of the day file', (t) => {
   const encoded = parse(readOk(encodeDay('own', DAY, SITE)));
   t.deepEqual(encoded, {
     day: [
@@ -42,7 +42,7 @@
   });
 });
 
-test('a trouble that is not known, and a key that is none, are named', (t) => {
+test('an unknown fault and an unknown key are named in the error', (t) => {
   t.regex(
     encodeDay('own', DAY.replace('vms-freeze', 'vms-fly'), SITE)._unsafeUnwrapErr(),
     /^trouble\.what: vms-fly is none of /,
@@ -53,7 +53,7 @@
   );
 });
 
-test('every day of ours can be encoded', async (t) => {
+test('every day file of this repository can be encoded', async (t) => {
   const files = await readdir(FOLDER);
   t.true(files.length > 0);
   await Promise.all(
--- a/tests/gateway/decoders.test.ts
+++ b/tests/gateway/decoders.test.ts
@@ -32,7 +32,7 @@
 
 const toBytes = (value: unknown): Buffer => Buffer.from(JSON.stringify(value));
 
-test('settings are read, unknown fields ignored, and what is not named has its default', (t) => {
+test('settings are decoded, unknown fields are ignored, and missing ones have defaults', (t) => {
   const settings = readOk(decodeSettings(SETTINGS));
   t.is(settings.vm, 'vm-1');
   t.is(settings.peerAddress, '10.1.0.1:8748');
@@ -43,12 +43,8 @@
 });
 
 for (const [name, text, key] of [
-  ['without a needed field', SETTINGS.replace('zone = "z1"', ''), 'zone'],
-  [
-    'with an address that is none',
-    SETTINGS.replace('10.200.1.7:8742', 'store'),
-    'platform.address',
-  ],
+  ['without a required field', SETTINGS.replace('zone = "z1"', ''), 'zone'],
+  ['with an invalid address', SETTINGS.replace('10.200.1.7:8742', 'store'), 'platform.address'],
   ['without a table', SETTINGS.replace('[listen]', '[other]'), 'listen'],
 ] as const) {
   test(`settings ${name} are refused with the key`, (t) => {
@@ -60,11 +56,11 @@
   });
 }
 
-test('settings that are no TOML are refused', (t) => {
+test('settings that are not TOML are refused', (t) => {
   t.is(decodeSettings('vm = [')._unsafeUnwrapErr().length, 1);
 });
 
-test('routes are found by host, the longest prefix first; kinds that are not known run once', (t) => {
+test('routes are indexed by host, longest prefix first; unknown kinds run at most once', (t) => {
   const route = { name: 'r', host: 'A.example', service: 's', timeout_ms: 100 };
   const table = readOk(
     decodeRouteTable(
@@ -89,7 +85,7 @@
   );
 });
 
-test('a configuration without tenants needs no key; one that is malformed names the field', (t) => {
+test('a configuration without tenants needs no key; a malformed one names the field', (t) => {
   const open = buildWireConfiguration({ tenants: undefined });
   t.is(readOk(decodeRouteTable(toBytes(open))).holdersByKey, null);
   const broken = buildWireConfiguration({ limits: { max_header_bytes: 'many' } });
@@ -97,14 +93,14 @@
   t.true(decodeRouteTable(Buffer.from('{')).isErr());
 });
 
-test('a server whose state is not known takes no new work', (t) => {
+test('a server with an unknown state gets no new requests', (t) => {
   const entry = { service: 's', address: '10.0.0.1:80', zone: 'z1', slots: 4, sequence: 1 };
   t.false(readOk(decodeServerEntry('i-1', toBytes({ ...entry, state: 'ready' }))).isLeaving);
   t.true(readOk(decodeServerEntry('i-1', toBytes({ ...entry, state: 'resting' }))).isLeaving);
   t.true(decodeServerEntry('i-1', toBytes({ service: 's' })).isErr());
 });
 
-test("headers of one connection, and those that are the system's to set, are not handed on", (t) => {
+test('hop-by-hop headers and headers that only the system may set are not forwarded', (t) => {
   const head = readOk(
     decodeRequestHead({
       method: 'GET',
--- a/tests/gateway/drain.test.ts
+++ b/tests/gateway/drain.test.ts
@@ -3,25 +3,29 @@
 import { createFakeClock } from '../../standins/fakes';
 import { countRequests } from './_lib/countRequests';
 import { startTestGateway } from './_lib/startTestGateway';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { takeNextRequest } from './_lib/takeNextRequest';
 
-// Symptom: a caller's connection ends without an answer although its call was read.
-// Sequence: SIGTERM; a caller keeps its connection, and sends a call just before the process ends.
-// Cause: calls are taken until the very end, and the last ones are cut off by it.
-test('calls are taken until they might be cut off by the end of the process, then refused', async (t) => {
+// Guards against a call that was read but gets no answer: after SIGTERM a caller sends a call on
+// its kept connection just before the process exits. Calls must be refused early enough.
+test('calls are accepted until the exit of the process might interrupt them, then refused', async (t) => {
   const clock = createFakeClock();
-  const bench = await startTestGateway({ clock });
-  const drained = bench.gateway.drain();
+  const harness = await startTestGateway({ clock });
+  const drained = harness.gateway.drain();
   await clock.advanceAsync(2400);
-  // A call that takes long keeps the process alive.
-  const patient = { [HEADERS.deadlineMs]: '20000' };
-  const long = bench.send({ target: '/unsafe/x', body: '1', id: 'request-1', headers: patient });
-  const first = await nextAnywhere(bench.servers);
+  // A long call keeps the process alive.
+  const longDeadline = { [HEADERS.deadlineMs]: '20000' };
+  const long = harness.send({
+    target: '/unsafe/x',
+    body: '1',
+    id: 'request-1',
+    headers: longDeadline,
+  });
+  const first = await takeNextRequest(harness.servers);
   await clock.advanceAsync(3000);
-  const late = bench.send({ target: '/unsafe/x', body: '1', id: 'request-2' });
-  const second = await nextAnywhere(bench.servers);
+  const late = harness.send({ target: '/unsafe/x', body: '1', id: 'request-2' });
+  const second = await takeNextRequest(harness.servers);
   await clock.advanceAsync(200);
-  const refused = await bench.send({ target: '/unsafe/x', body: '1', id: 'request-3' });
+  const refused = await harness.send({ target: '/unsafe/x', body: '1', id: 'request-3' });
   t.is(refused.status, 503);
   t.is(refused.headers.connection, 'close');
   t.true(Number(refused.headers['retry-after']) > 0);
@@ -31,25 +35,24 @@
   t.is((await late).body, 'done');
   await clock.advanceAsync(100);
   await drained;
-  t.is(countRequests(bench), 2);
-  await bench.stop();
+  t.is(countRequests(harness), 2);
+  await harness.stop();
 });
 
-// Symptom: a stream is broken off by the end of the process, and its caller must begin anew.
-// Sequence: SIGTERM; a stream begins two seconds later, and would last for six.
-// Cause: streams are taken for as long as calls are.
-test('streams that would outlive the process are refused while calls are still taken', async (t) => {
+// Guards against a stream that the exit of the process interrupts: it begins two seconds after
+// SIGTERM and would last for six. Streams must be refused earlier than calls.
+test('streams that would outlive the process are refused while calls are still accepted', async (t) => {
   const clock = createFakeClock();
-  const bench = await startTestGateway({ clock });
-  const drained = bench.gateway.drain();
+  const harness = await startTestGateway({ clock });
+  const drained = harness.gateway.drain();
   await clock.advanceAsync(1600);
-  const refused = await bench.send({ target: '/stream/x', body: 'a prompt', id: 'request-1' });
+  const refused = await harness.send({ target: '/stream/x', body: 'a prompt', id: 'request-1' });
   t.is(refused.status, 503);
-  const taken = bench.send({ target: '/safe/x', id: 'request-2' });
-  const { request, server } = await nextAnywhere(bench.servers);
+  const taken = harness.send({ target: '/safe/x', id: 'request-2' });
+  const { request, server } = await takeNextRequest(harness.servers);
   server.answer(request, 200, 'done');
   t.is((await taken).status, 200);
   await clock.advanceAsync(1000);
   await drained;
-  await bench.stop();
+  await harness.stop();
 });
--- a/tests/gateway/foreignEntries.test.ts
+++ b/tests/gateway/foreignEntries.test.ts
@@ -10,7 +10,7 @@
 import { createServerDirectory } from '../../src/application/forwarding';
 import { createFakeClock, STORE } from '../../standins/fakes';
 
-const SOUND = {
+const VALID_ENTRY = {
   service: 's',
   address: '10.0.0.1:80',
   zone: 'z1',
@@ -20,14 +20,14 @@
   born: 1000,
 };
 
-const NEEDED = ['service', 'address', 'zone', 'slots', 'state'] as const;
+const REQUIRED_FIELDS = ['service', 'address', 'zone', 'slots', 'state'] as const;
 
 const encode = (value: unknown): Buffer => Buffer.from(JSON.stringify(value) ?? '');
 
-/** A sound entry with one needed field missing or of another type. */
-const SPOILED = fc
-  .tuple(fc.constantFrom(...NEEDED), fc.constantFrom(undefined, null, true, [], {}, -1))
-  .map(([field, value]) => encode({ ...SOUND, [field]: value }));
+/** A valid entry with one required field missing or of another type. */
+const INVALID_ENTRY = fc
+  .tuple(fc.constantFrom(...REQUIRED_FIELDS), fc.constantFrom(undefined, null, true, [], {}, -1))
+  .map(([field, value]) => encode({ ...VALID_ENTRY, [field]: value }));
 
 const ANY_BYTES = fc.uint8Array({ maxLength: 200 }).map((bytes) => Buffer.from(bytes));
 
@@ -51,15 +51,15 @@
   return { directory, lines, list };
 };
 
-test('an entry of another writer names no server, and changes no other', (t) => {
+test('a malformed entry adds no server and does not affect other servers', (t) => {
   fc.assert(
-    fc.property(fc.oneof(SPOILED, ANY_BYTES, ANY_JSON), fc.string(), (value, key) => {
+    fc.property(fc.oneof(INVALID_ENTRY, ANY_BYTES, ANY_JSON), fc.string(), (value, key) => {
       fc.pre(key !== 'i-1' && key !== 'i-2');
       const { directory, lines, list } = setUp();
-      const other = { ...SOUND, address: '10.0.0.2:80' };
+      const other = { ...VALID_ENTRY, address: '10.0.0.2:80' };
       directory.applyRows(
         [
-          { key: 'i-1', value: encode(SOUND), version: 1 },
+          { key: 'i-1', value: encode(VALID_ENTRY), version: 1 },
           { key: 'i-2', value: encode(other), version: 2 },
           { key, value, version: 3 },
         ],
@@ -73,16 +73,16 @@
   );
 });
 
-test('a state that is not known takes no work, and a birth that is malformed is not known', (t) => {
-  const read = decodeServerEntry('i-1', encode({ ...SOUND, state: 'asleep', born: 'noon' }));
+test('a server with an unknown state gets no requests, and a malformed birth time is ignored', (t) => {
+  const read = decodeServerEntry('i-1', encode({ ...VALID_ENTRY, state: 'asleep', born: 'noon' }));
   t.true(read._unsafeUnwrap().isLeaving);
   t.is(read._unsafeUnwrap().bornMs, null);
-  t.is(decodeServerEntry('i-1', encode(SOUND))._unsafeUnwrap().bornMs, 1000);
+  t.is(decodeServerEntry('i-1', encode(VALID_ENTRY))._unsafeUnwrap().bornMs, 1000);
 });
 
 const NO_SIGNALS = { isLeaving: false, limitPerS: null };
 
-test('reports, lists and answers that are malformed are read without a throw', (t) => {
+test('malformed reports, lists and answers are decoded without an exception', (t) => {
   fc.assert(
     fc.property(fc.oneof(fc.string(), fc.json()), (text) => {
       const report = decodeServerReport(text, NO_SIGNALS);
@@ -101,7 +101,7 @@
   );
 });
 
-test('a report keeps the fields that are sound', (t) => {
+test('a report keeps its valid fields', (t) => {
   const report = decodeServerReport(
     JSON.stringify({ queued: 3, active: 'x', runs: 7, born: -1 }),
     NO_SIGNALS,
@@ -112,8 +112,8 @@
   t.is(report.bornMs, null);
 });
 
-test('any message of another gateway is read without a throw', (t) => {
-  const sound = toBinary(KnowledgeSchema, create(KnowledgeSchema, { sender: { vm: 'a' } }));
-  t.is(readKnowledgeMessage(fromBinary(KnowledgeSchema, sound))?.sender.vm, 'a');
+test('any message of another gateway is decoded without an exception', (t) => {
+  const valid = toBinary(KnowledgeSchema, create(KnowledgeSchema, { sender: { vm: 'a' } }));
+  t.is(readKnowledgeMessage(fromBinary(KnowledgeSchema, valid))?.sender.vm, 'a');
   t.is(readKnowledgeMessage(create(KnowledgeSchema, {})), null);
 });
--- a/tests/gateway/overload.test.ts
+++ b/tests/gateway/overload.test.ts
@@ -6,11 +6,11 @@
 
 const repeat = (count: number, seconds: number): number[] => new Array<number>(seconds).fill(count);
 
-const countTwice = ({ outcomes }: ModelResult): number =>
+const countRefusedTwice = ({ outcomes }: ModelResult): number =>
   outcomes.filter(({ refusals }) => refusals > 1).length;
 
-/** Time to the first event that one stream in ten exceeds. */
-const findSlowestTenth = ({ outcomes }: ModelResult): number =>
+/** 90th percentile of the time to the first event. */
+const findSlowStartMs = ({ outcomes }: ModelResult): number =>
   quantile(
     outcomes.map(({ firstEventMs }) => firstEventMs ?? Infinity),
     0.9,
@@ -19,8 +19,8 @@
 const mean = (values: readonly number[]): number =>
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
-/** Plays a load with some seeds over the gateways' own code, in virtual time. */
-const play = async (load: Omit<ModelLoad, 'seed' | 'engines' | 'vms'>) => {
+/** Runs a load with every seed through the gateway code in virtual time; returns mean results. */
+const runLoad = async (load: Omit<ModelLoad, 'seed' | 'engines' | 'vms'>) => {
   const results = await Promise.all(
     SEEDS.map((seed) => runModelLoad({ seed, engines: 13, vms: 9, ...load })),
   );
@@ -29,50 +29,50 @@
     inTime: mean(results.map(({ inTime }) => inTime)),
     sends: mean(results.map(({ sends }) => sends)),
     tokensPerStream: mean(results.map(({ readTokensPerStream }) => readTokensPerStream)),
-    refusedTwice: mean(results.map(countTwice)),
-    slowestTenthMs: mean(results.map(findSlowestTenth)),
+    refusedTwice: mean(results.map(countRefusedTwice)),
+    slowestTenthMs: mean(results.map(findSlowStartMs)),
   };
 };
 
 const NONE_DOWN = { count: 0, fromS: 0, untilS: 0 };
 
-test('a load that engines can read is served in time, without a refusal', async (t) => {
-  const result = await play({ streamsPerS: repeat(3, 18), down: NONE_DOWN });
+test('a load within the capacity of the engines is served in time without refusals', async (t) => {
+  const result = await runLoad({ streamsPerS: repeat(3, 18), down: NONE_DOWN });
   t.is(result.inTime, 54);
   t.is(result.refusedTwice, 0);
 });
 
-// Symptom: with most engines idle, one prompt in five waits behind another that was sent a moment
-// before; first events come after 3 s and more, or the place is given up and the prompt read twice.
-// Sequence: two prompts come within some ms; reports are a tenth of a second old, so that both VMs,
-// or both requests of one VM, find the same engine idle and send there.
-// Cause: the choice counted what reports show, and what this VM had sent only before it asked.
-test('prompts that come together are spread over idle engines', async (t) => {
-  const result = await play({ streamsPerS: repeat(6, 16), bunch: 6, down: NONE_DOWN });
+// Guards against prompts that queue while engines are idle. Two prompts arrive within some ms; load
+// reports are 0.1 s old, so that both VMs, or both requests of one VM, choose the same idle engine.
+// One prompt in five waited behind another, with first events after 3 s and more, or was moved and
+// read twice.
+test('concurrent prompts are spread over idle engines', async (t) => {
+  const result = await runLoad({ streamsPerS: repeat(6, 16), bunch: 6, down: NONE_DOWN });
   t.log(result);
   t.is(result.inTime, result.streams);
   t.true(result.slowestTenthMs <= 1600);
 });
 
-// Symptom: the longest prompts, which are worth most, are refused although most engines are idle, come
-// back after a goal and are refused again.
-// Sequence: a prompt of 26,000 tokens takes 4.0 s to read; it can not begin within 0.75 of the goal.
-// Cause: a limit that is to keep queues short was applied where there was no queue.
-// Before: none of 10 in time, all refused twice.
+// Guards against refusing the longest prompts while engines are idle: a prompt of 26,000 tokens
+// takes 4.0 s of prefill and cannot begin within 0.75 of the latency goal. The limit that keeps
+// queues short was applied where there was no queue; 0 of 10 came in time, all refused twice.
 test('long prompts are sent to free engines', async (t) => {
-  const result = await play({ streamsPerS: repeat(1, 10), promptTokens: 24_000, down: NONE_DOWN });
+  const result = await runLoad({
+    streamsPerS: repeat(1, 10),
+    promptTokens: 24_000,
+    down: NONE_DOWN,
+  });
   t.log(result);
   t.is(result.refusedTwice, 0);
   t.true(result.inTime >= 9);
 });
 
-// Symptom: in a burst with half of the engines lost a third of the streams come in time, and as many
-// prompts again are read in vain.
-// Sequence: all streams are sent and queue; places in queues are given up for others; all are late.
-// Cause: nothing predicted when a server can begin, and a queue that moves was taken for silence.
-// Before, mean of three seeds: 67 of 106 in time, 174 sends, 17,100 tokens read for each in time.
+// Guards against wasted prefill work in a burst with half of the engines lost. All streams were
+// sent and queued, moved between queues and came late: nothing predicted when a server could begin,
+// and a moving queue was treated as silence. Mean of three seeds then: 67 of 106 in time, 174
+// sends, 17,100 tokens of prefill per stream in time.
 test('in a burst with half of the engines lost, most streams come in time', async (t) => {
-  const result = await play({
+  const result = await runLoad({
     streamsPerS: [...repeat(3, 6), ...repeat(16, 4), ...repeat(3, 8)],
     down: { count: 6, fromS: 5, untilS: 9 },
   });
@@ -82,18 +82,20 @@
   t.true(result.tokensPerStream <= 13_000);
 });
 
-// Before, mean of three seeds: 99 of 196 in time, 413 sends, 21,500 tokens read for each in time.
-test('at twice what engines can read, no prompt is read for long in vain', async (t) => {
-  const result = await play({ streamsPerS: repeat(14, 14), down: NONE_DOWN });
+// Without predicted start times, mean of three seeds: 99 of 196 in time, 413 sends, 21,500 tokens
+// of prefill per stream in time.
+test('at twice the capacity of the engines, little prefill work is wasted', async (t) => {
+  const result = await runLoad({ streamsPerS: repeat(14, 14), down: NONE_DOWN });
   t.log(result);
   t.true(result.inTime >= 104);
   t.true(result.sends <= 196);
   t.true(result.tokensPerStream <= 15_000);
 });
 
-// Before, mean of three seeds: 65 of 251 in time, 620 sends, 33,100 tokens read for each in time.
-test('at four times what engines can read, those that are sent come in time', async (t) => {
-  const result = await play({
+// Without predicted start times, mean of three seeds: 65 of 251 in time, 620 sends, 33,100 tokens
+// of prefill per stream in time.
+test('at four times the capacity of the engines, forwarded streams are in time', async (t) => {
+  const result = await runLoad({
     streamsPerS: [...repeat(3, 3), ...repeat(28, 8), ...repeat(3, 6)],
     down: NONE_DOWN,
   });
--- a/tests/gateway/requests.test.ts
+++ b/tests/gateway/requests.test.ts
@@ -4,10 +4,10 @@
 import { buildWireConfiguration } from '../../standins/gateway';
 import { startTestGateway, type TestGateway } from './_lib/startTestGateway';
 
-/** Sends bytes as they are, and gives what comes back until the connection is closed. */
-const sendRaw = (bench: TestGateway, text: string): Promise<string> =>
+/** Sends raw text and returns everything received until the connection is closed. */
+const sendRaw = (harness: TestGateway, text: string): Promise<string> =>
   new Promise((resolve, reject) => {
-    const { hostname, port } = new URL(bench.gateway.callerUrl);
+    const { hostname, port } = new URL(harness.gateway.callerUrl);
     const socket = connect(Number(port), hostname);
     let received = '';
     socket.on('data', (chunk: Buffer) => {
@@ -29,101 +29,99 @@
   'no id': `GET /safe/x HTTP/1.1\r\nHost: a.example\r\n\r\n`,
   'no host': `GET /safe/x HTTP/1.1\r\n${HEADERS.requestId}: r-1\r\n\r\n`,
   'two hosts': `GET /safe/x HTTP/1.1\r\nHost: b.example\r\n${HEAD}\r\n`,
-  'a target that is no path': `GET http://b.example/safe/x HTTP/1.1\r\n${HEAD}\r\n`,
+  'a target that is not a path': `GET http://b.example/safe/x HTTP/1.1\r\n${HEAD}\r\n`,
 };
 
 for (const [name, text] of Object.entries(MALFORMED)) {
   test(`a request with ${name} gets 400, is not forwarded, and its connection is closed`, async (t) => {
-    const bench = await startTestGateway({ serverIds: ['i-1'] });
-    const answer = await sendRaw(bench, text);
+    const harness = await startTestGateway({ serverIds: ['i-1'] });
+    const answer = await sendRaw(harness, text);
     t.regex(answer, /^HTTP\/1\.1 400 /);
     t.is(answer.match(/HTTP\/1\.1/g)?.length, 1);
-    t.is(bench.servers[0]?.countRequests(), 0);
-    await bench.stop();
+    t.is(harness.servers[0]?.countRequests(), 0);
+    await harness.stop();
   });
 }
 
-test('headers past the limit get 431, a body past it 413', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
+test('headers beyond the limit get 431, a body beyond the limit 413', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
   const long = await sendRaw(
-    bench,
+    harness,
     `GET /safe/x HTTP/1.1\r\n${HEAD}x: ${'y'.repeat(5000)}\r\n\r\n`,
   );
   t.regex(long, /^HTTP\/1\.1 431 /);
   const large = await sendRaw(
-    bench,
+    harness,
     `POST /safe/x HTTP/1.1\r\n${HEAD}Content-Length: 20000\r\n\r\n`,
   );
   t.regex(large, /^HTTP\/1\.1 413 /);
-  t.is(bench.servers[0]?.countRequests(), 0);
-  await bench.stop();
+  t.is(harness.servers[0]?.countRequests(), 0);
+  await harness.stop();
 });
 
 test('an unknown route gets 404, an unknown key 401', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  t.is((await bench.send({ target: '/nowhere/x' })).status, 404);
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  t.is((await harness.send({ target: '/nowhere/x' })).status, 404);
   const headers = { [HEADERS.authorization]: 'Bearer stolen' };
-  t.is((await bench.send({ target: '/safe/x', headers })).status, 401);
-  t.is(bench.servers[0]?.countRequests(), 0);
-  await bench.stop();
+  t.is((await harness.send({ target: '/safe/x', headers })).status, 401);
+  t.is(harness.servers[0]?.countRequests(), 0);
+  await harness.stop();
 });
 
-// Symptom: callers get 404 for a route that exists.
-// Sequence: a VM starts before it knows a configuration.
-// Cause: no configuration is taken for one without routes.
-test('a VM without a configuration is not ready, and answers 503 with when to come back', async (t) => {
-  const bench = await startTestGateway({ isConfigured: false });
-  t.is((await fetch(`${bench.gateway.readinessUrl}${PATHS.ready}`)).status, 503);
-  const answer = await bench.send({ target: '/safe/x' });
+// Guards against a 404 for an existing route: a VM that starts without a configuration must not
+// treat that as a configuration without routes.
+test('a VM without a configuration is not ready and answers 503 with Retry-After', async (t) => {
+  const harness = await startTestGateway({ isConfigured: false });
+  t.is((await fetch(`${harness.gateway.readinessUrl}${PATHS.ready}`)).status, 503);
+  const answer = await harness.send({ target: '/safe/x' });
   t.is(answer.status, 503);
   t.true(Number(answer.headers['retry-after']) > 0);
-  bench.store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildWireConfiguration());
-  await bench.waitForLine('configuration in force');
-  t.is((await fetch(`${bench.gateway.readinessUrl}${PATHS.ready}`)).status, 200);
-  await bench.stop();
+  harness.store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildWireConfiguration());
+  await harness.waitForLine('configuration in force');
+  t.is((await fetch(`${harness.gateway.readinessUrl}${PATHS.ready}`)).status, 200);
+  await harness.stop();
 });
 
-test('a configuration that can not be decoded leaves the one before in force', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  bench.store.writeRow(TABLES.operator, CONFIGURATION_KEY, { version: 9, routes: 'none' });
-  const refused = await bench.waitForLine('configuration refused');
+test('a configuration that cannot be decoded leaves the previous one in force', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  harness.store.writeRow(TABLES.operator, CONFIGURATION_KEY, { version: 9, routes: 'none' });
+  const refused = await harness.waitForLine('configuration refused');
   t.is(refused.inForce, 2);
   t.regex(String(refused.reason), /routes/);
-  t.is((await bench.send({ target: '/nowhere/x' })).status, 404);
-  await bench.stop();
+  t.is((await harness.send({ target: '/nowhere/x' })).status, 404);
+  await harness.stop();
 });
 
-test('a key that was taken away is refused', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
+test('a revoked key is refused', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
   const without = buildWireConfiguration({ version: 3, tenants: [{ name: 'w1', api_keys: [] }] });
-  bench.store.writeRow(TABLES.operator, CONFIGURATION_KEY, without);
-  await bench.waitForLine('configuration in force', ({ version }) => version === 3);
-  t.is((await bench.send({ target: '/safe/x' })).status, 401);
-  await bench.stop();
+  harness.store.writeRow(TABLES.operator, CONFIGURATION_KEY, without);
+  await harness.waitForLine('configuration in force', ({ version }) => version === 3);
+  t.is((await harness.send({ target: '/safe/x' })).status, 401);
+  await harness.stop();
 });
 
-// Symptom: a review is cut off by a planned restart.
-// Sequence: SIGTERM comes while a request runs.
-// Cause: the process ends without waiting for it.
-test('a draining VM is not ready, lets running requests end, and closes connections after them', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  const answered = bench.send({ target: '/unsafe/x', body: '1' });
-  const request = await bench.servers[0]!.nextRequest();
-  const drained = bench.gateway.drain();
-  t.is((await fetch(`${bench.gateway.readinessUrl}${PATHS.ready}`)).status, 503);
-  bench.servers[0]!.answer(request, 200, 'whole');
+// Guards against a request that a planned restart interrupts: SIGTERM arrives while the request
+// runs, and the process must wait for it.
+test('a draining VM is not ready, completes running requests, and then closes their connections', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  const answered = harness.send({ target: '/unsafe/x', body: '1' });
+  const request = await harness.servers[0]!.nextRequest();
+  const drained = harness.gateway.drain();
+  t.is((await fetch(`${harness.gateway.readinessUrl}${PATHS.ready}`)).status, 503);
+  harness.servers[0]!.answer(request, 200, 'whole');
   const answer = await answered;
   t.is(answer.body, 'whole');
   t.is(answer.headers.connection, 'close');
   await drained;
-  await bench.stop();
+  await harness.stop();
 });
 
-test('the metrics address tells requests by outcome', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  await bench.send({ target: '/nowhere/x' });
-  const text = await (await fetch(`${bench.gateway.metricsUrl}/metrics`)).text();
+test('the metrics endpoint counts requests by outcome', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  await harness.send({ target: '/nowhere/x' });
+  const text = await (await fetch(`${harness.gateway.metricsUrl}/metrics`)).text();
   t.regex(text, /jackdaw_forwarded_requests_total\{kind="none",outcome="unknown-route"\} 1/);
   t.regex(text, /jackdaw_configuration_version 2/);
-  await bench.stop();
+  await harness.stop();
 });
--- a/tests/gateway/restarts.test.ts
+++ b/tests/gateway/restarts.test.ts
@@ -1,32 +1,31 @@
 import test from 'ava';
 import { HEADERS } from '../../platform';
 import { createStandInServer } from '../../standins/gateway';
-import { buildStream } from './_lib/buildStream';
-import { listEvents } from './_lib/listEvents';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { buildStreamRequest } from './_lib/buildStreamRequest';
+import { formatEvents } from './_lib/formatEvents';
+import { takeNextRequest } from './_lib/takeNextRequest';
 import { sendEvents } from './_lib/sendEvents';
 import { startTestGateway } from './_lib/startTestGateway';
 
-// Symptom: in an outage of the store 1 stream in 5 is served for ten seconds.
-// Sequence: a server crashes and starts again at its address; its new id stands in the store only,
-// which says nothing.
-// Cause: the id that its own answers bear was thrown away.
-test('a stream goes on at a restarted server whose new id the store does not tell', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1'] });
-  const followed = bench.follow(buildStream());
-  const first = await nextAnywhere(bench.servers);
+// Guards against streams that fail after a server restarts during a store outage: 1 stream in 5 was
+// served for ten seconds. The new id of the server was stored only, and the id in the server's own
+// answers was ignored.
+test('a stream resumes at a restarted server whose new id cannot be read from the store', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1'] });
+  const followed = harness.follow(buildStreamRequest());
+  const first = await takeNextRequest(harness.servers);
   first.server.begin(first.request);
   first.server.emit(first.request, 1, 3);
   await followed.waitForText('piece 3');
   await first.server.crash();
   const port = Number(first.server.address.split(':')[1]);
   const restarted = await createStandInServer('i-9', { port });
-  const second = await nextAnywhere([restarted]);
+  const second = await takeNextRequest([restarted]);
   t.is(second.request.headers[HEADERS.lastEventId], '3');
   t.is(second.request.headers[HEADERS.expectServer], 'i-9');
   sendEvents(second, 4, 5);
-  t.is((await followed.done).body, listEvents(1, 5));
-  t.is((await bench.waitForLine('server inferred')).server, 'i-9');
+  t.is((await followed.done).body, formatEvents(1, 5));
+  t.is((await harness.waitForLine('server inferred')).server, 'i-9');
   await restarted.stop();
-  await bench.stop();
+  await harness.stop();
 });
--- a/tests/gateway/serverClient.test.ts
+++ b/tests/gateway/serverClient.test.ts
@@ -46,10 +46,9 @@
   return Buffer.concat(chunks).toString('utf8');
 };
 
-// Symptom: a cut answer looks whole.
-// Sequence: a server sends an answer without a length and is reset in the middle of it.
-// Cause: the HTTP client takes a reset for the end of an answer without a length.
-test('an answer without a length that is reset midway does not end like a whole one', async (t) => {
+// Guards against a truncated answer that looks complete: the server sends an answer without a
+// length and is reset midway, which the HTTP client treats as the end of the answer.
+test('an answer without a length that is reset midway does not end like a complete one', async (t) => {
   const server = await createStandInServer('i-1');
   const client = createServerClient({ clock: createFakeClock() });
   const sent = client.sendAttempt(
@@ -69,7 +68,7 @@
   await server.stop();
 });
 
-test('a connection that nobody accepts surely sent nothing', async (t) => {
+test('a refused connection is reported as a request that did not start', async (t) => {
   const server = await createStandInServer('i-1');
   await server.stop();
   const client = createServerClient({ clock: createFakeClock() });
@@ -81,7 +80,7 @@
   await client.stop();
 });
 
-test('a connection that breaks after the request may have sent it', async (t) => {
+test('a connection that breaks after the request is reported as broken', async (t) => {
   const server = await createStandInServer('i-1');
   const client = createServerClient({ clock: createFakeClock() });
   const sent = client.sendAttempt(
@@ -95,7 +94,7 @@
   await server.stop();
 });
 
-test('a report that does not come tells that the server is silent', async (t) => {
+test('a report that does not arrive in time is null', async (t) => {
   const server = await createStandInServer('i-1');
   const clock = createFakeClock();
   const client = createServerClient({ clock });
@@ -111,10 +110,10 @@
   await server.stop();
 });
 
-// Symptom: prompts are read anew, and copies lost, although all servers live.
-// Sequence: connections to servers are reset while they are idle, unseen; requests are sent on them.
-// Cause: a run is entrusted to a connection that was idle.
-test('a request with a connection of its own uses no idle one, and leaves none', async (t) => {
+// Guards against runs that are lost on idle connections: connections to servers are reset unnoticed
+// while they are idle, and requests sent on them lose their prefill and copies although all servers
+// live.
+test('a request with a new connection reuses no idle connection and leaves none', async (t) => {
   const server = await createStandInServer('i-1');
   const client = createServerClient({ clock: createFakeClock() });
   const attempt = buildAttempt(server.address, server.id);
--- a/tests/gateway/serverLimits.test.ts
+++ b/tests/gateway/serverLimits.test.ts
@@ -1,39 +1,39 @@
-// Guards against routing that is not told, or does not heed, how many requests a server takes.
+// Guards against routing that ignores, or does not learn, the rate limit that a server announces.
 import test from 'ava';
 import { HEADERS } from '../../platform';
 import { createFakeClock } from '../../standins/fakes';
 import type { StandInServer } from '../../standins/gateway';
-import { buildStream } from './_lib/buildStream';
+import { buildStreamRequest } from './_lib/buildStreamRequest';
 import { findFreePort } from '../../standins/_lib/findFreePort';
-import { callServer } from './_lib/callServer';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { callAnyServer } from './_lib/callAnyServer';
+import { takeNextRequest } from './_lib/takeNextRequest';
 import { sendEvents } from './_lib/sendEvents';
-import { sendInVain } from './_lib/sendInVain';
+import { sendExpectingRefusal } from './_lib/sendExpectingRefusal';
 import { startTestGateway } from './_lib/startTestGateway';
 
-/** What a limit allows in this time, and by how much arrivals may exceed it. */
+/** Window of a limit, and the ratio by which arrivals may exceed the limit. */
 const WINDOW_S = 4;
 const MAX_EXCESS = 1.2;
 
 const LIMIT_PER_S = 2;
 
-/** Enough that one of two equal servers gets far more than the limit allows unless it is heeded. */
+/** With this many calls, each of two servers exceeds the limit if the limit is ignored. */
 const CALLS = 40;
 
-const nameLimit = (limit: string) => ({ [HEADERS.limit]: limit });
+const buildLimitHeaders = (limit: string) => ({ [HEADERS.limit]: limit });
 
-test('the log says which limit an answer named, and when one named none any more', async (t) => {
+test('the log records the limit that an answer announces, and when it is no longer announced', async (t) => {
   const clock = createFakeClock();
-  const bench = await startTestGateway({ clock, serverIds: ['i-1'] });
-  t.teardown(bench.stop);
-  await callServer(bench, { id: 'first', headers: nameLimit('3.7') });
+  const harness = await startTestGateway({ clock, serverIds: ['i-1'] });
+  t.teardown(harness.stop);
+  await callAnyServer(harness, { id: 'first', headers: buildLimitHeaders('3.7') });
   clock.advance(1000);
-  await callServer(bench, { id: 'same', headers: nameLimit('3.7') });
+  await callAnyServer(harness, { id: 'same', headers: buildLimitHeaders('3.7') });
   clock.advance(1000);
-  await callServer(bench, { id: 'none' });
-  const named = bench.lines.filter(({ message }) => message === 'server limit');
+  await callAnyServer(harness, { id: 'none' });
+  const limitChanges = harness.lines.filter(({ message }) => message === 'server limit');
   t.deepEqual(
-    named.map(({ before, limitPerS, server }) => ({ before, limitPerS, server })),
+    limitChanges.map(({ before, limitPerS, server }) => ({ before, limitPerS, server })),
     [
       { before: 'none', limitPerS: 3.7, server: 'i-1' },
       { before: 3.7, limitPerS: 'none', server: 'i-1' },
@@ -41,37 +41,37 @@
   );
 });
 
-test('a server gets no more lookups than the limit that it names, and the others get the rest', async (t) => {
-  const bench = await startTestGateway({ clock: createFakeClock() });
-  t.teardown(bench.stop);
-  const limited = await callServer(bench, {
+test('a server gets no more lookups than its announced limit, and the others get the rest', async (t) => {
+  const harness = await startTestGateway({ clock: createFakeClock() });
+  t.teardown(harness.stop);
+  const limited = await callAnyServer(harness, {
     id: 'first',
-    headers: nameLimit(String(LIMIT_PER_S)),
+    headers: buildLimitHeaders(String(LIMIT_PER_S)),
   });
   let arrived = 1;
   for (let call = 0; call < CALLS; call += 1) {
-    const answered = bench.send({ target: '/safe/x', id: `call-${call}` });
-    const { request, server } = await nextAnywhere(bench.servers);
+    const answered = harness.send({ target: '/safe/x', id: `call-${call}` });
+    const { request, server } = await takeNextRequest(harness.servers);
     const isLimited = server === limited;
     if (isLimited) arrived += 1;
-    server.answer(request, 200, 'yes', isLimited ? nameLimit(String(LIMIT_PER_S)) : {});
+    server.answer(request, 200, 'yes', isLimited ? buildLimitHeaders(String(LIMIT_PER_S)) : {});
     t.is((await answered).status, 200);
   }
   t.true(arrived <= LIMIT_PER_S * WINDOW_S * MAX_EXCESS, `${arrived} arrived`);
 });
 
-test('prompts count for the limit that a server names', async (t) => {
-  const bench = await startTestGateway({ clock: createFakeClock() });
-  t.teardown(bench.stop);
-  const first = bench.follow({ ...buildStream(), id: 'first' });
-  const taken = await nextAnywhere(bench.servers);
+test('prompts count towards the limit that a server announces', async (t) => {
+  const harness = await startTestGateway({ clock: createFakeClock() });
+  t.teardown(harness.stop);
+  const first = harness.follow({ ...buildStreamRequest(), id: 'first' });
+  const taken = await takeNextRequest(harness.servers);
   taken.request.response.setHeader(HEADERS.limit, String(LIMIT_PER_S));
   sendEvents(taken, 1, 2);
   await first.done;
   let arrived = 1;
   for (let stream = 0; stream < CALLS; stream += 1) {
-    const followed = bench.follow({ ...buildStream(), id: `stream-${stream}` });
-    const next = await nextAnywhere(bench.servers);
+    const followed = harness.follow({ ...buildStreamRequest(), id: `stream-${stream}` });
+    const next = await takeNextRequest(harness.servers);
     if (next.server === taken.server) {
       arrived += 1;
       next.request.response.setHeader(HEADERS.limit, String(LIMIT_PER_S));
@@ -82,47 +82,47 @@
   t.true(arrived <= LIMIT_PER_S * WINDOW_S * MAX_EXCESS, `${arrived} arrived`);
 });
 
-test('a lookup beyond the limits of all servers is refused at once, with a time to come back', async (t) => {
-  const bench = await startTestGateway({ clock: createFakeClock(), serverIds: ['i-1'] });
-  t.teardown(bench.stop);
-  await callServer(bench, { id: 'first', headers: nameLimit('0.5') });
-  const refused = await sendInVain(bench, { target: '/unsafe/x', id: 'second' });
+test('a lookup beyond the limits of all servers is refused immediately with Retry-After', async (t) => {
+  const harness = await startTestGateway({ clock: createFakeClock(), serverIds: ['i-1'] });
+  t.teardown(harness.stop);
+  await callAnyServer(harness, { id: 'first', headers: buildLimitHeaders('0.5') });
+  const refused = await sendExpectingRefusal(harness, { target: '/unsafe/x', id: 'second' });
   t.is(refused?.status, 503);
   t.true(Number(refused?.headers['retry-after']) > 0);
 });
 
-test('a server that names no limit any more gets as many requests as before', async (t) => {
+test('a server that no longer announces a limit gets as many requests as before', async (t) => {
   const clock = createFakeClock();
-  const bench = await startTestGateway({ clock, serverIds: ['i-1'] });
-  t.teardown(bench.stop);
-  await callServer(bench, { id: 'first', headers: nameLimit('0.5') });
+  const harness = await startTestGateway({ clock, serverIds: ['i-1'] });
+  t.teardown(harness.stop);
+  await callAnyServer(harness, { id: 'first', headers: buildLimitHeaders('0.5') });
   clock.advance(WINDOW_S * 1000);
-  await callServer(bench, { id: 'last of the limit' });
-  for (let call = 0; call < CALLS; call += 1) await callServer(bench, { id: `call-${call}` });
-  t.is(bench.servers[0]?.countRequests(), CALLS + 2);
+  await callAnyServer(harness, { id: 'last of the limit' });
+  for (let call = 0; call < CALLS; call += 1) await callAnyServer(harness, { id: `call-${call}` });
+  t.is(harness.servers[0]?.countRequests(), CALLS + 2);
 });
 
-test('gateways keep a limit together, also one that has not heard of it from the server', async (t) => {
+test('gateways share a limit, including one that did not learn the limit from the server', async (t) => {
   const peerAddress = `127.0.0.1:${await findFreePort()}`;
   const first = await startTestGateway({ serverIds: ['i-1'], settings: { peerAddress } });
   t.teardown(first.stop);
   const second = await startTestGateway({
-    beside: first,
+    sharedWith: first,
     settings: { vm: 'vm-2', availabilityZone: 'z2', seedAddresses: [peerAddress] },
   });
   t.teardown(second.stop);
   await second.waitForLine('peers known');
-  await callServer(first, { id: 'first', headers: nameLimit(String(LIMIT_PER_S)) });
+  await callAnyServer(first, { id: 'first', headers: buildLimitHeaders(String(LIMIT_PER_S)) });
   await second.waitForLine('server limit', ({ source }) => source === 'told');
   const [server] = first.servers as [StandInServer];
   server.addListener(() => {
     const request = server.takeRequest();
-    if (request) server.answer(request, 200, 'yes', nameLimit(String(LIMIT_PER_S)));
+    if (request) server.answer(request, 200, 'yes', buildLimitHeaders(String(LIMIT_PER_S)));
   });
   const answers = await Promise.all(
-    [first, second].flatMap((bench, index) =>
+    [first, second].flatMap((harness, index) =>
       Array.from({ length: CALLS }, (_, call) =>
-        bench.send({ target: '/unsafe/x', id: `call-${index}-${call}` }),
+        harness.send({ target: '/unsafe/x', id: `call-${index}-${call}` }),
       ),
     ),
   );
--- a/tests/gateway/sharedQuarantine.test.ts
+++ b/tests/gateway/sharedQuarantine.test.ts
@@ -4,7 +4,7 @@
 
 const NAMES = ['a', 'b', 'c', 'd', 'e'];
 
-/** Three servers end under one request, each at another VM. */
+/** Records three crashes of one request, each at another VM. */
 const crashThree = (vms: readonly string[], histories: ReadonlyMap<string, CrashHistory>): void =>
   vms.slice(0, 3).forEach((vm, index) =>
     histories.get(vm)?.recordOutcome({
@@ -18,7 +18,7 @@
 const countQuarantines = (histories: ReadonlyMap<string, CrashHistory>): number =>
   [...histories.values()].filter((history) => history.readQuarantineMs('f') > 0).length;
 
-test('three crashes at three VMs put a request into quarantine at all of them', async (t) => {
+test('three crashes at three VMs quarantine a request at all VMs', async (t) => {
   const { clock, gossips, histories, stop } = createGossipFleet(NAMES, {});
   gossips.forEach((gossip) => gossip.start());
   await clock.advanceAsync(6000);
@@ -28,7 +28,7 @@
   stop();
 });
 
-test('a VM that was cut off, or is new, learns of the quarantine within a settling time', async (t) => {
+test('a VM that was partitioned or is new learns of the quarantine within the settling time', async (t) => {
   const { addVm, clock, cut, gossips, histories, stop } = createGossipFleet(NAMES, {});
   gossips.forEach((gossip) => gossip.start());
   await clock.advanceAsync(6000);
@@ -44,19 +44,19 @@
   stop();
 });
 
-test('in a fleet of 200 VMs all know of the quarantine within two seconds, and the news ends', async (t) => {
+test('in a fleet of 200 VMs all know the quarantine within two seconds, and gossip calms down', async (t) => {
   const names = Array.from({ length: 200 }, (_, index) => `vm-${index}`);
   const { clock, countCalls, gossips, histories, stop } = createGossipFleet(names, {});
   gossips.forEach((gossip) => gossip.start());
   await clock.advanceAsync(8000);
-  const quietFrom = countCalls();
+  const callsBefore = countCalls();
   await clock.advanceAsync(4000);
-  const quiet = countCalls() - quietFrom;
+  const baselineCalls = countCalls() - callsBefore;
   crashThree(names, histories);
   await clock.advanceAsync(2000);
   t.is(countQuarantines(histories), names.length);
-  const spreadTo = countCalls();
+  const callsAfterSpread = countCalls();
   await clock.advanceAsync(4000);
-  t.true(countCalls() - spreadTo < quiet * 1.5);
+  t.true(countCalls() - callsAfterSpread < baselineCalls * 1.5);
   stop();
 });
--- a/tests/gateway/sharedRows.test.ts
+++ b/tests/gateway/sharedRows.test.ts
@@ -7,7 +7,7 @@
 import type { StatementsResponse, StatementsRequest } from '../../src/application/rows';
 import { QUIET_LOG } from '../../standins/fakes';
 import { readOk } from '../_lib/readOk';
-import { buildIdleServices } from './_lib/buildIdleServices';
+import { buildStubServices } from './_lib/buildStubServices';
 
 const STATEMENTS: StatementsResponse = {
   heldMs: 12.5,
@@ -28,10 +28,10 @@
   ],
 };
 
-/** A gateway that answers as the test says, and a client that calls it. */
+/** Starts a gateway with the given handler, and a client that calls it. */
 const setUp = async (answer: (request: StatementsRequest) => Promise<StatementsResponse>) => {
   const handlers = createGatewayHandlers({
-    ...buildIdleServices(),
+    ...buildStubServices(),
     handleKnowledge: (knowledge) => knowledge,
     handleRequest: answer,
   });
@@ -54,10 +54,10 @@
   waitMs: 1499.7,
 };
 
-// Symptom: each VM read the store by itself, as every call to another VM failed within milliseconds.
-// Sequence: a VM asks another one, with what is left of its time as the limit of the call.
-// Cause: a part of a millisecond is no limit that the protocol takes.
-test('a VM is told what another one holds, with ages of any fraction', async (t) => {
+// Guards against calls between VMs that fail within milliseconds, so that each VM reads the store
+// by itself. The remaining time was passed on as the timeout of the call, and the protocol accepts
+// no fractions of a millisecond.
+test('a VM learns the rows that another one holds, with fractional ages', async (t) => {
   const asked: StatementsRequest[] = [];
   const { address, client, stop } = await setUp(async (request) => {
     asked.push(request);
@@ -68,17 +68,17 @@
   await stop();
 });
 
-test('a call that waits for rows outlasts another one to the same VM that is given up', async (t) => {
+test('a waiting call survives when another call to the same VM times out', async (t) => {
   const asked: ((statements: StatementsResponse) => void)[] = [];
-  let recordAsked = (): void => undefined;
+  let resolveAsked = (): void => undefined;
   const isAsked = new Promise<void>((resolve) => {
-    recordAsked = resolve;
+    resolveAsked = resolve;
   });
   const { address, client, stop } = await setUp(
     () =>
       new Promise((resolve) => {
         asked.push(resolve);
-        recordAsked();
+        resolveAsked();
       }),
   );
   const waiting = client.followTables(address, REQUEST, 5000);
@@ -89,7 +89,7 @@
   await stop();
 });
 
-test('a VM that fails to answer is told as such', async (t) => {
+test('a call to a VM that fails to answer returns null', async (t) => {
   const { address, client, stop } = await setUp(async () => {
     throw new Error('broken');
   });
--- a/tests/gateway/storeClient.test.ts
+++ b/tests/gateway/storeClient.test.ts
@@ -8,14 +8,14 @@
 
 const ANSWER = JSON.stringify({ rows: [{ key: 'a', value: 'eA==', ver: 3 }], ver: 3 });
 
-/** A store whose answers a test sends part by part. */
+/** Starts a store whose answers the test sends in parts. */
 const setUp = async () => {
   const clock = createFakeClock();
-  let take: (response: ServerResponse) => void = () => undefined;
+  let resolveAsked: (response: ServerResponse) => void = () => undefined;
   const asked = new Promise<ServerResponse>((resolve) => {
-    take = resolve;
+    resolveAsked = resolve;
   });
-  const server = createServer((_request, response) => take(response));
+  const server = createServer((_request, response) => resolveAsked(response));
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   const { port } = server.address() as AddressInfo;
@@ -28,7 +28,7 @@
   return { asked, client, clock, stop };
 };
 
-/** Resolves once what was sent before has arrived at the client, as the timers show. */
+/** Resolves once the client has received the previous part, which restarts its timer. */
 const waitForRestart = async (counter: { readonly starts: number }): Promise<void> => {
   const before = counter.starts;
   while (counter.starts === before) {
@@ -38,11 +38,10 @@
   }
 };
 
-// Symptom: after all VMs lost power, 52 of 58 know no configuration for 16 s and refuse everything.
-// Sequence: the configuration has 2,000 routes; a VM of 7 Mbit/s takes 0.7 s to receive it; the call
-// is given up after 0.6 s, and begun anew, for ever.
-// Cause: the time was that of the whole answer, also while it came.
-test('an answer that takes long to arrive is read to its end', async (t) => {
+// Guards against a read that is restarted forever: after all VMs lost power, 52 of 58 had no
+// configuration for 16 s and refused everything. The configuration had 2,000 routes, which a VM
+// with 7 Mbit/s receives in 0.7 s, and the timeout of 0.6 s covered the whole answer.
+test('an answer that arrives slowly is read to its end', async (t) => {
   const { asked, client, clock, stop } = await setUp();
   const counter = { starts: 0 };
   const { startTimer } = clock;
@@ -65,10 +64,10 @@
   await stop();
 });
 
-// Symptom: changes overdue after an outage (see storeOutages.test.ts).
-// Sequence: the store falls silent while a call waits for changes; its connection stays open.
-// Cause: only the call's own limit shows that it was lost.
-test('a waiting call that a silent store has lost is given up at its limit, and the next one answered', async (t) => {
+// Guards against overdue changes after an outage (see storeOutages.test.ts): the store falls silent
+// during a waiting call whose connection stays open, so that only the timeout of the call reveals
+// the loss.
+test('a waiting call that a silent store lost times out, and the next one is answered', async (t) => {
   const clock = createFakeClock();
   const store = await createStandInStore();
   const client = createStoreClient(store.url, { clock });
@@ -92,7 +91,7 @@
   await store.stop();
 });
 
-test('an answer of which nothing more comes is given up', async (t) => {
+test('an answer that stops arriving is given up', async (t) => {
   const { asked, client, clock, stop } = await setUp();
   const read = client.readRows(TABLES.operator);
   const response = await asked;
--- a/tests/gateway/storeRestores.test.ts
+++ b/tests/gateway/storeRestores.test.ts
@@ -1,21 +1,21 @@
-// Guards against changes that are missed after the store came back from an older copy: its versions go
-// back and are given out again.
+// Guards against changes that are missed after the store is restored from an older copy: its
+// versions decrease and are assigned again.
 import test from 'ava';
 import { PATHS, CONFIGURATION_KEY, HEADERS, TABLES } from '../../platform';
 import { buildWireConfiguration, buildWireEntry, type StandInServer } from '../../standins/gateway';
-import { callServer } from './_lib/callServer';
+import { callAnyServer } from './_lib/callAnyServer';
 import { startTestGateway, type TestGateway } from './_lib/startTestGateway';
 
-/** Whole reads after which what the store holds must be known; a sound VM makes two. */
+/** Full reads within which a VM must know the content of the store; a correct VM makes two. */
 const MAX_READS = 12;
 
-/** Changes that the copy lacks, beside those that matter. */
+/** Unrelated changes that the copy lacks. */
 const OTHER_ROWS = 20;
 
-/** Enough that one of two equal servers gets none by chance once in a million runs. */
+/** With this many calls, one of two equal servers gets none in one of a million runs. */
 const CALLS_SENT = 20;
 
-/** Writes rows that the copy lacks, so that the store falls behind what the gateway holds. */
+/** Saves a copy, then writes rows that it lacks, so that a restored store is behind the gateway. */
 const writeBeyondCopy = async ({ servers, store, waitForLine }: TestGateway): Promise<void> => {
   store.saveCopy();
   for (let row = 0; row < OTHER_ROWS; row += 1) store.writeRow(TABLES.status, 'other', { row });
@@ -30,8 +30,8 @@
   );
 };
 
-/** True once the line comes; false if the store is read over and over without it. */
-const isToldInTime = async (
+/** Resolves to true once the line is logged, to false after too many reads without the line. */
+const isLoggedInTime = async (
   { store, waitForLine }: TestGateway,
   ...line: Parameters<TestGateway['waitForLine']>
 ): Promise<boolean> => {
@@ -42,103 +42,108 @@
   return Promise.race([waitForLine(...line).then(() => true), countReads()]);
 };
 
-test('the log says when the store came back in another era', async (t) => {
-  const bench = await startTestGateway();
-  t.teardown(bench.stop);
-  bench.store.saveCopy();
-  bench.store.restoreCopy();
-  t.true(await isToldInTime(bench, 'store era', ({ era }) => era === 2));
+test('the log records when the store returns in another era', async (t) => {
+  const harness = await startTestGateway();
+  t.teardown(harness.stop);
+  harness.store.saveCopy();
+  harness.store.restoreCopy();
+  t.true(await isLoggedInTime(harness, 'store era', ({ era }) => era === 2));
 });
 
-test('a configuration that is written after the store came back older is in force', async (t) => {
-  const bench = await startTestGateway();
-  t.teardown(bench.stop);
-  await writeBeyondCopy(bench);
-  bench.store.restoreCopy();
-  bench.store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildWireConfiguration({ version: 4 }));
-  t.true(await isToldInTime(bench, 'configuration in force', ({ version }) => version === 4));
+test('a configuration that is written after a restore is in force', async (t) => {
+  const harness = await startTestGateway();
+  t.teardown(harness.stop);
+  await writeBeyondCopy(harness);
+  harness.store.restoreCopy();
+  harness.store.writeRow(
+    TABLES.operator,
+    CONFIGURATION_KEY,
+    buildWireConfiguration({ version: 4 }),
+  );
+  t.true(await isLoggedInTime(harness, 'configuration in force', ({ version }) => version === 4));
 });
 
-test('a server that says after the store came back older that it leaves gets nothing more', async (t) => {
-  const bench = await startTestGateway();
-  t.teardown(bench.stop);
-  await writeBeyondCopy(bench);
-  bench.store.restoreCopy();
-  const [leaving] = bench.servers as [StandInServer];
-  bench.store.writeRow(
+test('a server that announces its leaving after a restore gets no more requests', async (t) => {
+  const harness = await startTestGateway();
+  t.teardown(harness.stop);
+  await writeBeyondCopy(harness);
+  harness.store.restoreCopy();
+  const [leaving] = harness.servers as [StandInServer];
+  harness.store.writeRow(
     TABLES.servers,
     leaving.id,
     buildWireEntry(leaving, { state: 'draining', sequence: 3 }),
   );
-  t.true(await isToldInTime(bench, 'server leaving', ({ server }) => server === leaving.id));
+  t.true(await isLoggedInTime(harness, 'server leaving', ({ server }) => server === leaving.id));
 });
 
-test('a store that came back older is not read over and over', async (t) => {
-  const bench = await startTestGateway();
-  t.teardown(bench.stop);
-  await writeBeyondCopy(bench);
+test('a restored store is not read repeatedly', async (t) => {
+  const harness = await startTestGateway();
+  t.teardown(harness.stop);
+  await writeBeyondCopy(harness);
   let reads = 0;
   const countReads = async (): Promise<void> => {
-    for (; reads < MAX_READS; reads += 1) await bench.store.waitForCall(PATHS.readRows);
+    for (; reads < MAX_READS; reads += 1) await harness.store.waitForCall(PATHS.readRows);
   };
   const counted = countReads();
-  bench.store.restoreCopy();
-  const isTold = bench.waitForLine(
+  harness.store.restoreCopy();
+  const isLogged = harness.waitForLine(
     'store era',
     ({ era, table }) => era === 2 && table === TABLES.servers,
   );
-  await Promise.race([counted, isTold]);
-  for (let call = 0; call < CALLS_SENT; call += 1) await callServer(bench, { id: `call-${call}` });
+  await Promise.race([counted, isLogged]);
+  for (let call = 0; call < CALLS_SENT; call += 1)
+    await callAnyServer(harness, { id: `call-${call}` });
   t.true(reads < MAX_READS, `${reads} reads`);
 });
 
-test('a server that left stays out while the store shows an older copy of its entry', async (t) => {
-  const bench = await startTestGateway();
-  t.teardown(bench.stop);
-  const [leaving] = bench.servers as [StandInServer];
-  bench.store.saveCopy();
-  bench.store.writeRow(
+test('a leaving server stays unused while the restored store has an older entry', async (t) => {
+  const harness = await startTestGateway();
+  t.teardown(harness.stop);
+  const [leaving] = harness.servers as [StandInServer];
+  harness.store.saveCopy();
+  harness.store.writeRow(
     TABLES.servers,
     leaving.id,
     buildWireEntry(leaving, { state: 'draining', sequence: 3 }),
   );
-  await bench.waitForLine('server leaving', ({ server }) => server === leaving.id);
-  bench.store.restoreCopy();
-  await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
+  await harness.waitForLine('server leaving', ({ server }) => server === leaving.id);
+  harness.store.restoreCopy();
+  await harness.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   for (let call = 0; call < CALLS_SENT; call += 1) {
-    t.not((await callServer(bench, { id: `call-${call}` })).id, leaving.id);
+    t.not((await callAnyServer(harness, { id: `call-${call}` })).id, leaving.id);
   }
 });
 
-test('a server whose entry went stays out while the store shows it again', async (t) => {
-  const bench = await startTestGateway();
-  t.teardown(bench.stop);
-  const [gone] = bench.servers as [StandInServer];
-  bench.store.saveCopy();
-  bench.store.writeRow(TABLES.servers, gone.id, null);
-  await bench.waitForLine('server gone', ({ server }) => server === gone.id);
-  bench.store.restoreCopy();
-  await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
+test('a deleted server stays unused while the restored store has its entry again', async (t) => {
+  const harness = await startTestGateway();
+  t.teardown(harness.stop);
+  const [deleted] = harness.servers as [StandInServer];
+  harness.store.saveCopy();
+  harness.store.writeRow(TABLES.servers, deleted.id, null);
+  await harness.waitForLine('server gone', ({ server }) => server === deleted.id);
+  harness.store.restoreCopy();
+  await harness.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   for (let call = 0; call < CALLS_SENT; call += 1) {
-    t.not((await callServer(bench, { id: `call-${call}` })).id, gone.id);
+    t.not((await callAnyServer(harness, { id: `call-${call}` })).id, deleted.id);
   }
 });
 
-test('a server that the copy lacks is used until it is written again', async (t) => {
-  const bench = await startTestGateway();
-  t.teardown(bench.stop);
-  const [kept, late] = bench.servers as [StandInServer, StandInServer];
-  bench.store.writeRow(TABLES.servers, late.id, null);
-  bench.store.saveCopy();
-  bench.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
-  bench.store.writeRow(TABLES.servers, kept.id, null);
-  await bench.waitForLine('server gone', ({ server }) => server === kept.id);
-  bench.store.restoreCopy();
-  await bench.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
-  t.is((await callServer(bench, { id: 'meanwhile' })).id, late.id);
-  bench.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
+test('a server that the copy lacks stays in use until its entry is written again', async (t) => {
+  const harness = await startTestGateway();
+  t.teardown(harness.stop);
+  const [kept, late] = harness.servers as [StandInServer, StandInServer];
+  harness.store.writeRow(TABLES.servers, late.id, null);
+  harness.store.saveCopy();
+  harness.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
+  harness.store.writeRow(TABLES.servers, kept.id, null);
+  await harness.waitForLine('server gone', ({ server }) => server === kept.id);
+  harness.store.restoreCopy();
+  await harness.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
+  t.is((await callAnyServer(harness, { id: 'meanwhile' })).id, late.id);
+  harness.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
   t.is(
-    (await callServer(bench, { id: 'after', headers: { [HEADERS.load]: '0,0,8' } })).id,
+    (await callAnyServer(harness, { id: 'after', headers: { [HEADERS.load]: '0,0,8' } })).id,
     late.id,
   );
 });
--- a/tests/gateway/streams.test.ts
+++ b/tests/gateway/streams.test.ts
@@ -1,20 +1,20 @@
 import test from 'ava';
 import { HEADERS, TABLES } from '../../platform';
 import { formatStandInEvent, buildWireConfiguration, buildWireEntry } from '../../standins/gateway';
-import { buildStream } from './_lib/buildStream';
+import { buildStreamRequest } from './_lib/buildStreamRequest';
 import { countRequests } from './_lib/countRequests';
 import { findBackup } from './_lib/findBackup';
 import { sendEvents } from './_lib/sendEvents';
-import { listEvents } from './_lib/listEvents';
-import { listOthers } from './_lib/listOthers';
+import { formatEvents } from './_lib/formatEvents';
+import { listOtherServers } from './_lib/listOtherServers';
 import { startTestGateway } from './_lib/startTestGateway';
 import { removeBackup } from './_lib/removeBackup';
-import { nextAnywhere } from './_lib/nextAnywhere';
+import { takeNextRequest } from './_lib/takeNextRequest';
 
-test('a stream is handed on event by event, with the head of its server', async (t) => {
-  const bench = await startTestGateway();
-  const followed = bench.follow(buildStream());
-  const { request, server } = await nextAnywhere(bench.servers);
+test('a stream is forwarded event by event with the headers of its server', async (t) => {
+  const harness = await startTestGateway();
+  const followed = harness.follow(buildStreamRequest());
+  const { request, server } = await takeNextRequest(harness.servers);
   server.begin(request);
   server.emit(request, 1, 1);
   await followed.waitForText(formatStandInEvent(1));
@@ -24,27 +24,26 @@
   t.is(answer.status, 200);
   t.is(answer.headers[HEADERS.requestId], 'request-1');
   t.is(answer.headers[HEADERS.signature], 'stand-in-stamp');
-  t.is(answer.body, listEvents(1, 3));
+  t.is(answer.body, formatEvents(1, 3));
   t.true(answer.isWhole);
-  await bench.stop();
+  await harness.stop();
 });
 
-// Symptom: a stream whose server dies pauses for as long as its prompt takes to read, or is lost.
-// Sequence: a server dies in mid-stream; its run's memory is copied to another zone.
-// Cause: the next attempt reads the prompt anew.
-test('a stream goes on from the copy when its server dies, in one whole answer', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
-  const followed = bench.follow(buildStream());
-  const first = await nextAnywhere(bench.servers);
+// Guards against a repeated prefill, and its pause, after a server dies in mid-stream although the
+// KV cache was copied to another zone.
+test('a stream whose server dies resumes from the copy within one complete answer', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
+  const followed = harness.follow(buildStreamRequest());
+  const first = await takeNextRequest(harness.servers);
   const backup = String(first.request.headers[HEADERS.kvBackup]);
-  t.true(listOthers(bench, first.server).some(({ address }) => address === backup));
+  t.true(listOtherServers(harness, first.server).some(({ address }) => address === backup));
   first.server.begin(first.request);
   first.server.emit(first.request, 1, 5);
-  // A server that dies may stop within an event: what has no end is never handed on.
+  // A dying server may stop within an event; an incomplete event is never forwarded.
   first.request.response.write('id: 6\ndata: ha');
   await followed.waitForText(formatStandInEvent(5));
   await first.server.crash();
-  const second = await nextAnywhere(listOthers(bench, first.server));
+  const second = await takeNextRequest(listOtherServers(harness, first.server));
   t.is(second.server.address, backup);
   t.is(second.request.headers[HEADERS.kvFrom], `${backup}/request-1`);
   t.is(second.request.headers[HEADERS.lastEventId], '5');
@@ -52,164 +51,155 @@
   sendEvents(second, 6, 9);
   const answer = await followed.done;
   t.true(answer.isWhole);
-  t.is(answer.body, listEvents(1, 9));
-  await bench.stop();
+  t.is(answer.body, formatEvents(1, 9));
+  await harness.stop();
 });
 
-// Symptom: pieces come twice.
-// Sequence: the run that goes on begins with events that the caller has already.
-// Cause: they are handed on as they come.
-test('events that the caller has already are left out of a run that goes on', async (t) => {
-  const bench = await startTestGateway();
-  const followed = bench.follow(buildStream());
-  const first = await nextAnywhere(bench.servers);
+// Guards against duplicate events: a resumed run begins with events that the caller already has.
+test('events that the caller already has are dropped from a resumed run', async (t) => {
+  const harness = await startTestGateway();
+  const followed = harness.follow(buildStreamRequest());
+  const first = await takeNextRequest(harness.servers);
   first.server.begin(first.request);
   first.server.emit(first.request, 1, 4);
   await followed.waitForText(formatStandInEvent(4));
   first.request.socket.resetAndDestroy();
-  const second = await nextAnywhere(bench.servers);
+  const second = await takeNextRequest(harness.servers);
   sendEvents(second, 3, 6);
-  t.is((await followed.done).body, listEvents(1, 6));
-  await bench.stop();
+  t.is((await followed.done).body, formatEvents(1, 6));
+  await harness.stop();
 });
 
-// Symptom: a piece is missing.
-// Sequence: the run that goes on leaves an event out.
-// Cause: ids are not compared with the one before.
-test('a run that leaves an event out is not handed on', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
-  const followed = bench.follow(buildStream());
-  const first = await nextAnywhere(bench.servers);
+// Guards against missing events: a resumed run skips an event, and event ids are not compared.
+test('a run that skips an event is not forwarded', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
+  const followed = harness.follow(buildStreamRequest());
+  const first = await takeNextRequest(harness.servers);
   first.server.begin(first.request);
   first.server.emit(first.request, 1, 2);
   first.server.emit(first.request, 4, 4);
-  const second = await nextAnywhere(bench.servers);
+  const second = await takeNextRequest(harness.servers);
   t.is(second.request.headers[HEADERS.lastEventId], '2');
   sendEvents(second, 3, 4);
-  t.is((await followed.done).body, listEvents(1, 4));
-  await bench.stop();
+  t.is((await followed.done).body, formatEvents(1, 4));
+  await harness.stop();
 });
 
-// Symptom: two servers work on one request.
-// Sequence: a server falls silent; the stream goes on elsewhere; the first one wakes.
-// Cause: its connection is still open.
-test('a silent server is given up, and its connection closed before the next one is asked', async (t) => {
-  const bench = await startTestGateway();
-  const followed = bench.follow(buildStream());
-  const first = await nextAnywhere(bench.servers);
+// Guards against two servers that work on one request: a silent server wakes after the stream has
+// moved, and its connection is still open.
+test('a silent server is abandoned, and its connection closed before the next attempt', async (t) => {
+  const harness = await startTestGateway();
+  const followed = harness.follow(buildStreamRequest());
+  const first = await takeNextRequest(harness.servers);
   first.server.begin(first.request);
   first.server.emit(first.request, 1, 2);
   await followed.waitForText(formatStandInEvent(2));
   first.server.freeze();
-  const second = await nextAnywhere(listOthers(bench, first.server));
+  const second = await takeNextRequest(listOtherServers(harness, first.server));
   await first.request.closed;
   sendEvents(second, 3, 4);
-  t.is((await followed.done).body, listEvents(1, 4));
-  t.is((await bench.waitForLine('server silent')).cause, 'no answer');
-  await bench.stop();
+  t.is((await followed.done).body, formatEvents(1, 4));
+  t.is((await harness.waitForLine('server silent')).cause, 'no answer');
+  await harness.stop();
 });
 
-// Symptom: a stream stands still for the whole of its deadline.
-// Sequence: a server loses the answer of a run, but keeps its connection open and answers questions.
-// Cause: only a closed connection, or a server that answers nothing, counts as a loss.
-test('a run that its server no longer has is begun elsewhere', async (t) => {
-  const bench = await startTestGateway();
-  const followed = bench.follow(buildStream());
-  const first = await nextAnywhere(bench.servers);
-  // The stand-in lists runs by their open answers: this one is forgotten.
+// Guards against a stream that stalls until its deadline: its server loses the answer of the run,
+// but keeps the connection open and answers report requests.
+test('a run that its server no longer lists is restarted elsewhere', async (t) => {
+  const harness = await startTestGateway();
+  const followed = harness.follow(buildStreamRequest());
+  const first = await takeNextRequest(harness.servers);
+  // The fake server lists runs by their open answers, so that it no longer lists this run.
   first.request.response.emit('close');
-  const second = await nextAnywhere(bench.servers);
+  const second = await takeNextRequest(harness.servers);
   sendEvents(second, 1, 2);
-  t.is((await followed.done).body, listEvents(1, 2));
-  t.is((await bench.waitForLine('server silent')).cause, 'run lost');
-  await bench.stop();
+  t.is((await followed.done).body, formatEvents(1, 2));
+  t.is((await harness.waitForLine('server silent')).cause, 'run lost');
+  await harness.stop();
 });
 
-// Symptom: a stream that outlives its backup server reads its prompt anew when its own is lost.
-// Sequence: the server with the copy is replaced while the stream runs.
-// Cause: a copy is made only when a stream begins.
+// Guards against a repeated prefill of a stream that outlives its backup server: the backup is
+// replaced in mid-stream, then the stream's own server is lost, and no new copy was made.
 test('a run whose copy is lost is moved, and gets a new copy', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
-  const followed = bench.follow(buildStream());
-  const { backup, first } = await removeBackup(bench, followed);
-  const second = await nextAnywhere(listOthers(bench, first.server));
+  const harness = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
+  const followed = harness.follow(buildStreamRequest());
+  const { backup, first } = await removeBackup(harness, followed);
+  const second = await takeNextRequest(listOtherServers(harness, first.server));
   t.is(second.request.headers[HEADERS.kvFrom], `${first.server.address}/handle-request-1`);
   t.not(second.server, backup);
   sendEvents(second, 4, 5);
-  t.is((await followed.done).body, listEvents(1, 5));
-  await bench.stop();
+  t.is((await followed.done).body, formatEvents(1, 5));
+  await harness.stop();
 });
 
-// Symptom: a request reaches a server seconds after it said that it leaves.
-// Sequence: the server that holds a copy is leaving; the stream's own server dies.
-// Cause: the holder of a copy goes before all others, whatever its state.
-test('a stream does not go on at a leaving server, although it holds the copy', async (t) => {
-  const bench = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
-  const followed = bench.follow(buildStream());
-  const first = await nextAnywhere(bench.servers);
-  const backup = findBackup(bench, first);
-  bench.store.writeRow(TABLES.servers, backup.id, buildWireEntry(backup, { state: 'draining' }));
-  await bench.waitForLine('server leaving');
+// Guards against requests to a leaving server: it holds the copy of a stream whose own server dies,
+// and the holder of a copy is preferred in any state.
+test('a stream does not resume at a leaving server that holds the copy', async (t) => {
+  const harness = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
+  const followed = harness.follow(buildStreamRequest());
+  const first = await takeNextRequest(harness.servers);
+  const backup = findBackup(harness, first);
+  harness.store.writeRow(TABLES.servers, backup.id, buildWireEntry(backup, { state: 'draining' }));
+  await harness.waitForLine('server leaving');
   first.request.socket.resetAndDestroy();
-  const second = await nextAnywhere(listOthers(bench, backup));
+  const second = await takeNextRequest(listOtherServers(harness, backup));
   t.not(second.server, backup);
   t.is(second.request.headers[HEADERS.kvFrom], undefined);
   sendEvents(second, 1, 2);
   t.true((await followed.done).isWhole);
-  await bench.stop();
+  await harness.stop();
 });
 
-test('a stream that may not be resumed is broken off when its server dies, and never looks whole', async (t) => {
+test('a stream that is not resumable is aborted when its server dies and never looks complete', async (t) => {
   const [base] = [buildWireConfiguration() as { routes: object[] }];
   const routes = base.routes.map((route) => ({ ...route, resumable: false }));
-  const bench = await startTestGateway({ configuration: { routes } });
-  const followed = bench.follow(buildStream());
-  const first = await nextAnywhere(bench.servers);
+  const harness = await startTestGateway({ configuration: { routes } });
+  const followed = harness.follow(buildStreamRequest());
+  const first = await takeNextRequest(harness.servers);
   first.server.begin(first.request);
   first.server.emit(first.request, 1, 2);
   await followed.waitForText(formatStandInEvent(2));
   first.request.socket.resetAndDestroy();
   const answer = await followed.done;
   t.false(answer.isWhole);
-  t.is(countRequests(bench), 1);
-  await bench.stop();
+  t.is(countRequests(harness), 1);
+  await harness.stop();
 });
 
-test('a caller that comes back with its last event id gets the events after it', async (t) => {
-  const bench = await startTestGateway();
-  const followed = bench.follow(buildStream({ [HEADERS.lastEventId]: '7' }));
-  const { request, server } = await nextAnywhere(bench.servers);
+test('a caller that reconnects with its last event id gets the later events', async (t) => {
+  const harness = await startTestGateway();
+  const followed = harness.follow(buildStreamRequest({ [HEADERS.lastEventId]: '7' }));
+  const { request, server } = await takeNextRequest(harness.servers);
   t.is(request.headers[HEADERS.lastEventId], '7');
   server.begin(request);
   server.emit(request, 8, 9);
   request.response.end();
-  t.is((await followed.done).body, listEvents(8, 9));
-  await bench.stop();
+  t.is((await followed.done).body, formatEvents(8, 9));
+  await harness.stop();
 });
 
-test('a stream that is still running at its deadline is broken off', async (t) => {
-  const bench = await startTestGateway();
-  const followed = bench.follow(buildStream({ [HEADERS.deadlineMs]: '2500' }));
-  const { request, server } = await nextAnywhere(bench.servers);
+test('a stream that is still running at its deadline is aborted', async (t) => {
+  const harness = await startTestGateway();
+  const followed = harness.follow(buildStreamRequest({ [HEADERS.deadlineMs]: '2500' }));
+  const { request, server } = await takeNextRequest(harness.servers);
   server.begin(request);
   server.emit(request, 1, 1);
   await followed.waitForText(formatStandInEvent(1));
   t.false((await followed.done).isWhole);
   await request.closed;
-  await bench.stop();
+  await harness.stop();
 });
 
-// Symptom: streams are refused although all servers are free.
-// Sequence: a VM is slow for a moment, so that its questions to the servers time out.
-// Cause: a server that was not heard in time is not chosen, and none was heard.
-test('a prompt is sent although no server answered the questions before it', async (t) => {
-  const bench = await startTestGateway();
-  bench.servers.forEach((server) => server.muteReports());
-  const followed = bench.follow(buildStream());
-  const { request, server } = await nextAnywhere(bench.servers);
+// Guards against refused streams while all servers are free: a VM is slow for a moment, its report
+// requests time out, and a server without a recent report is not chosen.
+test('a prompt is sent although no server answered the report requests', async (t) => {
+  const harness = await startTestGateway();
+  harness.servers.forEach((server) => server.muteReports());
+  const followed = harness.follow(buildStreamRequest());
+  const { request, server } = await takeNextRequest(harness.servers);
   server.begin(request);
   server.emit(request, 1, 2);
   request.response.end();
-  t.is((await followed.done).body, listEvents(1, 2));
-  await bench.stop();
+  t.is((await followed.done).body, formatEvents(1, 2));
+  await harness.stop();
 });
--- a/tests/model/_lib/listRowsViolations/index.ts
+++ b/tests/model/_lib/listRowsViolations/index.ts
@@ -16,7 +16,9 @@
   readonly isSettled: (vm: RowsVm) => boolean;
 }
 
-/** Lists rows that are outdated, missing or deleted at the version that a VM reports as complete. */
+/**
+ * Lists rows that are outdated, missing or deleted at the version that a VM reports as complete.
+ */
 const listWrongRows = ({ store }: RowsWorld, vm: RowsVm, table: string): string[] => {
   const version = vm.readVersion(table);
   const held = vm.readRows(table);
--- a/tests/model/claims.test.ts
+++ b/tests/model/claims.test.ts
@@ -1,6 +1,6 @@
-// Explores every interleaving of two VMs that claim the same key, with lost answers, lost or delayed
-// writes, pauses of a VM, and a row that the platform removes. The search must also find each seeded
-// fault, which shows that it can detect a violation.
+// Explores every interleaving of two VMs that claim the same key, with lost answers, lost or
+// delayed writes, pauses of a VM, and a row that the platform removes. The search must also find
+// each seeded fault, which shows that it can detect a violation.
 import test from 'ava';
 import { CLAIM_RULES, createClaimModel, type ClaimRules } from './_lib/createClaimModel';
 import { findViolation } from './_lib/findViolation';
--- a/tests/model/configurations.test.ts
+++ b/tests/model/configurations.test.ts
@@ -1,6 +1,6 @@
-// Two operators apply a configuration concurrently, with any interleaving of their reads and writes,
-// lost answers, and writes that arrive after they were given up. Also checks every network partition
-// between VMs and the table. The checks must also find each seeded fault.
+// Two operators apply a configuration concurrently, with any interleaving of their reads and
+// writes, lost answers, and writes that arrive after they were given up. Also checks every network
+// partition between VMs and the table. The checks must also find each seeded fault.
 import test from 'ava';
 import fc from 'fast-check';
 import {
@@ -84,8 +84,8 @@
 });
 
 /**
- * Finds a partition of up to nine VMs with a wrong decision. Some VMs read the table; the VMs of one
- * group do not, and hear only each other.
+ * Finds a partition of up to nine VMs with a wrong decision. Some VMs read the table; the VMs of
+ * one group do not, and hear only each other.
  */
 function findUnsafePartition(check: typeof checkFreshness): string | null {
   for (let vms = 1; vms <= 9; vms += 1) {
--- a/tests/model/leases.test.ts
+++ b/tests/model/leases.test.ts
@@ -1,6 +1,6 @@
-// Explores every interleaving of two keepers of one region in discrete time, with pauses of a keeper,
-// answers lost after the write was applied, writes that arrive after they were given up, and orders
-// in flight. The engine ignores fencing tokens.
+// Explores every interleaving of two keepers of one region in discrete time, with pauses of a
+// keeper, answers lost after the write was applied, writes that arrive after they were given up,
+// and orders in flight. The engine ignores fencing tokens.
 import test from 'ava';
 import { createLeaseModel, LEASE_RULES, type LeaseRules } from './_lib/createLeaseModel';
 import { findViolation } from './_lib/findViolation';
--- a/tests/model/serverLimits.test.ts
+++ b/tests/model/serverLimits.test.ts
@@ -15,7 +15,9 @@
 
 const ANNOUNCED_AT_MS = 6000;
 
-/** Start of the checks. Until then servers may get any number of requests; the windows count them. */
+/**
+ * Start of the checks. Until then servers may get any number of requests; the windows count them.
+ */
 const SETTLED_MS = 9500;
 
 /** Excess that the operator tolerates, from three seconds after a limit was announced. */
--- a/tests/model/sharedRows.test.ts
+++ b/tests/model/sharedRows.test.ts
@@ -1,14 +1,16 @@
 import test from 'ava';
 import { runRowsSchedule } from './_lib/runRowsSchedule';
 
-/** Schedules per run. For more: `JACKDAW_SCHEDULES=20000 npx ava tests/model/sharedRows.test.ts`. */
+/**
+ * Schedules per run. For more: `JACKDAW_SCHEDULES=20000 npx ava tests/model/sharedRows.test.ts`.
+ */
 const SCHEDULES = Number(process.env.JACKDAW_SCHEDULES ?? 300);
 
 const PARTS = 4;
 
 /**
- * Seeds that once violated a rule: the fake network path to the store did not end an abandoned call,
- * so that a lost call for the servers table was awaited until its timeout.
+ * Seeds that once violated a rule: the fake network path to the store did not end an abandoned
+ * call, so that a lost call for the servers table was awaited until its timeout.
  */
 const REGRESSION_SEEDS: readonly number[] = [150, 162, 182, 454, 494, 1234, 1438, 1494, 1826, 1974];
 
--- a/tests/model/storeCalls.test.ts
+++ b/tests/model/storeCalls.test.ts
@@ -1,6 +1,6 @@
-// Guards against a read loop on an empty store: 195 VMs made 17,993 store calls in a simulated day of
-// 50 s, most of them in the first second. The VMs start before the operator has written a row, and a
-// store without rows was read again immediately for as long as it was empty.
+// Guards against a read loop on an empty store: 195 VMs made 17,993 store calls in a simulated day
+// of 50 s, most of them in the first second. The VMs start before the operator has written a row,
+// and a store without rows was read again immediately for as long as it was empty.
 import test from 'ava';
 import { createRowsWorld } from '../../standins/rows';
 
