--- a/src/application/forwarding/_lib/chooseStreamPlacement/test.ts
+++ b/src/application/forwarding/_lib/chooseStreamPlacement/test.ts
@@ -5,7 +5,7 @@
   createFakeClock,
   createSeededRandomness,
 } from '../../../../../standins/fakes';
-import { createModelDirectory, MODEL_SERVICE } from '../../../../../standins/model';
+import { createSimulatedDirectory, SIMULATED_SERVICE } from '../../../../../standins/model';
 import type { StreamRun } from '../../types';
 import { chooseStreamPlacement } from '.';
 
@@ -16,7 +16,7 @@
  */
 const build = (holder: string, offset: number) => {
   const clock = createFakeClock();
-  const directory = createModelDirectory(clock, IDS);
+  const directory = createSimulatedDirectory(clock, IDS);
   const asked: string[] = [];
   const run = {
     dependencies: {
@@ -36,8 +36,8 @@
       },
     },
     context: {
-      service: MODEL_SERVICE,
-      servers: buildOpenServers(() => directory.listServing(MODEL_SERVICE)),
+      service: SIMULATED_SERVICE,
+      servers: buildOpenServers(() => directory.listServing(SIMULATED_SERVICE)),
       request: {
         requestId: 'r',
         tokens: { prompt: 8200, maxOutput: 840 },
--- a/src/application/forwarding/createQuarantineRows/test.ts
+++ b/src/application/forwarding/createQuarantineRows/test.ts
@@ -96,12 +96,12 @@
   const { clock, quarantined, readKeys, rows, store } = setUp();
   rows.startWrite('f');
   await clock.advanceAsync(600);
-  store.restoreCopy(1);
+  store.restoreSnapshot(1);
   t.deepEqual(await readKeys(), []);
   rows.startRewrite();
   await clock.advanceAsync(100);
   t.deepEqual(await readKeys(), ['f']);
-  store.restoreCopy(1);
+  store.restoreSnapshot(1);
   quarantined.clear();
   rows.startRewrite();
   await clock.advanceAsync(5000);
--- a/src/application/rows/createZoneReplication/test.ts
+++ b/src/application/rows/createZoneReplication/test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
-import { createRowsWorld, type RowsVm, type RowsWorld } from '../../../../standins/rows';
+import { createRowsFleet, type RowsVm, type RowsFleet } from '../../../../standins/rows';
 
 const BOUNDS = { changeMs: 4000, settleMs: 5000 };
 
 /** One call each 0.15 s, and two VMs that follow the store. */
 const MAX_ZONE_CALLS_PER_S = 10;
 
-const buildWorld = (count: number, seed = 1): RowsWorld =>
-  createRowsWorld({ seed, bounds: BOUNDS, zones: Array.from({ length: count }, () => 'z1') });
+const buildWorld = (count: number, seed = 1): RowsFleet =>
+  createRowsFleet({ seed, bounds: BOUNDS, zones: Array.from({ length: count }, () => 'z1') });
 
 /** Starts VMs on a store with one row in each table, and lets them settle. */
-const createSettledWorld = async (count: number): Promise<RowsWorld> => {
+const createSettledWorld = async (count: number): Promise<RowsFleet> => {
   const world = buildWorld(count);
   world.store.writeRow('op', 'config', { version: 1 });
   world.store.writeRow('servers', 's1', { version: 1 });
@@ -18,13 +18,13 @@
   return world;
 };
 
-const stopAll = ({ vms }: RowsWorld): void => vms.forEach((vm) => vm.kill());
+const stopAll = ({ vms }: RowsFleet): void => vms.forEach((vm) => vm.kill());
 
-const listReaders = ({ vms }: RowsWorld): RowsVm[] =>
-  vms.filter((vm) => vm.isAlive() && vm.sharing.isReader());
+const listReaders = ({ vms }: RowsFleet): RowsVm[] =>
+  vms.filter((vm) => vm.isAlive() && vm.replication.isReader());
 
 /** Counts the calls to the store within a number of seconds. */
-const countCalls = async ({ clock, store }: RowsWorld, seconds: number): Promise<number> => {
+const countCalls = async ({ clock, store }: RowsFleet, seconds: number): Promise<number> => {
   const before = store.countCalls();
   await clock.advanceAsync(seconds * 1000);
   return store.countCalls() - before;
@@ -58,7 +58,7 @@
   for (const how of ['kill', 'stopped', 'suspended'] as const) {
     const [reader] = listReaders(world);
     if (how === 'kill') reader?.kill();
-    else reader?.clock.stand(how);
+    else reader?.clock.pause(how);
     await world.clock.advanceAsync(10);
     world.store.writeRow('op', 'config', { how });
     const version = world.store.readVersion();
@@ -74,7 +74,7 @@
 test('when the store refuses the reader, the reader and its followers use another VM', async (t) => {
   const world = await createSettledWorld(12);
   const [reader] = listReaders(world);
-  reader?.store.setPath('refused');
+  reader?.store.setReachability('refused');
   await world.clock.advanceAsync(4000);
   const refusedBefore = reader?.store.countCalls() ?? 0;
   world.store.writeRow('servers', 's2', { version: 1 });
@@ -95,7 +95,7 @@
   const world = await createSettledWorld(30);
   const [reader] = listReaders(world);
   const refused = [reader, ...world.vms.filter((vm) => vm !== reader).slice(0, 9)];
-  refused.forEach((vm) => vm?.store.setPath('refused'));
+  refused.forEach((vm) => vm?.store.setReachability('refused'));
   const served = world.vms.filter((vm) => !refused.includes(vm));
   const countServed = (): number => served.reduce((sum, vm) => sum + vm.store.countCalls(), 0);
   await world.clock.advanceAsync(3000);
--- a/standins/gateway/createStandInServer/index.ts
+++ b/standins/gateway/createStandInServer/index.ts
@@ -25,7 +25,7 @@
   /** Resolves with the next request that is no question about the server itself. */
   nextRequest(): Promise<ReceivedRequest>;
   /** Resolves, with the connection, when it is asked about itself. */
-  nextQuestion(): Promise<Socket>;
+  nextStatusRequest(): Promise<Socket>;
   /** Takes a request that has come, if there is one. */
   takeRequest(): ReceivedRequest | null;
   /** Calls `listener` at each request. */
@@ -35,19 +35,19 @@
   /** Sends a whole answer, signed. */
   answer(request: ReceivedRequest, status: number, body: string, headers?: Headers): void;
   /** Begins a stream, signed. */
-  begin(request: ReceivedRequest): void;
+  startStream(request: ReceivedRequest): void;
   /** Sends the events with ids from `first` to `last`. */
-  emit(request: ReceivedRequest, first: number, last: number): void;
+  sendEvents(request: ReceivedRequest, first: number, last: number): void;
   /** Makes so many events of a run, of which none reaches the caller. */
-  loseEvents(request: ReceivedRequest, events: number): void;
+  recordUnsentEvents(request: ReceivedRequest, events: number): void;
   /** Stops runs that are moved, but never answers that the rest is copied. */
-  holdRests(): void;
+  withholdFinalCopies(): void;
   /** Ends the process: all connections are reset, and new ones refused. */
   crash(): Promise<void>;
   /** From now on all its answers say that it leaves. */
   leave(): void;
   /** Answers requests, but no questions about itself. */
-  muteReports(): void;
+  ignoreStatusRequests(): void;
   /** Falls silent: connections stay open, and nothing is answered any more. */
   freeze(): void;
   stop(): Promise<void>;
@@ -57,7 +57,7 @@
 
 const HEALTH_PATH = '/healthz';
 
-const STAMP = 'stand-in-stamp';
+const SIGNATURE = 'stand-in-stamp';
 
 /** Formats an event as the engines do. */
 export const formatStandInEvent = (id: number): string => `id: ${id}\ndata: piece ${id}\n\n`;
@@ -68,7 +68,7 @@
   return Buffer.concat(chunks).toString('utf8');
 };
 
-const NODE_IDLE_MS = 5000;
+const DEFAULT_IDLE_MS = 5000;
 
 /**
  * Starts a stand-in of a backend server, on a free port unless one is given.
@@ -85,15 +85,15 @@
   /** Events made, by the id of each run. */
   const runs = new Map<string, number>();
   const listeners: (() => void)[] = [];
-  const questions: ((connection: Socket) => void)[] = [];
+  const statusWaiters: ((connection: Socket) => void)[] = [];
   let requests = 0;
   let connections = 0;
   let isFrozen = false;
-  let isMute = false;
+  let ignoresStatusRequests = false;
   let isLeaving = false;
-  let holdsRests = false;
+  let withholdsFinalCopies = false;
 
-  const readId = ({ headers }: Pick<ReceivedRequest, 'headers'>): string =>
+  const readRequestId = ({ headers }: Pick<ReceivedRequest, 'headers'>): string =>
     String(headers[HEADERS.requestId] ?? '');
 
   const sendReport = (response: ServerResponse): void => {
@@ -104,11 +104,11 @@
 
   const sendHandle = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     const { id: run, last } = JSON.parse(await readBody(request)) as { id: string; last: boolean };
-    if (last && holdsRests) return;
+    if (last && withholdsFinalCopies) return;
     response.end(JSON.stringify({ handle: `handle-${run}`, created: 1 }));
   };
 
-  const OWN_CALLS: Readonly<
+  const STATUS_HANDLERS: Readonly<
     Record<string, (request: IncomingMessage, response: ServerResponse) => void>
   > = {
     [PATHS.report]: (_request, response) => sendReport(response),
@@ -124,12 +124,12 @@
 
   const receive = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
     if (isLeaving) response.setHeader(HEADERS.leaving, '1');
-    const own = OWN_CALLS[request.url ?? ''];
-    if (own) questions.splice(0).forEach((resolve) => resolve(request.socket));
+    const handleStatus = STATUS_HANDLERS[request.url ?? ''];
+    if (handleStatus) statusWaiters.splice(0).forEach((resolve) => resolve(request.socket));
     if (isFrozen) return;
-    if (own && isMute) return;
-    if (own) {
-      own(request, response);
+    if (handleStatus && ignoresStatusRequests) return;
+    if (handleStatus) {
+      handleStatus(request, response);
       return;
     }
     const taken: ReceivedRequest = {
@@ -150,8 +150,8 @@
       return;
     }
     requests += 1;
-    runs.set(readId(taken), 0);
-    response.on('close', () => runs.delete(readId(taken)));
+    runs.set(readRequestId(taken), 0);
+    response.on('close', () => runs.delete(readRequestId(taken)));
     received.push(taken);
     listeners.forEach((listener) => listener());
   };
@@ -159,7 +159,7 @@
   const server = createServer((request, response) => {
     receive(request, response);
   });
-  server.keepAliveTimeout = options.idleMs ?? NODE_IDLE_MS;
+  server.keepAliveTimeout = options.idleMs ?? DEFAULT_IDLE_MS;
   server.on('connection', (socket) => {
     connections += 1;
     sockets.add(socket);
@@ -173,8 +173,8 @@
   const address = `127.0.0.1:${(server.address() as AddressInfo).port}`;
 
   const buildHeaders = (request: ReceivedRequest, headers: Headers = {}): Headers => ({
-    [HEADERS.requestId]: readId(request),
-    [HEADERS.signature]: STAMP,
+    [HEADERS.requestId]: readRequestId(request),
+    [HEADERS.signature]: SIGNATURE,
     ...headers,
   });
   const stop = async (): Promise<void> => {
@@ -187,9 +187,9 @@
   return {
     id,
     address,
-    nextQuestion: () =>
+    nextStatusRequest: () =>
       new Promise((resolve) => {
-        questions.push(resolve);
+        statusWaiters.push(resolve);
       }),
     takeRequest: () => received.shift() ?? null,
     addListener: (listener) => {
@@ -198,14 +198,14 @@
     nextRequest: () =>
       new Promise((resolve) => {
         let isTaken = false;
-        const look = (): void => {
+        const takeNext = (): void => {
           const first = isTaken ? undefined : received.shift();
           if (!first) return;
           isTaken = true;
           resolve(first);
         };
-        listeners.push(look);
-        look();
+        listeners.push(takeNext);
+        takeNext();
       }),
     countRequests: () => requests,
     countConnections: () => connections,
@@ -216,31 +216,31 @@
       });
       request.response.end(body);
     },
-    begin: (request) => {
+    startStream: (request) => {
       request.response.writeHead(
         200,
         buildHeaders(request, { 'content-type': 'text/event-stream' }),
       );
       request.response.flushHeaders();
     },
-    emit: (request, first, last) => {
+    sendEvents: (request, first, last) => {
       for (let event = first; event <= last; event += 1) {
         request.response.write(formatStandInEvent(event));
       }
-      runs.set(readId(request), last);
+      runs.set(readRequestId(request), last);
     },
-    loseEvents: (request, events) => {
-      runs.set(readId(request), events);
+    recordUnsentEvents: (request, events) => {
+      runs.set(readRequestId(request), events);
     },
     crash: stop,
     leave: () => {
       isLeaving = true;
     },
-    muteReports: () => {
-      isMute = true;
+    ignoreStatusRequests: () => {
+      ignoresStatusRequests = true;
     },
-    holdRests: () => {
-      holdsRests = true;
+    withholdFinalCopies: () => {
+      withholdsFinalCopies = true;
     },
     freeze: () => {
       isFrozen = true;
--- a/standins/gateway/createStandInStore/index.ts
+++ b/standins/gateway/createStandInStore/index.ts
@@ -17,9 +17,9 @@
   /** Feeds that follow an older version get 410 from now on. */
   dropHistory(): void;
   /** Keeps a copy of all rows. */
-  saveCopy(): void;
+  saveSnapshot(): void;
   /** Comes back from the copy in a new era: what was written since is gone, and versions go back. */
-  restoreCopy(): void;
+  restoreSnapshot(): void;
   /** Resolves when another call for the path has come. */
   waitForCall(path: string): Promise<void>;
   stop(): Promise<void>;
@@ -54,13 +54,13 @@
   const rows = new Map<string, Row>();
   const sockets = new Set<Socket>();
   const timers = new Set<NodeJS.Timeout>();
-  let feeds: (() => void)[] = [];
-  let callers: { readonly path: string; readonly resolve: () => void }[] = [];
+  let feedWaiters: (() => void)[] = [];
+  let callWaiters: { readonly path: string; readonly resolve: () => void }[] = [];
   let mode: StoreMode = 'up';
   let version = 0;
-  let historyFrom = 0;
+  let historyStart = 0;
   let era = 1;
-  let copy: { readonly rows: readonly (readonly [string, Row])[]; readonly version: number } = {
+  let snapshot: { readonly rows: readonly (readonly [string, Row])[]; readonly version: number } = {
     rows: [],
     version: 0,
   };
@@ -81,7 +81,7 @@
   const handleFeed = (query: URLSearchParams, response: ServerResponse): void => {
     const after = Number(query.get('after_revision'));
     const table = query.get('table') ?? '';
-    if (after < historyFrom || after > version) {
+    if (after < historyStart || after > version) {
       sendJson(response, HISTORY_LOST_STATUS, {});
       return;
     }
@@ -102,11 +102,11 @@
       clearTimeout(timer);
       send();
     };
-    feeds.push(wake);
+    feedWaiters.push(wake);
     response.on('close', () => {
       clearTimeout(timer);
       timers.delete(timer);
-      feeds = feeds.filter((feed) => feed !== wake);
+      feedWaiters = feedWaiters.filter((feed) => feed !== wake);
     });
   };
 
@@ -123,7 +123,7 @@
   const write = (table: string, key: string, value: string | null): void => {
     version += 1;
     rows.set(`${table}/${key}`, { table, key, value, ver: version });
-    feeds.forEach((wake) => wake());
+    feedWaiters.forEach((wake) => wake());
   };
 
   const handleChange = async (
@@ -159,8 +159,8 @@
 
   const server = createServer((request, response) => {
     const [path = ''] = (request.url ?? '').split('?');
-    callers.filter((caller) => caller.path === path).forEach(({ resolve }) => resolve());
-    callers = callers.filter((caller) => caller.path !== path);
+    callWaiters.filter((caller) => caller.path === path).forEach(({ resolve }) => resolve());
+    callWaiters = callWaiters.filter((caller) => caller.path !== path);
     MODES[mode](request, response);
   });
   server.on('connection', (socket) => {
@@ -181,27 +181,27 @@
       if (next === 'silent') {
         // Calls that wait are lost without a word: their connections stay, also after the outage.
         timers.forEach(clearTimeout);
-        feeds = [];
+        feedWaiters = [];
       } else if (next !== 'up') sockets.forEach((socket) => socket.destroy());
     },
     dropHistory: () => {
-      historyFrom = version + 1;
+      historyStart = version + 1;
       version += 1;
       sockets.forEach((socket) => socket.destroy());
     },
-    saveCopy: () => {
-      copy = { rows: [...rows], version };
+    saveSnapshot: () => {
+      snapshot = { rows: [...rows], version };
     },
-    restoreCopy: () => {
+    restoreSnapshot: () => {
       rows.clear();
-      copy.rows.forEach(([key, row]) => rows.set(key, row));
-      version = copy.version;
+      snapshot.rows.forEach(([key, row]) => rows.set(key, row));
+      version = snapshot.version;
       era += 1;
       sockets.forEach((socket) => socket.destroy());
     },
     waitForCall: (path) =>
       new Promise((resolve) => {
-        callers.push({ path, resolve });
+        callWaiters.push({ path, resolve });
       }),
     stop: async () => {
       server.close();
--- a/standins/gateway/createVirtualStore/index.ts
+++ b/standins/gateway/createVirtualStore/index.ts
@@ -15,11 +15,11 @@
   /** While silent, calls that come are lost, and so are those that wait when it begins. */
   setSilent(isSilent: boolean): void;
   /** The calls that wait on this table are lost; new ones are answered. */
-  loseWaiting(table: string): void;
+  dropPendingCalls(table: string): void;
   /** Feeds that follow an older version than the present one are told so from now on. */
   dropHistory(): void;
   /** Comes back in a new era, without the newest changes; returns these, in order. */
-  restoreCopy(lostChanges: number): readonly TableRow[];
+  restoreSnapshot(lostChanges: number): readonly TableRow[];
   /** Rows that there were at a version, by key. */
   listRowsAt(table: string, version: number): ReadonlyMap<string, number>;
   /** The newest version. */
@@ -29,13 +29,13 @@
 }
 
 /** A call that nothing answers is given up this much later than it was to be answered. */
-const GIVE_UP_MS = 600;
+const CALL_TIMEOUT_MARGIN_MS = 600;
 
 const ANSWER_MS = 4;
 
 const STORE_CLOCK_AHEAD_MS = 5_000_000;
 
-interface Waiting {
+interface PendingCall {
   readonly table: string;
   wake: () => void;
   isLost: boolean;
@@ -45,11 +45,11 @@
 export const createVirtualStore = (clock: Clock): VirtualStore => {
   let changes: TableRow[] = [];
   /** Changes of each era, as they stood at its end. */
-  const past = new Map<number, readonly TableRow[]>();
+  const changesByEra = new Map<number, readonly TableRow[]>();
   let era = 1;
-  let waiting: Waiting[] = [];
+  let pendingCalls: PendingCall[] = [];
   let version = 0;
-  let historyFrom = 0;
+  let historyStart = 0;
   let isSilent = false;
   let calls = 0;
 
@@ -70,27 +70,27 @@
     table: string,
     waitMs: number,
     signal: AbortSignal | null,
-    listNews: (isDue: boolean) => Result<RowChanges, RowError> | null,
+    readChanges: (isDue: boolean) => Result<RowChanges, RowError> | null,
   ): Promise<Result<RowChanges, RowError>> =>
     new Promise((resolve) => {
       calls += 1;
       const cancels: (() => void)[] = [];
-      const self: Waiting = { table, isLost: isSilent, wake: () => undefined };
+      const self: PendingCall = { table, isLost: isSilent, wake: () => undefined };
       const end = (result: Result<RowChanges, RowError>): void => {
         cancels.forEach((cancel) => cancel());
-        waiting = waiting.filter((one) => one !== self);
+        pendingCalls = pendingCalls.filter((one) => one !== self);
         resolve(result);
       };
-      const look = (isDue: boolean): void => {
-        const news = self.isLost ? null : listNews(isDue);
-        if (news) end(news);
+      const checkForChanges = (isDue: boolean): void => {
+        const changesResult = self.isLost ? null : readChanges(isDue);
+        if (changesResult) end(changesResult);
       };
-      self.wake = () => cancels.push(clock.startTimer(ANSWER_MS, () => look(false)));
-      waiting.push(self);
+      self.wake = () => cancels.push(clock.startTimer(ANSWER_MS, () => checkForChanges(false)));
+      pendingCalls.push(self);
       self.wake();
       cancels.push(
-        clock.startTimer(waitMs + ANSWER_MS, () => look(true)),
-        clock.startTimer(waitMs + GIVE_UP_MS, () =>
+        clock.startTimer(waitMs + ANSWER_MS, () => checkForChanges(true)),
+        clock.startTimer(waitMs + CALL_TIMEOUT_MARGIN_MS, () =>
           end(err({ kind: 'unavailable', reason: 'no answer in time' })),
         ),
       );
@@ -102,7 +102,7 @@
   const addChange = (table: string, key: string, value: Buffer | null): void => {
     version = computeRowVersion({ era, revision: parseRowVersion(version).revision + 1 });
     changes.push({ table, key, value, version });
-    waiting.forEach(({ wake }) => wake());
+    pendingCalls.forEach(({ wake }) => wake());
   };
 
   return {
@@ -110,7 +110,7 @@
       call(table, 0, null, () => answer(listRows(table, 0).filter(({ value }) => value !== null))),
     followRows: (table, { version: after, waitMs }, signal) =>
       call(table, waitMs, signal, (isDue) => {
-        if (after < historyFrom || after > version) return err({ kind: 'history-lost' });
+        if (after < historyStart || after > version) return err({ kind: 'history-lost' });
         const rows = listRows(table, after);
         return rows.length > 0 || isDue ? answer(rows) : null;
       }),
@@ -125,32 +125,32 @@
       addChange(table, key, value === null ? null : Buffer.from(JSON.stringify(value))),
     setSilent: (next) => {
       isSilent = next;
-      if (next) waiting.forEach((one) => Object.assign(one, { isLost: true }));
+      if (next) pendingCalls.forEach((one) => Object.assign(one, { isLost: true }));
     },
-    loseWaiting: (table) =>
-      waiting
+    dropPendingCalls: (table) =>
+      pendingCalls
         .filter((one) => one.table === table)
         .forEach((one) => Object.assign(one, { isLost: true })),
     dropHistory: () => {
-      historyFrom = Math.max(historyFrom, version);
+      historyStart = Math.max(historyStart, version);
     },
-    restoreCopy: (lostChanges) => {
+    restoreSnapshot: (lostChanges) => {
       const kept = changes.slice(0, Math.max(0, changes.length - lostChanges));
       const lost = changes.slice(kept.length);
-      past.set(era, changes);
+      changesByEra.set(era, changes);
       era += 1;
       changes = kept.map((row) => ({
         ...row,
         version: computeRowVersion({ era, revision: parseRowVersion(row.version).revision }),
       }));
       version = changes.at(-1)?.version ?? 0;
-      historyFrom = computeRowVersion({ era, revision: 1 });
-      waiting.forEach((one) => Object.assign(one, { isLost: true }));
+      historyStart = computeRowVersion({ era, revision: 1 });
+      pendingCalls.forEach((one) => Object.assign(one, { isLost: true }));
       return lost;
     },
     listRowsAt: (table, at) => {
       const present = new Map<string, number>();
-      (past.get(parseRowVersion(at).era) ?? changes)
+      (changesByEra.get(parseRowVersion(at).era) ?? changes)
         .filter((row) => row.table === table && row.version <= at)
         .forEach(({ key, value, version: rowVersion }) => {
           if (value === null) present.delete(key);
--- a/standins/gossip/createGossipFleet/index.ts
+++ b/standins/gossip/createGossipFleet/index.ts
@@ -10,7 +10,7 @@
 import { createFakeClock, createSeededRandomness, QUIET_LOG } from '../../fakes';
 
 /** A follower that holds what the test gives it. */
-const createHeldRows = (rows: readonly SharedRow[], isReachable: boolean): RelayedRows => {
+const createRelayedRows = (rows: readonly SharedRow[], isReachable: boolean): RelayedRows => {
   const held = new Map(rows.map((row) => [row.key, row]));
   let version = rows.reduce((newest, row) => Math.max(newest, row.version), 0);
   return {
@@ -30,7 +30,7 @@
 /** Some VMs that reach each other, but for those that the test cuts off. */
 export const createGossipFleet = (
   names: readonly string[],
-  rowsOf: Readonly<Record<string, SharedRow[]>>,
+  rowsByVm: Readonly<Record<string, SharedRow[]>>,
 ) => {
   const clock = createFakeClock();
   const cut = new Set<string>();
@@ -41,7 +41,7 @@
   const histories = new Map<string, CrashHistory>();
   let calls = 0;
   const addVm = (vm: string, index: number): void => {
-    const follower = createHeldRows(rowsOf[vm] ?? [], (rowsOf[vm] ?? []).length > 0);
+    const follower = createRelayedRows(rowsByVm[vm] ?? [], (rowsByVm[vm] ?? []).length > 0);
     followers.set(vm, follower);
     const history = createCrashHistory({
       clock,
--- a/standins/limits/index.ts
+++ b/standins/limits/index.ts
@@ -1,9 +1,9 @@
 export { measureLimit, type LimitMeasure } from './measureLimit';
-export { runLimitModel } from './runLimitModel';
+export { simulateLimits } from './simulateLimits';
 export {
   LimitPolicy,
   type LimitArrival,
-  type LimitModel,
-  type LimitModelResult,
-  type LimitTrouble,
+  type LimitSimulation,
+  type LimitSimulationResult,
+  type VmFault,
 } from './types';
--- a/standins/limits/measureLimit/index.ts
+++ b/standins/limits/measureLimit/index.ts
@@ -3,11 +3,11 @@
 /** What a server got of its limit over sliding windows. */
 export interface LimitMeasure {
   /** Most requests in one window. */
-  readonly most: number;
+  readonly maxRequests: number;
   /** Most requests in one window, as part of what the limit allows. */
-  readonly mostPart: number;
+  readonly maxFraction: number;
   /** All requests, as part of what the limit allows. */
-  readonly usedPart: number;
+  readonly usedFraction: number;
 }
 
 const MS_PER_S = 1000;
@@ -27,11 +27,11 @@
   const counts = times.map(
     (endMs) => times.filter((atMs) => atMs > endMs - windowMs && atMs <= endMs).length,
   );
-  const most = Math.max(0, ...counts);
-  const allowed = (limitPerS * windowMs) / MS_PER_S;
+  const maxRequests = Math.max(0, ...counts);
+  const allowedRequests = (limitPerS * windowMs) / MS_PER_S;
   return {
-    most,
-    mostPart: most / allowed,
-    usedPart: times.length / ((limitPerS * (untilMs - fromMs)) / MS_PER_S),
+    maxRequests: maxRequests,
+    maxFraction: maxRequests / allowedRequests,
+    usedFraction: times.length / ((limitPerS * (untilMs - fromMs)) / MS_PER_S),
   };
 };
--- a/standins/limits/runLimitModel/index.ts
+++ b/standins/limits/simulateLimits/index.ts
@@ -10,9 +10,14 @@
 } from '../../../src/application/limits';
 import type { Clock } from '../../../src/application/ports';
 import { createFakeClock, createSeededRandomness, QUIET_LOG } from '../../fakes';
-import { LimitPolicy, type LimitArrival, type LimitModel, type LimitModelResult } from '../types';
+import {
+  LimitPolicy,
+  type LimitArrival,
+  type LimitSimulation,
+  type LimitSimulationResult,
+} from '../types';
 
-const ZONES = 3;
+const ZONE_COUNT = 3;
 
 /** Time of a message between VMs, and to a server and back. */
 const MIN_CALL_MS = 1;
@@ -23,13 +28,13 @@
 const ASK_TIMEOUT_MS = 40;
 
 /** News reaches each VM by way of others. */
-const TOLD_MS = 300;
+const PROPAGATION_MS = 300;
 
 /** A VM that is gone is counted by others for so long. */
-const MEMBER_AGE_MS = 12_000;
+const MEMBER_EXPIRY_MS = 12_000;
 
 /** A VM counts as in trouble for this long after its end. */
-const CONTACT_MS = 3000;
+const RECOVERY_MS = 3000;
 
 const MS_PER_S = 1000;
 
@@ -42,34 +47,39 @@
   permits: PermitClient;
   startedAtMs: number;
   downSinceMs: number | null;
-  isCut: boolean;
+  isPartitioned: boolean;
 }
 
 /** Plays requests for limited servers over the gateways' own permits in virtual time. */
-export const runLimitModel = async (model: LimitModel): Promise<LimitModelResult> => {
+export const simulateLimits = async (model: LimitSimulation): Promise<LimitSimulationResult> => {
   const { durationMs = 24_000, limitFromMs = 6000, limitUntilMs = Infinity } = model;
   const policy = model.policy ?? LimitPolicy.Confirmed;
   const clock = createFakeClock();
   const randomness = createSeededRandomness(model.seed);
-  const draw = (): number => randomness.readFraction();
+  const drawFraction = (): number => randomness.readFraction();
   const arrivals: LimitArrival[][] = model.limitsPerS.map(() => []);
-  const toldAtMs = model.limitsPerS.map(() => new Map<string, number>());
+  const limitLearnedAtMs = model.limitsPerS.map(() => new Map<string, number>());
   const vms: Vm[] = [];
   let calls = 0;
-  const excuses: { readonly vm: string; readonly fromMs: number; readonly untilMs: number }[] = [];
-
-  const isReachable = ({ downSinceMs, isCut }: Vm): boolean => downSinceMs === null && !isCut;
+  const affectedPeriods: {
+    readonly vm: string;
+    readonly fromMs: number;
+    readonly untilMs: number;
+  }[] = [];
+
+  const isReachable = ({ downSinceMs, isPartitioned }: Vm): boolean =>
+    downSinceMs === null && !isPartitioned;
   const listPeers = (self: string): readonly LimitPeer[] =>
     vms
       .filter(({ name }) => name !== self)
       .filter(
         ({ downSinceMs, startedAtMs }) =>
-          clock.readMonotonicMs() - startedAtMs > TOLD_MS &&
-          clock.readMonotonicMs() - (downSinceMs ?? Infinity) < MEMBER_AGE_MS,
+          clock.readMonotonicMs() - startedAtMs > PROPAGATION_MS &&
+          clock.readMonotonicMs() - (downSinceMs ?? Infinity) < MEMBER_EXPIRY_MS,
       )
       .map(({ name, zone }) => ({ vm: name, address: name, availabilityZone: zone }));
-  const find = (name: string): Vm | undefined => vms.find((vm) => vm.name === name);
-  const callMs = (): number => MIN_CALL_MS + draw() * CALL_SPREAD_MS;
+  const findVm = (name: string): Vm | undefined => vms.find((vm) => vm.name === name);
+  const drawCallMs = (): number => MIN_CALL_MS + drawFraction() * CALL_SPREAD_MS;
 
   const callVm = <T>(from: Vm, to: string, run: (vm: Vm) => T): Promise<T | null> =>
     new Promise((resolve) => {
@@ -80,15 +90,15 @@
         isOver = true;
       };
       clock.startTimer(ASK_TIMEOUT_MS, () => end(null));
-      clock.startTimer(callMs(), () => {
-        const vm = find(to);
+      clock.startTimer(drawCallMs(), () => {
+        const vm = findVm(to);
         if (!vm || !isReachable(vm) || !isReachable(from)) return;
         const answer = run(vm);
-        clock.startTimer(callMs(), () => end(answer));
+        clock.startTimer(drawCallMs(), () => end(answer));
       });
     });
 
-  const buildParts = (vm: Vm): Pick<Vm, 'owner' | 'limits' | 'permits'> => {
+  const createComponents = (vm: Vm): Pick<Vm, 'owner' | 'limits' | 'permits'> => {
     const limits: ServerLimits = createServerLimits({
       clock,
       log: QUIET_LOG,
@@ -96,24 +106,24 @@
         vms
           .filter((other) => other !== vm)
           .forEach((other) =>
-            clock.startTimer(draw() * TOLD_MS, () => {
+            clock.startTimer(drawFraction() * PROPAGATION_MS, () => {
               if (isReachable(other) && isReachable(vm)) other.limits.mergeLimit(limit);
             }),
           ),
     });
     const owner = createLimitOwner({ clock, limits, randomness });
-    const peersOf: Record<LimitPolicy, () => readonly LimitPeer[]> = {
+    const listPeersByPolicy: Record<LimitPolicy, () => readonly LimitPeer[]> = {
       [LimitPolicy.Confirmed]: () => listPeers(vm.name),
-      [LimitPolicy.OneOwner]: () => listPeers(vm.name),
-      [LimitPolicy.EvenParts]: () => [],
-      [LimitPolicy.Alone]: () => [],
+      [LimitPolicy.UnconfirmedOwner]: () => listPeers(vm.name),
+      [LimitPolicy.EqualShares]: () => [],
+      [LimitPolicy.Uncoordinated]: () => [],
     };
-    const scale = policy === LimitPolicy.EvenParts ? 1 / model.vms : 1;
+    const scale = policy === LimitPolicy.EqualShares ? 1 / model.vms : 1;
     const permits = createPermitClient({
       self: { vm: vm.name, availabilityZone: vm.zone },
-      listPeers: peersOf[policy],
+      listPeers: listPeersByPolicy[policy],
       askPeer: (address, request) =>
-        policy === LimitPolicy.OneOwner && request.isConfirmation
+        policy === LimitPolicy.UnconfirmedOwner && request.isConfirmation
           ? Promise.resolve({ isGranted: true, waitMs: 0 })
           : callVm(vm, address, (other) => other.owner.handlePermitRequest(request)),
       notifyReleased: (address, server) => {
@@ -133,32 +143,32 @@
   };
 
   const startVm = (name: string, zone: string): void => {
-    const vm = { name, zone, downSinceMs: null, isCut: false } as Vm;
+    const vm = { name, zone, downSinceMs: null, isPartitioned: false } as Vm;
     vms.push(vm);
-    Object.assign(vm, buildParts(vm), { startedAtMs: clock.readMonotonicMs() });
+    Object.assign(vm, createComponents(vm), { startedAtMs: clock.readMonotonicMs() });
   };
 
   /** A VM that starts asks another one at once for what it knows. */
-  const learnLimits = (vm: Vm): void => {
-    clock.startTimer(callMs(), () => {
+  const fetchLimitsFromPeer = (vm: Vm): void => {
+    clock.startTimer(drawCallMs(), () => {
       const other = vms.find((one) => one !== vm && isReachable(one));
       other?.limits.listLimits().forEach(vm.limits.mergeLimit);
     });
   };
 
-  const waitUntilOf = new Map<string, number>();
+  const waitUntilByVmAndServer = new Map<string, number>();
   const sendRequest = async (vm: Vm, index: number): Promise<void> => {
     const server = `i-${index}`;
     const key = `${vm.name} ${server}`;
-    if ((waitUntilOf.get(key) ?? 0) > clock.readMonotonicMs()) return;
+    if ((waitUntilByVmAndServer.get(key) ?? 0) > clock.readMonotonicMs()) return;
     const permit: Permit | number = await vm.permits.acquirePermit(server);
     if (vm.downSinceMs !== null) return;
     if (typeof permit === 'number') {
-      waitUntilOf.set(key, clock.readMonotonicMs() + permit);
+      waitUntilByVmAndServer.set(key, clock.readMonotonicMs() + permit);
       return;
     }
     const sentAtMs = clock.readMonotonicMs();
-    clock.startTimer(callMs(), () => {
+    clock.startTimer(drawCallMs(), () => {
       const atMs = clock.readMonotonicMs();
       arrivals[index]?.push({ atMs, vm: vm.name });
       const isNamed = atMs >= limitFromMs && atMs < limitUntilMs;
@@ -166,37 +176,37 @@
       clock.startTimer(ANSWER_MS, () => {
         if (vm.downSinceMs !== null) return;
         vm.limits.recordAdvertisedLimit(server, { limitPerS, sentAtMs });
-        if (limitPerS !== null && !toldAtMs[index]?.has(vm.name)) {
-          toldAtMs[index]?.set(vm.name, clock.readMonotonicMs());
+        if (limitPerS !== null && !limitLearnedAtMs[index]?.has(vm.name)) {
+          limitLearnedAtMs[index]?.set(vm.name, clock.readMonotonicMs());
         }
       });
     });
   };
 
-  Array.from({ length: model.vms }, (_, index) => startVm(`vm-${index}`, `z${index % ZONES}`));
-  (model.troubles ?? []).forEach(({ fromMs, kind, part, untilMs }) => {
-    const names = Array.from({ length: Math.ceil(part * model.vms) }, (_, index) => index);
+  Array.from({ length: model.vms }, (_, index) => startVm(`vm-${index}`, `z${index % ZONE_COUNT}`));
+  (model.faults ?? []).forEach(({ fromMs, kind, fraction, untilMs }) => {
+    const names = Array.from({ length: Math.ceil(fraction * model.vms) }, (_, index) => index);
     names.forEach((index) => {
       if (kind === 'join') {
         clock.startTimer(fromMs, () => {
-          startVm(`new-${index}`, `z${index % ZONES}`);
-          learnLimits(vms.at(-1) as Vm);
+          startVm(`new-${index}`, `z${index % ZONE_COUNT}`);
+          fetchLimitsFromPeer(vms.at(-1) as Vm);
         });
-        excuses.push({ vm: `new-${index}`, fromMs, untilMs: fromMs + CONTACT_MS });
+        affectedPeriods.push({ vm: `new-${index}`, fromMs, untilMs: fromMs + RECOVERY_MS });
         return;
       }
       const vm = vms[index] as Vm;
-      excuses.push({ vm: vm.name, fromMs, untilMs: untilMs + CONTACT_MS });
+      affectedPeriods.push({ vm: vm.name, fromMs, untilMs: untilMs + RECOVERY_MS });
       clock.startTimer(fromMs, () => {
-        if (kind === 'cut') vm.isCut = true;
+        if (kind === 'cut') vm.isPartitioned = true;
         else vm.downSinceMs = clock.readMonotonicMs();
       });
       clock.startTimer(untilMs, () => {
-        vm.isCut = false;
+        vm.isPartitioned = false;
         vm.downSinceMs = null;
         if (kind === 'restart') {
-          Object.assign(vm, buildParts(vm), { startedAtMs: clock.readMonotonicMs() });
-          learnLimits(vm);
+          Object.assign(vm, createComponents(vm), { startedAtMs: clock.readMonotonicMs() });
+          fetchLimitsFromPeer(vm);
         }
       });
     });
@@ -205,9 +215,9 @@
   const startRequests = (index: number): void => {
     const next = (): void => {
       const up = vms.filter(({ downSinceMs }) => downSinceMs === null);
-      const vm = up[Math.floor(draw() * up.length)];
+      const vm = up[Math.floor(drawFraction() * up.length)];
       if (vm) sendRequest(vm, index);
-      const gapMs = (-Math.log(1 - draw()) * MS_PER_S) / model.requestsPerS;
+      const gapMs = (-Math.log(1 - drawFraction()) * MS_PER_S) / model.requestsPerS;
       clock.startTimer(gapMs, next);
     };
     clock.startTimer(0, next);
@@ -217,8 +227,8 @@
   return {
     arrivals,
     calls,
-    toldAtMs,
-    isExcused: (vm, atMs) =>
-      excuses.some((one) => one.vm === vm && atMs >= one.fromMs && atMs < one.untilMs),
+    limitLearnedAtMs: limitLearnedAtMs,
+    isAffected: (vm, atMs) =>
+      affectedPeriods.some((one) => one.vm === vm && atMs >= one.fromMs && atMs < one.untilMs),
   };
 };
--- a/standins/limits/types/index.ts
+++ b/standins/limits/types/index.ts
@@ -3,25 +3,25 @@
   /** A owner for each server, and a second one that confirms. */
   Confirmed: 'confirmed',
   /** One owner, whom nobody confirms. */
-  OneOwner: 'one-owner',
+  UnconfirmedOwner: 'one-owner',
   /** Each VM keeps to its even part. */
-  EvenParts: 'even-parts',
+  EqualShares: 'even-parts',
   /** Each VM keeps to the whole limit by itself. */
-  Alone: 'alone',
+  Uncoordinated: 'alone',
 } as const;
 
 export type LimitPolicy = (typeof LimitPolicy)[keyof typeof LimitPolicy];
 
 /** What happens to VMs, as part of all of them. */
-export interface LimitTrouble {
+export interface VmFault {
   readonly kind: 'restart' | 'freeze' | 'cut' | 'join';
-  readonly part: number;
+  readonly fraction: number;
   readonly fromMs: number;
   readonly untilMs: number;
 }
 
 /** Requests for servers of which some name a limit, in virtual time. */
-export interface LimitModel {
+export interface LimitSimulation {
   readonly seed: number;
   readonly vms: number;
   /** Requests a second for each server from all VMs together. */
@@ -29,7 +29,7 @@
   /** Limit of each server, from `limitFromMs` to `limitUntilMs`. */
   readonly limitsPerS: readonly number[];
   readonly policy?: LimitPolicy;
-  readonly troubles?: readonly LimitTrouble[];
+  readonly faults?: readonly VmFault[];
   readonly limitFromMs?: number;
   readonly limitUntilMs?: number;
   readonly durationMs?: number;
@@ -42,13 +42,13 @@
 }
 
 /** What servers saw. */
-export interface LimitModelResult {
+export interface LimitSimulationResult {
   /** By server. */
   readonly arrivals: readonly (readonly LimitArrival[])[];
   /** VMs that were in trouble, or had just been, at some time. */
-  readonly isExcused: (vm: string, atMs: number) => boolean;
+  readonly isAffected: (vm: string, atMs: number) => boolean;
   /** By server: when each VM first got an answer that named a limit. */
-  readonly toldAtMs: readonly ReadonlyMap<string, number>[];
+  readonly limitLearnedAtMs: readonly ReadonlyMap<string, number>[];
   /** Calls from VM to VM for permits. */
   readonly calls: number;
 }
--- a/standins/model/createModelCaller/index.ts
+++ b/standins/model/createSimulatedCaller/index.ts
@@ -4,14 +4,14 @@
 
 /** What became of one caller. */
 export interface CallerOutcome {
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   /** From its first attempt to its first event; null if none came. */
   readonly firstEventMs: number | null;
   readonly refusals: number;
 }
 
 /** What a caller sends, and where. */
-export interface ModelCallerOptions {
+export interface SimulatedCallerOptions {
   readonly id: string;
   readonly clock: Clock;
   readonly deadlineMs: number;
@@ -21,18 +21,18 @@
 }
 
 /** Callers come back once, no later than at this part of the time that they have left. */
-const HONOURED_PART = 1 / 3;
+const MAX_RETRY_WAIT_FRACTION = 1 / 3;
 
 const MAX_OUTPUT_TOKENS = 840;
 
 /** Starts a caller that comes back once when it is refused and told when to. */
-export const createModelCaller = ({
+export const createSimulatedCaller = ({
   clock,
   deadlineMs,
   id,
   pickForwarder,
   promptTokens,
-}: ModelCallerOptions): Promise<CallerOutcome> =>
+}: SimulatedCallerOptions): Promise<CallerOutcome> =>
   new Promise((resolve) => {
     const startedAtMs = clock.readMonotonicMs();
     let firstEventMs: number | null = null;
@@ -60,7 +60,7 @@
       const end = (isWhole: boolean): void => {
         if (!isOpen) return;
         isOpen = false;
-        resolve({ isWhole, firstEventMs, refusals });
+        resolve({ isComplete: isWhole, firstEventMs, refusals });
       };
       const handleRefusal = ({ kind, retryAfterMs }: Refusal): void => {
         if (!isOpen) return;
@@ -71,7 +71,7 @@
           return;
         }
         isOpen = false;
-        const waitMs = Math.min(retryAfterMs, leftMs * HONOURED_PART);
+        const waitMs = Math.min(retryAfterMs, leftMs * MAX_RETRY_WAIT_FRACTION);
         clock.startTimer(waitMs, () => send(attempt + 1));
       };
       const reply: CallerReply = {
--- a/standins/model/createModelClient/index.ts
+++ b/standins/model/createSimulatedClient/index.ts
@@ -1,15 +1,15 @@
 import { err, ok, type Result } from 'neverthrow';
 import type { AttemptAnswer, AttemptError, ForwardClient } from '../../../src/application/ports';
-import type { ModelEngine } from '../createModelEngine';
+import type { SimulatedEngine } from '../createSimulatedEngine';
 
 /** A client that counts what it sent. */
-export interface ModelClient extends ForwardClient {
+export interface SimulatedClient extends ForwardClient {
   /** Attempts that reached an engine. */
-  countSends(): number;
+  countAttempts(): number;
 }
 
 /** Events of each stream. */
-const EVENTS = 140;
+const EVENTS_PER_STREAM = 140;
 
 const HEAD = {
   status: 200,
@@ -26,24 +26,26 @@
 };
 
 /** Creates the client of the model's engines. */
-export const createModelClient = (find: (id: string) => ModelEngine): ModelClient => {
-  let sends = 0;
+export const createSimulatedClient = (
+  findEngine: (id: string) => SimulatedEngine,
+): SimulatedClient => {
+  let attempts = 0;
 
   const sendAttempt: ForwardClient['sendAttempt'] = ({ lastEventId, request, server }, signal) =>
     new Promise<Result<AttemptAnswer, AttemptError>>((resolve) => {
-      const engine = find(server.id);
+      const engine = findEngine(server.id);
       if (!engine.isUp()) {
         resolve(err({ kind: 'not-started', reason: 'refused' }));
         return;
       }
-      sends += 1;
+      attempts += 1;
       const first = lastEventId ?? 0;
       const chunks: Buffer[] = [];
       const state: { wake: () => void; end: 'whole' | 'lost' | null } = {
         wake: () => undefined,
         end: null,
       };
-      const waitForMore = (): Promise<void> =>
+      const waitForChunk = (): Promise<void> =>
         new Promise((next) => {
           state.wake = next;
         });
@@ -54,16 +56,16 @@
           else if (state.end === 'lost') throw new Error('reset');
           else if (state.end === 'whole') return;
           else {
-            await waitForMore();
+            await waitForChunk();
           }
         }
       }
-      const id = `${request.requestId}@${sends}`;
+      const id = `${request.requestId}@${attempts}`;
       engine.start({
         id,
         promptTokens: request.tokens?.prompt ?? 0,
-        neededTokens: (request.tokens?.prompt ?? 0) + (request.tokens?.maxOutput ?? 0),
-        events: EVENTS - first,
+        reservedTokens: (request.tokens?.prompt ?? 0) + (request.tokens?.maxOutput ?? 0),
+        events: EVENTS_PER_STREAM - first,
         handleEvent: (event) => {
           chunks.push(Buffer.from(`id: ${first + event}\ndata: x\n\n`));
           if (event === 1) resolve(ok({ head: HEAD, body: readBody() }));
@@ -84,12 +86,12 @@
     });
 
   return {
-    countSends: () => sends,
+    countAttempts: () => attempts,
     sendAttempt,
     copyRun: async () => err({ reason: 'none', kept: null }),
     dropCopy: () => undefined,
     readReport: async (server) => {
-      const report = find(server.id).readReport();
+      const report = findEngine(server.id).readReport();
       if (!report?.eventsByRun) return report;
       // Engines list runs by the caller's id.
       const eventsByRun = new Map(
--- a/standins/model/createModelDirectory/index.ts
+++ b/standins/model/createSimulatedDirectory/index.ts
@@ -4,20 +4,20 @@
 import { QUIET_LOG } from '../../fakes';
 
 /** Service of all servers of the model. */
-export const MODEL_SERVICE = 's';
+export const SIMULATED_SERVICE = 's';
 
 /** Availability zones of the model, `z0` and on; servers `<name>-0` and on are spread over them. */
-export const MODEL_ZONES = 3;
+export const SIMULATED_ZONE_COUNT = 3;
 
 /** Creates a gateway's directory that knows these servers, all ready. */
-export const createModelDirectory = (clock: Clock, ids: readonly string[]): ServerDirectory => {
+export const createSimulatedDirectory = (clock: Clock, ids: readonly string[]): ServerDirectory => {
   const directory = createServerDirectory({
     decode: (id) =>
       ok({
         id,
-        service: MODEL_SERVICE,
+        service: SIMULATED_SERVICE,
         address: `${id}:1`,
-        availabilityZone: `z${Number(id.slice(2)) % MODEL_ZONES}`,
+        availabilityZone: `z${Number(id.slice(2)) % SIMULATED_ZONE_COUNT}`,
         slots: 64,
         isLeaving: false,
         version: 'v1',
--- a/standins/model/createModelEngine/index.ts
+++ b/standins/model/createSimulatedEngine/index.ts
@@ -2,10 +2,10 @@
 import type { Clock } from '../../../src/application/ports';
 
 /** A stream at an engine of the model. */
-export interface ModelRun {
+export interface SimulatedRun {
   readonly id: string;
   readonly promptTokens: number;
-  readonly neededTokens: number;
+  readonly reservedTokens: number;
   readonly events: number;
   /** Called with the number of each event. */
   readonly handleEvent: (event: number) => void;
@@ -14,8 +14,8 @@
 }
 
 /** An engine in virtual time. */
-export interface ModelEngine {
-  start(run: ModelRun): void;
+export interface SimulatedEngine {
+  start(run: SimulatedRun): void;
   /** The connection of a run was closed. */
   cancel(id: string): void;
   /** What the engine said of itself some time ago; null while it is down. */
@@ -24,26 +24,26 @@
   crash(): void;
   recover(): void;
   /** Prompt tokens read so far. */
-  countReadTokens(): number;
+  countPrefilledTokens(): number;
 }
 
 const TICK_MS = 20;
 
 /** Prompt tokens read in a millisecond, beside the tokens of the runs. */
-const TOKENS_PER_MS = 6.5;
+const PREFILL_TOKENS_PER_MS = 6.5;
 
 /** Time of one event of six tokens while no prompt is read, and while one is. */
-const EVENT_MS = 35;
-const EVENT_READING_MS = 186;
+const DECODE_EVENT_MS = 35;
+const DECODE_EVENT_DURING_PREFILL_MS = 186;
 
-const MEMORY_TOKENS = 88_000;
+const KV_CAPACITY_TOKENS = 88_000;
 
 /** Reports are this old when they arrive. */
 const REPORT_LAG_TICKS = 5;
 
 interface Job {
-  readonly run: ModelRun;
-  readTokens: number;
+  readonly run: SimulatedRun;
+  prefilledTokens: number;
   events: number;
 }
 
@@ -51,34 +51,42 @@
  * Creates an engine that reads prompts one after the other as memory allows, and makes events of all
  * its runs meanwhile, more slowly while it reads.
  */
-export const createModelEngine = (clock: Pick<Clock, 'startTimer'>): ModelEngine => {
+export const createSimulatedEngine = (clock: Pick<Clock, 'startTimer'>): SimulatedEngine => {
   let waiting: Job[] = [];
   let running: Job[] = [];
-  let reading: Job | null = null;
+  let prefilling: Job | null = null;
   let isUp = true;
-  let readTokens = 0;
+  let prefilledTokens = 0;
   let reports: ServerReport[] = [];
 
-  const listHeld = (): Job[] => [...running, ...(reading ? [reading] : [])];
-  const sumNeeded = (): number => listHeld().reduce((sum, { run }) => sum + run.neededTokens, 0);
+  const listActive = (): Job[] => [...running, ...(prefilling ? [prefilling] : [])];
+  const sumReservedTokens = (): number =>
+    listActive().reduce((sum, { run }) => sum + run.reservedTokens, 0);
 
-  const readPrompt = (): void => {
+  const runPrefill = (): void => {
     const [next] = waiting;
-    if (!reading && next && sumNeeded() + next.run.neededTokens <= MEMORY_TOKENS) {
-      reading = next;
+    if (
+      !prefilling &&
+      next &&
+      sumReservedTokens() + next.run.reservedTokens <= KV_CAPACITY_TOKENS
+    ) {
+      prefilling = next;
       waiting = waiting.slice(1);
     }
-    if (!reading) return;
-    const tokens = Math.min(TICK_MS * TOKENS_PER_MS, reading.run.promptTokens - reading.readTokens);
-    reading.readTokens += tokens;
-    readTokens += tokens;
-    if (reading.readTokens < reading.run.promptTokens) return;
-    running.push(reading);
-    reading = null;
+    if (!prefilling) return;
+    const tokens = Math.min(
+      TICK_MS * PREFILL_TOKENS_PER_MS,
+      prefilling.run.promptTokens - prefilling.prefilledTokens,
+    );
+    prefilling.prefilledTokens += tokens;
+    prefilledTokens += tokens;
+    if (prefilling.prefilledTokens < prefilling.run.promptTokens) return;
+    running.push(prefilling);
+    prefilling = null;
   };
 
-  const makeEvents = (): void => {
-    const step = TICK_MS / (reading ? EVENT_READING_MS : EVENT_MS);
+  const runDecode = (): void => {
+    const step = TICK_MS / (prefilling ? DECODE_EVENT_DURING_PREFILL_MS : DECODE_EVENT_MS);
     [...running].forEach((job) => {
       const before = Math.floor(job.events);
       Object.assign(job, { events: Math.min(job.run.events, job.events + step) });
@@ -93,9 +101,9 @@
 
   const buildReport = (): ServerReport => ({
     waiting: waiting.length,
-    running: listHeld().length,
-    kvUsedTokens: sumNeeded(),
-    kvTotalTokens: MEMORY_TOKENS,
+    running: listActive().length,
+    kvUsedTokens: sumReservedTokens(),
+    kvTotalTokens: KV_CAPACITY_TOKENS,
     eventsByRun: new Map(running.map(({ events, run }) => [run.id, Math.floor(events)])),
     isLeaving: false,
     limitPerS: null,
@@ -104,8 +112,8 @@
 
   const tick = (): void => {
     if (isUp) {
-      readPrompt();
-      makeEvents();
+      runPrefill();
+      runDecode();
       reports = [...reports, buildReport()].slice(-REPORT_LAG_TICKS);
     }
     clock.startTimer(TICK_MS, tick);
@@ -114,28 +122,28 @@
 
   return {
     start: (run) => {
-      waiting.push({ run, readTokens: 0, events: 0 });
+      waiting.push({ run, prefilledTokens: 0, events: 0 });
     },
     cancel: (id) => {
       const isOther = ({ run }: Job): boolean => run.id !== id;
       waiting = waiting.filter(isOther);
       running = running.filter(isOther);
-      if (reading && !isOther(reading)) reading = null;
+      if (prefilling && !isOther(prefilling)) prefilling = null;
     },
     readReport: () => (isUp ? (reports[0] ?? buildReport()) : null),
     isUp: () => isUp,
     crash: () => {
       isUp = false;
-      const lost = [...listHeld(), ...waiting];
+      const lost = [...listActive(), ...waiting];
       waiting = [];
       running = [];
-      reading = null;
+      prefilling = null;
       reports = [];
       lost.forEach(({ run }) => run.handleEnd(false));
     },
     recover: () => {
       isUp = true;
     },
-    countReadTokens: () => readTokens,
+    countPrefilledTokens: () => prefilledTokens,
   };
 };
--- a/standins/model/index.ts
+++ b/standins/model/index.ts
@@ -1,2 +1,6 @@
-export { createModelDirectory, MODEL_SERVICE, MODEL_ZONES } from './createModelDirectory';
-export { runModelLoad, type ModelLoad, type ModelResult } from './runModelLoad';
+export {
+  createSimulatedDirectory,
+  SIMULATED_SERVICE,
+  SIMULATED_ZONE_COUNT,
+} from './createSimulatedDirectory';
+export { simulateLoad, type SimulatedLoad, type SimulatedLoadResult } from './simulateLoad';
--- a/standins/model/runModelLoad/index.ts
+++ b/standins/model/simulateLoad/index.ts
@@ -10,13 +10,17 @@
 import { createRolloutRegistry } from '../../../src/application/rollouts';
 import { RouteKind, type RouteTable } from '../../../src/domain/forwarding';
 import { createFakeClock, createSeededRandomness, QUIET_LOG } from '../../fakes';
-import { createModelDirectory, MODEL_SERVICE, MODEL_ZONES } from '../createModelDirectory';
-import { createModelClient } from '../createModelClient';
-import { createModelCaller, type CallerOutcome } from '../createModelCaller';
-import { createModelEngine, type ModelEngine } from '../createModelEngine';
+import {
+  createSimulatedDirectory,
+  SIMULATED_SERVICE,
+  SIMULATED_ZONE_COUNT,
+} from '../createSimulatedDirectory';
+import { createSimulatedClient } from '../createSimulatedClient';
+import { createSimulatedCaller, type CallerOutcome } from '../createSimulatedCaller';
+import { createSimulatedEngine, type SimulatedEngine } from '../createSimulatedEngine';
 
 /** A load on engines in virtual time. */
-export interface ModelLoad {
+export interface SimulatedLoad {
   readonly seed: number;
   readonly engines: number;
   readonly vms: number;
@@ -25,22 +29,22 @@
   /** Tokens of a prompt, give or take 15 in 100; 8,200 if absent. */
   readonly promptTokens?: number;
   /** Streams that begin within 40 ms of each other; 1 if absent. */
-  readonly bunch?: number;
+  readonly burstSize?: number;
   /** Engines that are down from one second to another. */
-  readonly down: { readonly count: number; readonly fromS: number; readonly untilS: number };
+  readonly outage: { readonly count: number; readonly fromS: number; readonly untilS: number };
 }
 
 /** What callers got, and what it cost. */
-export interface ModelResult {
+export interface SimulatedLoadResult {
   readonly outcomes: readonly CallerOutcome[];
   /** Streams whose first event came within the goal, and that are whole. */
-  readonly inTime: number;
-  readonly sends: number;
+  readonly withinGoal: number;
+  readonly attempts: number;
   /** Prompt tokens read per stream that was served in time. */
-  readonly readTokensPerStream: number;
+  readonly prefillTokensPerStream: number;
 }
 
-const GOAL_MS = 4500;
+const FIRST_EVENT_GOAL_MS = 4500;
 const DEADLINE_MS = 25_000;
 const PROMPT_TOKENS = 8200;
 
@@ -48,10 +52,10 @@
 const SPREAD = 0.15;
 
 /** Streams of a bunch begin within this time. */
-const BUNCH_MS = 40;
+const BURST_MS = 40;
 
 /** Time of a message from one VM to another. */
-const TELL_MS = 2;
+const MESSAGE_MS = 2;
 
 const STEP_MS = 100;
 
@@ -68,38 +72,43 @@
           kind: RouteKind.Stream,
           resumable: true,
           timeoutMs: DEADLINE_MS,
-          latencyGoalMs: GOAL_MS,
+          latencyGoalMs: FIRST_EVENT_GOAL_MS,
           gapGoalMs: 700,
           priority: 1,
           maxAttempts: 5,
           isPublic: true,
-          targets: [{ service: MODEL_SERVICE, weight: 1 }],
+          targets: [{ service: SIMULATED_SERVICE, weight: 1 }],
         },
       ],
     ],
   ]),
-  services: new Map([[MODEL_SERVICE, { name: MODEL_SERVICE, healthPath: '/', engine: null }]]),
+  services: new Map([
+    [SIMULATED_SERVICE, { name: SIMULATED_SERVICE, healthPath: '/', engine: null }],
+  ]),
   limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
   holdersByKey: null,
 };
 
 /** Plays a load over the gateways' own code, engines and callers in virtual time. */
-export const runModelLoad = async (load: ModelLoad): Promise<ModelResult> => {
+export const simulateLoad = async (load: SimulatedLoad): Promise<SimulatedLoadResult> => {
   const clock = createFakeClock();
   const randomness = createSeededRandomness(load.seed);
-  const engines = new Map<string, ModelEngine>(
-    Array.from({ length: load.engines }, (_, index) => [`e-${index}`, createModelEngine(clock)]),
+  const engines = new Map<string, SimulatedEngine>(
+    Array.from({ length: load.engines }, (_, index) => [
+      `e-${index}`,
+      createSimulatedEngine(clock),
+    ]),
   );
-  const find = (id: string): ModelEngine => {
+  const findEngine = (id: string): SimulatedEngine => {
     const engine = engines.get(id);
     if (!engine) throw new Error(`no engine ${id}`);
     return engine;
   };
-  const client = createModelClient(find);
+  const client = createSimulatedClient(findEngine);
 
   const directories: ServerDirectory[] = [];
   const createGateway = (index: number): Forwarder => {
-    const directory = createModelDirectory(clock, [...engines.keys()]);
+    const directory = createSimulatedDirectory(clock, [...engines.keys()]);
     directories.push(directory);
     const retries = createRetryBudget({
       bounds: { retryRatio: 0.8, retryWindowMs: 10_000, retryExtra: 150 },
@@ -107,7 +116,7 @@
       countVms: () => load.vms,
     });
     return createForwarder({
-      availabilityZone: `z${index % MODEL_ZONES}`,
+      availabilityZone: `z${index % SIMULATED_ZONE_COUNT}`,
       client,
       clock,
       crashes: createCrashHistory({
@@ -150,7 +159,7 @@
       },
       reservePrompt: async () => 0,
       tellPrompt: (server, tokens) => {
-        clock.startTimer(TELL_MS, () =>
+        clock.startTimer(MESSAGE_MS, () =>
           directories
             .filter((other) => other !== directory)
             .forEach((other) => other.recordPeerPrompt(server, tokens)),
@@ -159,44 +168,53 @@
     });
   };
   const gateways = Array.from({ length: load.vms }, (_, index) => createGateway(index));
-  const draw = (): number => randomness.readFraction();
+  const drawFraction = (): number => randomness.readFraction();
   const pickForwarder = (): Forwarder =>
-    gateways[Math.floor(draw() * gateways.length)] as Forwarder;
+    gateways[Math.floor(drawFraction() * gateways.length)] as Forwarder;
 
   const callers: Promise<CallerOutcome>[] = [];
   const startCaller = (): void => {
     callers.push(
-      createModelCaller({
+      createSimulatedCaller({
         id: `c-${callers.length}`,
         clock,
-        deadlineMs: DEADLINE_MS * (1 - SPREAD * draw()),
+        deadlineMs: DEADLINE_MS * (1 - SPREAD * drawFraction()),
         promptTokens: Math.round(
-          (load.promptTokens ?? PROMPT_TOKENS) * (1 - SPREAD + 2 * SPREAD * draw()),
+          (load.promptTokens ?? PROMPT_TOKENS) * (1 - SPREAD + 2 * SPREAD * drawFraction()),
         ),
         pickForwarder,
       }),
     );
   };
   load.streamsPerS.forEach((count, second) => {
-    const bunch = load.bunch ?? 1;
-    for (let index = 0; index < count; index += bunch) {
-      const atMs = (second + draw()) * 1000;
-      Array.from({ length: Math.min(bunch, count - index) }, () =>
-        clock.startTimer(atMs + draw() * BUNCH_MS, startCaller),
+    const burstSize = load.burstSize ?? 1;
+    for (let index = 0; index < count; index += burstSize) {
+      const atMs = (second + drawFraction()) * 1000;
+      Array.from({ length: Math.min(burstSize, count - index) }, () =>
+        clock.startTimer(atMs + drawFraction() * BURST_MS, startCaller),
       );
     }
   });
-  const downEngines = [...engines.values()].slice(0, load.down.count);
-  clock.startTimer(load.down.fromS * 1000, () => downEngines.forEach((one) => one.crash()));
-  clock.startTimer(load.down.untilS * 1000, () => downEngines.forEach((one) => one.recover()));
-  const lastsMs = load.streamsPerS.length * 1000 + DEADLINE_MS + 1000;
-  for (let atMs = 0; atMs < lastsMs; atMs += STEP_MS) await clock.advanceAsync(STEP_MS);
+  const downEngines = [...engines.values()].slice(0, load.outage.count);
+  clock.startTimer(load.outage.fromS * 1000, () => downEngines.forEach((one) => one.crash()));
+  clock.startTimer(load.outage.untilS * 1000, () => downEngines.forEach((one) => one.recover()));
+  const totalMs = load.streamsPerS.length * 1000 + DEADLINE_MS + 1000;
+  for (let atMs = 0; atMs < totalMs; atMs += STEP_MS) await clock.advanceAsync(STEP_MS);
 
   const outcomes = await Promise.all(callers);
-  const inTime = outcomes.filter(
-    ({ firstEventMs, isWhole }) => isWhole && firstEventMs !== null && firstEventMs <= GOAL_MS,
+  const withinGoal = outcomes.filter(
+    ({ firstEventMs, isComplete }) =>
+      isComplete && firstEventMs !== null && firstEventMs <= FIRST_EVENT_GOAL_MS,
   ).length;
-  const readTokens = [...engines.values()].reduce((sum, one) => sum + one.countReadTokens(), 0);
-  const sends = client.countSends();
-  return { outcomes, inTime, sends, readTokensPerStream: readTokens / Math.max(1, inTime) };
+  const prefilledTokens = [...engines.values()].reduce(
+    (sum, one) => sum + one.countPrefilledTokens(),
+    0,
+  );
+  const attempts = client.countAttempts();
+  return {
+    outcomes,
+    withinGoal: withinGoal,
+    attempts: attempts,
+    prefillTokensPerStream: prefilledTokens / Math.max(1, withinGoal),
+  };
 };
--- a/standins/rollouts/createRolloutStore/index.ts
+++ b/standins/rollouts/createRolloutStore/index.ts
@@ -6,34 +6,34 @@
 /** Above the versions of all orders. */
 const FIRST_VERSION = 10;
 
-const AWAY = { kind: 'unavailable', reason: 'away' } as const;
+const UNAVAILABLE = { kind: 'unavailable', reason: 'away' } as const;
 
 /** Creates a store of rows in virtual time, which answers nothing while it is away. */
 export const createRolloutStore = (
   clock: Pick<Clock, 'readMonotonicMs' | 'startTimer'>,
-  isAway: () => boolean,
+  isUnavailable: () => boolean,
 ) => {
   const rows = new Map<string, SharedRow>();
   let version = FIRST_VERSION;
   let calls = 0;
-  const takeCall = async (): Promise<boolean> => {
+  const receiveCall = async (): Promise<boolean> => {
     calls += 1;
     await new Promise<void>((resolve) => {
       clock.startTimer(CALL_MS, resolve);
     });
-    return !isAway();
+    return !isUnavailable();
   };
   return {
     countCalls: () => calls,
     find: (key: string) => rows.get(key) ?? null,
     readRows: async () =>
-      (await takeCall())
+      (await receiveCall())
         ? ok({ rows: [...rows.values()], version, storeMs: clock.readMonotonicMs() })
-        : err(AWAY),
+        : err(UNAVAILABLE),
     changeRows: async ({ expected = [], writes }: RowWrites) => {
-      const isTaken = await takeCall();
+      const isAnswered = await receiveCall();
       const isMet = expected.every((one) => (rows.get(one.key)?.version ?? 0) === one.version);
-      if (!isTaken || !isMet) return err(AWAY);
+      if (!isAnswered || !isMet) return err(UNAVAILABLE);
       version += 1;
       writes.forEach(({ key, value }) => rows.set(key, { key, value, version }));
       return ok(null);
--- a/standins/rollouts/index.ts
+++ b/standins/rollouts/index.ts
@@ -1,6 +1,6 @@
 export {
-  runRolloutModel,
+  simulateRollout,
   VersionTrait,
-  type RolloutModel,
-  type RolloutModelResult,
-} from './runRolloutModel';
+  type RolloutSimulation,
+  type RolloutSimulationResult,
+} from './simulateRollout';
--- a/standins/rollouts/runRolloutModel/index.ts
+++ b/standins/rollouts/simulateRollout/index.ts
@@ -28,7 +28,7 @@
 export type VersionTrait = (typeof VersionTrait)[keyof typeof VersionTrait];
 
 /** A roll-out in virtual time. */
-export interface RolloutModel {
+export interface RolloutSimulation {
   readonly seed: number;
   readonly vms: number;
   readonly trait: VersionTrait;
@@ -45,7 +45,7 @@
 }
 
 /** What became of it. */
-export interface RolloutModelResult {
+export interface RolloutSimulationResult {
   /** What the operator reads at the end of the time; null: nothing was written. */
   readonly state: RolloutState | null;
   readonly requests: number;
@@ -58,19 +58,19 @@
 
 const SERVICE = 's';
 const ROUTES = ['r-1', 'r-2', 'r-3'];
-const SERVERS = 4;
+const SERVERS_PER_VERSION = 4;
 
 /** All VMs have run for a while when the order comes. */
 const ORDER_AT_MS = 12_000;
-const LATER_MS = 4000;
+const FAULT_DELAY_MS = 4000;
 const LATENCY_MS = 40;
 const SLOW_FACTOR = 4;
 const CALL_MS = 3;
 
 /** A verdict reaches each VM by way of others. */
-const MAX_TOLD_MS = 1500;
+const MAX_GOSSIP_MS = 1500;
 
-const MANY_POOR = 50;
+const POOR_ANSWER_THRESHOLD = 50;
 const STEP_MS = 50;
 
 interface Vm {
@@ -81,22 +81,24 @@
 }
 
 const listServers = (version: string): readonly ServerStatus[] =>
-  Array.from({ length: SERVERS }, (_, index) => {
+  Array.from({ length: SERVERS_PER_VERSION }, (_, index) => {
     const status = buildServerStatus(`${version}-${index}`, 'z1');
     return { ...status, entry: { ...status.entry, version } };
   });
 
 /** Plays a roll-out over the gateways' own decisions and reports in virtual time. */
-export const runRolloutModel = async (model: RolloutModel): Promise<RolloutModelResult> => {
+export const simulateRollout = async (
+  model: RolloutSimulation,
+): Promise<RolloutSimulationResult> => {
   const clock = createFakeClock();
   const randomness = createSeededRandomness(model.seed);
   const draw = (): number => randomness.readFraction();
-  const isStoreAway = (): boolean => {
+  const isStoreUnavailable = (): boolean => {
     const sinceMs = clock.readMonotonicMs() - ORDER_AT_MS;
     const { fromMs = Infinity, untilMs = Infinity } = model.storeAway ?? {};
     return sinceMs >= fromMs && sinceMs < untilMs;
   };
-  const store = createRolloutStore(clock, isStoreAway);
+  const store = createRolloutStore(clock, isStoreUnavailable);
   const codec = createRolloutCodec();
   const established = listServers('v1');
   const all = [...established, ...listServers('v2')];
@@ -108,7 +110,7 @@
   const listPeers = (self: string): readonly RolloutPeer[] =>
     [...vms.values()].filter(({ isUp, peer }) => isUp && peer.vm !== self).map(({ peer }) => peer);
 
-  const startVm = (name: string, isOld: boolean): void => {
+  const startVm = (name: string, hasOrder: boolean): void => {
     let watch: RolloutJudge['watch'] = () => undefined;
     let recordEvidence: TrialReporter['recordEvidence'] = () => undefined;
     const rollouts: RolloutRegistry = createRolloutRegistry({
@@ -122,7 +124,9 @@
       randomness,
       broadcastVerdict: (verdict: RolloutVerdict) =>
         listPeers(name).forEach(({ vm }) =>
-          clock.startTimer(draw() * MAX_TOLD_MS, () => vms.get(vm)?.rollouts.mergeVerdict(verdict)),
+          clock.startTimer(draw() * MAX_GOSSIP_MS, () =>
+            vms.get(vm)?.rollouts.mergeVerdict(verdict),
+          ),
         ),
       handleChange: (service) => watch(service),
       handleEvidence: (service) => recordEvidence(service),
@@ -155,7 +159,7 @@
     watch = judge.watch;
     recordEvidence = reporter.recordEvidence;
     vms.set(name, { peer: { vm: name, address: name }, rollouts, judge, isUp: true });
-    rollouts.applyRows(isOld ? [order] : []);
+    rollouts.applyRows(hasOrder ? [order] : []);
   };
 
   const names = Array.from({ length: model.vms }, (_, index) => `vm-${index}`);
@@ -164,12 +168,12 @@
   let requests = 0;
   let trials = 0;
   let poor = 0;
-  let manyPoorAtMs: number | null = null;
+  let degradedAtMs: number | null = null;
   let lateMs = 0;
   const isBad = (route: string): boolean => {
     const sinceMs = clock.readMonotonicMs() - ORDER_AT_MS;
     if (model.trait === VersionTrait.FailsHalf) return draw() < 0.5;
-    if (model.trait === VersionTrait.FailsLater) return sinceMs > LATER_MS && draw() < 0.7;
+    if (model.trait === VersionTrait.FailsLater) return sinceMs > FAULT_DELAY_MS && draw() < 0.7;
     return model.trait === VersionTrait.FailsOneRoute && route === ROUTES[0] && draw() < 0.8;
   };
 
@@ -191,18 +195,18 @@
     if (isOrdered()) requests += 1;
     request.recordSent(server);
     const isCandidate = server.version === 'v2';
-    const isMoved = vm.rollouts.find(SERVICE)?.verdict.state === RolloutState.Switching;
-    if (isCandidate && !isCompleted() && (model.trait !== VersionTrait.Good || !isMoved)) {
+    const isSwitching = vm.rollouts.find(SERVICE)?.verdict.state === RolloutState.Switching;
+    if (isCandidate && !isCompleted() && (model.trait !== VersionTrait.Good || !isSwitching)) {
       trials += 1;
-      if (manyPoorAtMs !== null) lateMs = Math.max(lateMs, clock.readMonotonicMs() - manyPoorAtMs);
+      if (degradedAtMs !== null) lateMs = Math.max(lateMs, clock.readMonotonicMs() - degradedAtMs);
     }
     const isFailure = draw() < model.failing || (isCandidate && isBad(route));
     const isSlow = isCandidate && model.trait === VersionTrait.Slow;
-    const took = LATENCY_MS * (0.5 + draw()) * (isSlow ? SLOW_FACTOR : 1);
-    clock.startTimer(took, () => {
+    const latencyMs = LATENCY_MS * (0.5 + draw()) * (isSlow ? SLOW_FACTOR : 1);
+    clock.startTimer(latencyMs, () => {
       if (isCandidate && (isFailure || isSlow)) poor += 1;
-      if (poor >= MANY_POOR) manyPoorAtMs ??= clock.readMonotonicMs();
-      request.recordOutcome(server, { isFailure, duration: isFailure ? null : took });
+      if (poor >= POOR_ANSWER_THRESHOLD) degradedAtMs ??= clock.readMonotonicMs();
+      request.recordOutcome(server, { isFailure, duration: isFailure ? null : latencyMs });
     });
   };
 
--- a/standins/rows/createRowsWorld/index.ts
+++ b/standins/rows/createRowsFleet/index.ts
@@ -20,18 +20,18 @@
 import { createVmStore, type VmStore } from '../createVmStore';
 
 /** Tables that are followed; the first one guards the second. */
-export const WORLD_TABLES = ['op', 'servers'] as const;
+export const FLEET_TABLES = ['op', 'servers'] as const;
 
 /** Rows of a table as a VM was told of them, by key: their version. */
-export type TakenRows = ReadonlyMap<string, number>;
+export type RowVersions = ReadonlyMap<string, number>;
 
 /** A VM that follows the store or others. */
 export interface RowsVm {
   readonly name: string;
   readonly clock: VmClock;
   readonly store: VmStore;
-  readonly sharing: ZoneReplication;
-  readRows(table: string): TakenRows;
+  readonly replication: ZoneReplication;
+  readRows(table: string): RowVersions;
   /** Version up to which the VM takes its rows of a table for complete. */
   readVersion(table: string): number;
   /** Rows that went back to an older version. */
@@ -42,7 +42,7 @@
 }
 
 /** Some VMs that share what they read, in virtual time. */
-export interface RowsWorld {
+export interface RowsFleet {
   readonly clock: FakeClock;
   readonly store: VirtualStore;
   readonly vms: readonly RowsVm[];
@@ -55,7 +55,7 @@
 }
 
 /** Options of a world. */
-export interface RowsWorldOptions {
+export interface RowsFleetOptions {
   readonly seed: number;
   readonly zones: readonly string[];
   readonly bounds: Pick<GatewayBounds, 'changeMs' | 'settleMs'>;
@@ -63,32 +63,32 @@
 }
 
 /** One way between two VMs. */
-const HOP_MS = 1;
+const MESSAGE_MS = 1;
 
 /** A VM that ended is still listed for this long. */
-const LISTED_MS = 8000;
+const MEMBER_EXPIRY_MS = 8000;
 
 /** Creates the world; the VMs run from the start. */
-export const createRowsWorld = ({ bounds, log, seed, zones }: RowsWorldOptions): RowsWorld => {
+export const createRowsFleet = ({ bounds, log, seed, zones }: RowsFleetOptions): RowsFleet => {
   const clock = createFakeClock();
   const store = createVirtualStore(clock);
   const vms: RowsVm[] = [];
-  const zoneOf = new Map<string, string>();
+  const zoneByVm = new Map<string, string>();
   const endedAtMs = new Map<string, number>();
   const cutLinks = new Set<string>();
   let linkDelayMs = 0;
-  const shared = computeStalenessLimits(bounds);
+  const stalenessLimits = computeStalenessLimits(bounds);
 
   const isOpen = (from: string, to: string): boolean => !cutLinks.has(`${from} ${to}`);
 
   /** Carries something to another VM, unless it is lost on the way. */
-  const carry = (from: string, to: RowsVm, deliver: () => void): void => {
-    clock.startTimer(HOP_MS + linkDelayMs, () => {
+  const deliverMessage = (from: string, to: RowsVm, deliver: () => void): void => {
+    clock.startTimer(MESSAGE_MS + linkDelayMs, () => {
       if (isOpen(from, to.name) && to.isAlive()) to.clock.runInVm(deliver);
     });
   };
 
-  const askVm = (
+  const callVm = (
     fromName: string,
     address: string,
     request: StatementsRequest,
@@ -99,10 +99,10 @@
       if (!from) return;
       from.clock.startTimer(timeoutMs, () => resolve(null));
       if (!to) return;
-      carry(from.name, to, () => {
-        to.sharing
+      deliverMessage(from.name, to, () => {
+        to.replication
           .handleRequest(request)
-          .then((answer) => carry(to.name, from, () => resolve(answer)))
+          .then((answer) => deliverMessage(to.name, from, () => resolve(answer)))
           .catch(() => undefined);
       });
     });
@@ -112,11 +112,11 @@
     const vmClock = createVmClock(clock);
     const vmStore = createVmStore(store, clock, vmClock);
     const randomness = createSeededRandomness(seed * 1000 + vms.length);
-    const rows = new Map(WORLD_TABLES.map((table) => [table as string, new Map<string, number>()]));
+    const rows = new Map(FLEET_TABLES.map((table) => [table as string, new Map<string, number>()]));
     const newest = new Map<string, number>();
     const regressions: string[] = [];
-    let handleAdvance = (): void => undefined;
-    const take =
+    let notifyReplication = (): void => undefined;
+    const createRowHandler =
       (table: string) =>
       (changes: readonly SharedRow[], { source }: RowsOrigin): void => {
         changes.forEach(({ key, value, version }) => {
@@ -129,27 +129,27 @@
           else rows.get(table)?.set(key, version);
         });
       };
-    const [guardTable, guardedTable] = WORLD_TABLES;
+    const [guardTable, guardedTable] = FLEET_TABLES;
     const pair = createFollowerPair({
       store: vmStore,
       clock: vmClock,
       randomness,
       log: log?.(name) ?? QUIET_LOG,
       shortWaitMs: computeLongPollMs(bounds),
-      freshMs: shared?.freshMs ?? Infinity,
-      staleMs: shared?.staleMs ?? Infinity,
+      freshMs: stalenessLimits?.freshMs ?? Infinity,
+      staleMs: stalenessLimits?.staleMs ?? Infinity,
       burstPauseMs: computeBatchDelayMs(bounds),
-      handleUpdate: () => handleAdvance(),
-      primary: { table: guardTable, handleRows: take(guardTable) },
-      secondary: { table: guardedTable, handleRows: take(guardedTable) },
+      handleUpdate: () => notifyReplication(),
+      primary: { table: guardTable, handleRows: createRowHandler(guardTable) },
+      secondary: { table: guardedTable, handleRows: createRowHandler(guardedTable) },
     });
     const followers = new Map<string, RowFollower>([
       [guardTable, pair.primary],
       [guardedTable, pair.secondary],
     ]);
-    const sharing = createZoneReplication({
+    const replication = createZoneReplication({
       self: { vm: name, address: name, availabilityZone, cores: 0.3 },
-      sharing: shared,
+      sharing: stalenessLimits,
       pair,
       followers,
       listMembers: () =>
@@ -157,45 +157,45 @@
           .filter((vm) => vm.name !== name)
           .filter(
             (vm) =>
-              clock.readMonotonicMs() - (endedAtMs.get(vm.name) ?? Infinity) < LISTED_MS ||
+              clock.readMonotonicMs() - (endedAtMs.get(vm.name) ?? Infinity) < MEMBER_EXPIRY_MS ||
               vm.isAlive(),
           )
           .map((vm) => ({
             vm: vm.name,
             address: vm.name,
-            availabilityZone: zoneOf.get(vm.name) ?? '',
+            availabilityZone: zoneByVm.get(vm.name) ?? '',
             cores: 0.3,
           })),
-      requestStatements: (address, request, timeoutMs) => askVm(name, address, request, timeoutMs),
+      requestStatements: (address, request, timeoutMs) => callVm(name, address, request, timeoutMs),
       clock: vmClock,
       randomness,
       log: log?.(name) ?? QUIET_LOG,
     });
-    handleAdvance = sharing.handleUpdate;
+    notifyReplication = replication.handleUpdate;
     let isAlive = true;
     const self: RowsVm = {
       name,
       clock: vmClock,
       store: vmStore,
-      sharing,
+      replication: replication,
       readRows: (table) => rows.get(table) ?? new Map(),
       readVersion: (table) => followers.get(table)?.readVersion() ?? 0,
       listRegressions: () => regressions,
       kill: () => {
         isAlive = false;
         endedAtMs.set(name, clock.readMonotonicMs());
-        sharing.stop();
+        replication.stop();
         pair.primary.stop();
         pair.secondary.stop();
-        vmClock.stand('stopped');
+        vmClock.pause('stopped');
       },
       isAlive: () => isAlive,
     };
     vms.push(self);
-    zoneOf.set(name, availabilityZone);
+    zoneByVm.set(name, availabilityZone);
     pair.primary.start();
     pair.secondary.start();
-    sharing.start();
+    replication.start();
     return self;
   };
 
--- a/standins/rows/createVmClock/index.ts
+++ b/standins/rows/createVmClock/index.ts
@@ -1,11 +1,11 @@
 import type { Clock } from '../../../src/application/ports';
 
 /** How a VM stands still: `stopped`, its steady clock goes on; `suspended`, only the time of day. */
-export type Standstill = 'stopped' | 'suspended';
+export type PauseMode = 'stopped' | 'suspended';
 
 /** The clock of a VM that can stand still. */
 export interface VmClock extends Clock {
-  stand(how: Standstill): void;
+  pause(how: PauseMode): void;
   resume(): void;
   /** Runs now, or once the VM goes on. */
   runInVm(callback: () => void): void;
@@ -13,13 +13,13 @@
 
 /** Creates the clock of one VM over the clock of all. */
 export const createVmClock = (clock: Clock): VmClock => {
-  let standsFromMs: number | null = null;
-  let how: Standstill = 'stopped';
+  let pausedAtMs: number | null = null;
+  let how: PauseMode = 'stopped';
   let suspendedMs = 0;
   let held: (() => void)[] = [];
 
   const runInVm = (callback: () => void): void => {
-    if (standsFromMs === null) callback();
+    if (pausedAtMs === null) callback();
     else held.push(callback);
   };
 
@@ -38,14 +38,14 @@
         cancel();
       };
     },
-    stand: (next) => {
-      standsFromMs ??= clock.readMonotonicMs();
+    pause: (next) => {
+      pausedAtMs ??= clock.readMonotonicMs();
       how = next;
     },
     resume: () => {
-      if (standsFromMs === null) return;
-      if (how === 'suspended') suspendedMs += clock.readMonotonicMs() - standsFromMs;
-      standsFromMs = null;
+      if (pausedAtMs === null) return;
+      if (how === 'suspended') suspendedMs += clock.readMonotonicMs() - pausedAtMs;
+      pausedAtMs = null;
       const callbacks = held;
       held = [];
       callbacks.forEach((callback) => callback());
--- a/standins/rows/index.ts
+++ b/standins/rows/index.ts
@@ -1,1 +1,1 @@
-export { createRowsWorld, WORLD_TABLES, type RowsVm, type RowsWorld } from './createRowsWorld';
+export { createRowsFleet, FLEET_TABLES, type RowsVm, type RowsFleet } from './createRowsFleet';
--- a/tests/gateway/_lib/crashNextServer/index.ts
+++ b/tests/gateway/_lib/crashNextServer/index.ts
@@ -7,7 +7,7 @@
   { begins }: { readonly begins: boolean } = { begins: true },
 ): Promise<TakenRequest> => {
   const taken = await takeNextRequest(servers);
-  if (begins) taken.server.begin(taken.request);
+  if (begins) taken.server.startStream(taken.request);
   await taken.server.crash();
   return taken;
 };
--- a/tests/gateway/_lib/removeBackup/index.ts
+++ b/tests/gateway/_lib/removeBackup/index.ts
@@ -16,8 +16,8 @@
   const backup = findBackup(harness, first);
   harness.store.writeRow(TABLES.servers, backup.id, null);
   await harness.waitForLine('server gone', ({ server }) => server === backup.id);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 3);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 3);
   await followed.waitForText(formatStandInEvent(3));
   return { first, backup };
 };
--- a/tests/gateway/_lib/sendEvents/index.ts
+++ b/tests/gateway/_lib/sendEvents/index.ts
@@ -6,7 +6,7 @@
   first: number,
   last: number,
 ): void => {
-  server.begin(request);
-  server.emit(request, first, last);
+  server.startStream(request);
+  server.sendEvents(request, first, last);
   request.response.end();
 };
--- a/tests/gateway/crashingRequests.test.ts
+++ b/tests/gateway/crashingRequests.test.ts
@@ -133,8 +133,8 @@
   const followed = harness.follow(buildStreamRequest());
   for (let crashed = 0; crashed < 3; crashed += 1) {
     const { request, server } = await takeNextRequest(harness.servers);
-    server.begin(request);
-    server.emit(request, crashed + 1, crashed + 1);
+    server.startStream(request);
+    server.sendEvents(request, crashed + 1, crashed + 1);
     await followed.waitForText(formatStandInEvent(crashed + 1));
     clock.advance(1100);
     await server.crash();
--- a/tests/gateway/overload.test.ts
+++ b/tests/gateway/overload.test.ts
@@ -1,16 +1,16 @@
 import test from 'ava';
 import { quantile } from 'simple-statistics';
-import { runModelLoad, type ModelLoad, type ModelResult } from '../../standins/model';
+import { simulateLoad, type SimulatedLoad, type SimulatedLoadResult } from '../../standins/model';
 
 const SEEDS = [1, 2];
 
 const repeat = (count: number, seconds: number): number[] => new Array<number>(seconds).fill(count);
 
-const countRefusedTwice = ({ outcomes }: ModelResult): number =>
+const countRefusedTwice = ({ outcomes }: SimulatedLoadResult): number =>
   outcomes.filter(({ refusals }) => refusals > 1).length;
 
 /** 90th percentile of the time to the first event. */
-const findSlowStartMs = ({ outcomes }: ModelResult): number =>
+const findSlowStartMs = ({ outcomes }: SimulatedLoadResult): number =>
   quantile(
     outcomes.map(({ firstEventMs }) => firstEventMs ?? Infinity),
     0.9,
@@ -20,15 +20,15 @@
   values.reduce((sum, value) => sum + value, 0) / values.length;
 
 /** Runs a load with every seed through the gateway code in virtual time; returns mean results. */
-const runLoad = async (load: Omit<ModelLoad, 'seed' | 'engines' | 'vms'>) => {
+const runLoad = async (load: Omit<SimulatedLoad, 'seed' | 'engines' | 'vms'>) => {
   const results = await Promise.all(
-    SEEDS.map((seed) => runModelLoad({ seed, engines: 13, vms: 9, ...load })),
+    SEEDS.map((seed) => simulateLoad({ seed, engines: 13, vms: 9, ...load })),
   );
   return {
     streams: results[0]?.outcomes.length ?? 0,
-    inTime: mean(results.map(({ inTime }) => inTime)),
-    sends: mean(results.map(({ sends }) => sends)),
-    tokensPerStream: mean(results.map(({ readTokensPerStream }) => readTokensPerStream)),
+    inTime: mean(results.map(({ withinGoal }) => withinGoal)),
+    sends: mean(results.map(({ attempts }) => attempts)),
+    tokensPerStream: mean(results.map(({ prefillTokensPerStream }) => prefillTokensPerStream)),
     refusedTwice: mean(results.map(countRefusedTwice)),
     slowestTenthMs: mean(results.map(findSlowStartMs)),
   };
@@ -37,7 +37,7 @@
 const NONE_DOWN = { count: 0, fromS: 0, untilS: 0 };
 
 test('a load within the capacity of the engines is served in time without refusals', async (t) => {
-  const result = await runLoad({ streamsPerS: repeat(3, 18), down: NONE_DOWN });
+  const result = await runLoad({ streamsPerS: repeat(3, 18), outage: NONE_DOWN });
   t.is(result.inTime, 54);
   t.is(result.refusedTwice, 0);
 });
@@ -47,7 +47,7 @@
 // One prompt in five waited behind another, with first events after 3 s and more, or was moved and
 // read twice.
 test('concurrent prompts are spread over idle engines', async (t) => {
-  const result = await runLoad({ streamsPerS: repeat(6, 16), bunch: 6, down: NONE_DOWN });
+  const result = await runLoad({ streamsPerS: repeat(6, 16), burstSize: 6, outage: NONE_DOWN });
   t.log(result);
   t.is(result.inTime, result.streams);
   t.true(result.slowestTenthMs <= 1600);
@@ -60,7 +60,7 @@
   const result = await runLoad({
     streamsPerS: repeat(1, 10),
     promptTokens: 24_000,
-    down: NONE_DOWN,
+    outage: NONE_DOWN,
   });
   t.log(result);
   t.is(result.refusedTwice, 0);
@@ -74,7 +74,7 @@
 test('in a burst with half of the engines lost, most streams come in time', async (t) => {
   const result = await runLoad({
     streamsPerS: [...repeat(3, 6), ...repeat(16, 4), ...repeat(3, 8)],
-    down: { count: 6, fromS: 5, untilS: 9 },
+    outage: { count: 6, fromS: 5, untilS: 9 },
   });
   t.log(result);
   t.true(result.inTime >= 74);
@@ -85,7 +85,7 @@
 // Without predicted start times, mean of three seeds: 99 of 196 in time, 413 sends, 21,500 tokens
 // of prefill per stream in time.
 test('at twice the capacity of the engines, little prefill work is wasted', async (t) => {
-  const result = await runLoad({ streamsPerS: repeat(14, 14), down: NONE_DOWN });
+  const result = await runLoad({ streamsPerS: repeat(14, 14), outage: NONE_DOWN });
   t.log(result);
   t.true(result.inTime >= 104);
   t.true(result.sends <= 196);
@@ -97,7 +97,7 @@
 test('at four times the capacity of the engines, forwarded streams are in time', async (t) => {
   const result = await runLoad({
     streamsPerS: [...repeat(3, 3), ...repeat(28, 8), ...repeat(3, 6)],
-    down: NONE_DOWN,
+    outage: NONE_DOWN,
   });
   t.log(result);
   t.true(result.inTime >= 80);
--- a/tests/gateway/restarts.test.ts
+++ b/tests/gateway/restarts.test.ts
@@ -14,8 +14,8 @@
   const harness = await startTestGateway({ serverIds: ['i-1'] });
   const followed = harness.follow(buildStreamRequest());
   const first = await takeNextRequest(harness.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 3);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 3);
   await followed.waitForText('piece 3');
   await first.server.crash();
   const port = Number(first.server.address.split(':')[1]);
--- a/tests/gateway/serverClient.test.ts
+++ b/tests/gateway/serverClient.test.ts
@@ -101,7 +101,7 @@
   const { server: entry } = buildAttempt(server.address, server.id);
   t.is((await client.readReport(entry))?.running, 0);
   server.freeze();
-  const asked = server.nextQuestion();
+  const asked = server.nextStatusRequest();
   const report = client.readReport(entry);
   await asked;
   clock.advance(1000);
@@ -117,7 +117,7 @@
   const server = await createStandInServer('i-1');
   const client = createServerClient({ clock: createFakeClock() });
   const attempt = buildAttempt(server.address, server.id);
-  const asked = server.nextQuestion();
+  const asked = server.nextStatusRequest();
   await client.readReport(attempt.server);
   const signal = new AbortController();
   const sent = client.sendAttempt({ ...attempt, newConnection: true }, signal.signal);
--- a/tests/gateway/storeOutages.test.ts
+++ b/tests/gateway/storeOutages.test.ts
@@ -145,7 +145,7 @@
       const { configure, leave, runSteps, store } = setUp(lostAtMs);
       const steps = [
         { atMs: 4900, run: configure },
-        { atMs: lostAtMs, run: () => store.loseWaiting(table) },
+        { atMs: lostAtMs, run: () => store.dropPendingCalls(table) },
         { atMs: lostAtMs + 10, run: table === TABLES.operator ? configure : leave },
         { atMs: lostAtMs + 900, run: configure },
       ];
--- a/tests/gateway/storeRestores.test.ts
+++ b/tests/gateway/storeRestores.test.ts
@@ -17,7 +17,7 @@
 
 /** Saves a copy, then writes rows that it lacks, so that a restored store is behind the gateway. */
 const writeBeyondCopy = async ({ servers, store, waitForLine }: TestGateway): Promise<void> => {
-  store.saveCopy();
+  store.saveSnapshot();
   for (let row = 0; row < OTHER_ROWS; row += 1) store.writeRow(TABLES.status, 'other', { row });
   store.writeRow(TABLES.operator, CONFIGURATION_KEY, buildWireConfiguration({ version: 3 }));
   servers.forEach((server) =>
@@ -45,8 +45,8 @@
 test('the log records when the store returns in another era', async (t) => {
   const harness = await startTestGateway();
   t.teardown(harness.stop);
-  harness.store.saveCopy();
-  harness.store.restoreCopy();
+  harness.store.saveSnapshot();
+  harness.store.restoreSnapshot();
   t.true(await isLoggedInTime(harness, 'store era', ({ era }) => era === 2));
 });
 
@@ -54,7 +54,7 @@
   const harness = await startTestGateway();
   t.teardown(harness.stop);
   await writeBeyondCopy(harness);
-  harness.store.restoreCopy();
+  harness.store.restoreSnapshot();
   harness.store.writeRow(
     TABLES.operator,
     CONFIGURATION_KEY,
@@ -67,7 +67,7 @@
   const harness = await startTestGateway();
   t.teardown(harness.stop);
   await writeBeyondCopy(harness);
-  harness.store.restoreCopy();
+  harness.store.restoreSnapshot();
   const [leaving] = harness.servers as [StandInServer];
   harness.store.writeRow(
     TABLES.servers,
@@ -86,7 +86,7 @@
     for (; reads < MAX_READS; reads += 1) await harness.store.waitForCall(PATHS.readRows);
   };
   const counted = countReads();
-  harness.store.restoreCopy();
+  harness.store.restoreSnapshot();
   const isLogged = harness.waitForLine(
     'store era',
     ({ era, table }) => era === 2 && table === TABLES.servers,
@@ -101,14 +101,14 @@
   const harness = await startTestGateway();
   t.teardown(harness.stop);
   const [leaving] = harness.servers as [StandInServer];
-  harness.store.saveCopy();
+  harness.store.saveSnapshot();
   harness.store.writeRow(
     TABLES.servers,
     leaving.id,
     buildWireEntry(leaving, { state: 'draining', sequence: 3 }),
   );
   await harness.waitForLine('server leaving', ({ server }) => server === leaving.id);
-  harness.store.restoreCopy();
+  harness.store.restoreSnapshot();
   await harness.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   for (let call = 0; call < CALLS_SENT; call += 1) {
     t.not((await callAnyServer(harness, { id: `call-${call}` })).id, leaving.id);
@@ -119,10 +119,10 @@
   const harness = await startTestGateway();
   t.teardown(harness.stop);
   const [deleted] = harness.servers as [StandInServer];
-  harness.store.saveCopy();
+  harness.store.saveSnapshot();
   harness.store.writeRow(TABLES.servers, deleted.id, null);
   await harness.waitForLine('server gone', ({ server }) => server === deleted.id);
-  harness.store.restoreCopy();
+  harness.store.restoreSnapshot();
   await harness.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   for (let call = 0; call < CALLS_SENT; call += 1) {
     t.not((await callAnyServer(harness, { id: `call-${call}` })).id, deleted.id);
@@ -134,11 +134,11 @@
   t.teardown(harness.stop);
   const [kept, late] = harness.servers as [StandInServer, StandInServer];
   harness.store.writeRow(TABLES.servers, late.id, null);
-  harness.store.saveCopy();
+  harness.store.saveSnapshot();
   harness.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
   harness.store.writeRow(TABLES.servers, kept.id, null);
   await harness.waitForLine('server gone', ({ server }) => server === kept.id);
-  harness.store.restoreCopy();
+  harness.store.restoreSnapshot();
   await harness.waitForLine('store era', ({ era, table }) => era === 2 && table === TABLES.servers);
   t.is((await callAnyServer(harness, { id: 'meanwhile' })).id, late.id);
   harness.store.writeRow(TABLES.servers, late.id, buildWireEntry(late, { sequence: 5 }));
--- a/tests/gateway/streamLosses.test.ts
+++ b/tests/gateway/streamLosses.test.ts
@@ -16,7 +16,7 @@
   const harness = await startTestGateway();
   const followed = harness.follow(buildStreamRequest());
   const first = await takeNextRequest(harness.servers);
-  first.server.loseEvents(first.request, 5);
+  first.server.recordUnsentEvents(first.request, 5);
   const second = await takeNextRequest(listOtherServers(harness, first.server));
   t.is((await harness.waitForLine('server silent')).cause, 'run lost');
   await first.request.closed;
@@ -64,7 +64,7 @@
 // not used.
 test('a moved run goes on from the copy that is there when the rest is overdue', async (t) => {
   const harness = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
-  harness.servers.forEach((server) => server.holdRests());
+  harness.servers.forEach((server) => server.withholdFinalCopies());
   const followed = harness.follow(buildStreamRequest());
   const { first } = await removeBackup(harness, followed);
   const second = await takeNextRequest(listOtherServers(harness, first.server));
@@ -83,9 +83,9 @@
 // the state of the stream does not end with its caller.
 test('a prompt is not sent once its caller has left', async (t) => {
   const harness = await startTestGateway();
-  harness.servers.forEach((server) => server.muteReports());
+  harness.servers.forEach((server) => server.ignoreStatusRequests());
   const followed = harness.follow(buildStreamRequest());
-  const asked = harness.servers.map((server) => server.nextQuestion());
+  const asked = harness.servers.map((server) => server.nextStatusRequest());
   await Promise.all(asked);
   followed.disconnect();
   await harness.waitForLine('stream not sent');
--- a/tests/gateway/streams.test.ts
+++ b/tests/gateway/streams.test.ts
@@ -15,10 +15,10 @@
   const harness = await startTestGateway();
   const followed = harness.follow(buildStreamRequest());
   const { request, server } = await takeNextRequest(harness.servers);
-  server.begin(request);
-  server.emit(request, 1, 1);
+  server.startStream(request);
+  server.sendEvents(request, 1, 1);
   await followed.waitForText(formatStandInEvent(1));
-  server.emit(request, 2, 3);
+  server.sendEvents(request, 2, 3);
   request.response.end();
   const answer = await followed.done;
   t.is(answer.status, 200);
@@ -37,8 +37,8 @@
   const first = await takeNextRequest(harness.servers);
   const backup = String(first.request.headers[HEADERS.kvBackup]);
   t.true(listOtherServers(harness, first.server).some(({ address }) => address === backup));
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 5);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 5);
   // A dying server may stop within an event; an incomplete event is never forwarded.
   first.request.response.write('id: 6\ndata: ha');
   await followed.waitForText(formatStandInEvent(5));
@@ -60,8 +60,8 @@
   const harness = await startTestGateway();
   const followed = harness.follow(buildStreamRequest());
   const first = await takeNextRequest(harness.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 4);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 4);
   await followed.waitForText(formatStandInEvent(4));
   first.request.socket.resetAndDestroy();
   const second = await takeNextRequest(harness.servers);
@@ -75,9 +75,9 @@
   const harness = await startTestGateway({ serverIds: ['i-1', 'i-2', 'i-3'] });
   const followed = harness.follow(buildStreamRequest());
   const first = await takeNextRequest(harness.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 2);
-  first.server.emit(first.request, 4, 4);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 2);
+  first.server.sendEvents(first.request, 4, 4);
   const second = await takeNextRequest(harness.servers);
   t.is(second.request.headers[HEADERS.lastEventId], '2');
   sendEvents(second, 3, 4);
@@ -91,8 +91,8 @@
   const harness = await startTestGateway();
   const followed = harness.follow(buildStreamRequest());
   const first = await takeNextRequest(harness.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 2);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 2);
   await followed.waitForText(formatStandInEvent(2));
   first.server.freeze();
   const second = await takeNextRequest(listOtherServers(harness, first.server));
@@ -156,8 +156,8 @@
   const harness = await startTestGateway({ configuration: { routes } });
   const followed = harness.follow(buildStreamRequest());
   const first = await takeNextRequest(harness.servers);
-  first.server.begin(first.request);
-  first.server.emit(first.request, 1, 2);
+  first.server.startStream(first.request);
+  first.server.sendEvents(first.request, 1, 2);
   await followed.waitForText(formatStandInEvent(2));
   first.request.socket.resetAndDestroy();
   const answer = await followed.done;
@@ -171,8 +171,8 @@
   const followed = harness.follow(buildStreamRequest({ [HEADERS.lastEventId]: '7' }));
   const { request, server } = await takeNextRequest(harness.servers);
   t.is(request.headers[HEADERS.lastEventId], '7');
-  server.begin(request);
-  server.emit(request, 8, 9);
+  server.startStream(request);
+  server.sendEvents(request, 8, 9);
   request.response.end();
   t.is((await followed.done).body, formatEvents(8, 9));
   await harness.stop();
@@ -182,8 +182,8 @@
   const harness = await startTestGateway();
   const followed = harness.follow(buildStreamRequest({ [HEADERS.deadlineMs]: '2500' }));
   const { request, server } = await takeNextRequest(harness.servers);
-  server.begin(request);
-  server.emit(request, 1, 1);
+  server.startStream(request);
+  server.sendEvents(request, 1, 1);
   await followed.waitForText(formatStandInEvent(1));
   t.false((await followed.done).isWhole);
   await request.closed;
@@ -194,11 +194,11 @@
 // requests time out, and a server without a recent report is not chosen.
 test('a prompt is sent although no server answered the report requests', async (t) => {
   const harness = await startTestGateway();
-  harness.servers.forEach((server) => server.muteReports());
+  harness.servers.forEach((server) => server.ignoreStatusRequests());
   const followed = harness.follow(buildStreamRequest());
   const { request, server } = await takeNextRequest(harness.servers);
-  server.begin(request);
-  server.emit(request, 1, 2);
+  server.startStream(request);
+  server.sendEvents(request, 1, 2);
   request.response.end();
   t.is((await followed.done).body, formatEvents(1, 2));
   await harness.stop();
--- a/tests/generations/engineLoss.test.ts
+++ b/tests/generations/engineLoss.test.ts
@@ -54,10 +54,10 @@
 test('a cut connection is resumed on the same stream', async (t) => {
   const { engines, start } = setUp();
   const { first, reader } = await start();
-  engines.cut('engine-1');
+  engines.breakConnections('engine-1');
   engines.emit(first, 2);
   await reader.waitForTokens(5);
-  engines.cut('engine-1');
+  engines.breakConnections('engine-1');
   await reader.waitForTokens(5);
   engines.emit(first, 1, 'stop');
   t.deepEqual(await reader.done, first.tokenIds);
--- a/tests/generations/entryLoss.test.ts
+++ b/tests/generations/entryLoss.test.ts
@@ -25,7 +25,7 @@
   const { reader } = await open(first, 3);
   const prefixTokenIds = [...reader.tokenIds];
   network.remove('entry-1');
-  reader.leave();
+  reader.detach();
   engines.kill('engine-1');
   const lost = await resume(second, reader);
   t.is(lost._unsafeUnwrapErr().code, 'generation_lost');
--- a/tests/keeper/_lib/createFakeEngine/index.ts
+++ b/tests/keeper/_lib/createFakeEngine/index.ts
@@ -9,12 +9,12 @@
 export interface FakeEngine {
   readonly name: string;
   readLoad(): Result<LoadReport, EngineError>;
-  takeOrder(order: EngineOrder): Result<void, EngineError>;
+  handleOrder(order: EngineOrder): Result<void, EngineError>;
   listModels(): readonly LoadedModel[];
   /** Orders that it took, in order. */
-  readonly taken: EngineOrder[];
+  readonly acceptedOrders: EngineOrder[];
   countLoading(): number;
-  faults: { down: boolean; loseNextAnswer: boolean; retryAfterMs: number; room: number };
+  faults: { down: boolean; loseNextResponse: boolean; retryAfterMs: number; maxModels: number };
 }
 
 const isSame = (left: LoadedModel, right: LoadedModel): boolean =>
@@ -59,7 +59,7 @@
 
   return {
     name,
-    taken,
+    acceptedOrders: taken,
     faults,
     listModels: () => held,
     countLoading: () => loading,
@@ -81,7 +81,7 @@
             ageMs: 0,
             receivedAtMs: clock.readMonotonicMs(),
           }),
-    takeOrder: (order) => {
+    handleOrder: (order) => {
       if (faults.down) return err({ kind: 'broken', reason: 'down' });
       if (faults.retryAfterMs > 0) {
         return err({ kind: 'not-started', reason: '429', retryAfterMs: faults.retryAfterMs });
--- a/tests/keeper/_lib/createKeeperRig/index.ts
+++ b/tests/keeper/_lib/createTestKeepers/index.ts
@@ -30,7 +30,7 @@
 }
 
 /** Two keepers and some engines. */
-export interface KeeperRig {
+export interface TestKeepers {
   readonly clock: FakeClock;
   readonly table: MemoryTableStore;
   readonly keepers: readonly [TestKeeper, TestKeeper];
@@ -38,7 +38,7 @@
   /** Puts targets into force at both keepers. */
   applyTargets(targets: readonly EngineTarget[]): void;
   /** Holds back the answer to the next order; the returned function lets it through. */
-  holdNextAnswer(): () => void;
+  delayNextResponse(): () => void;
   /** Lets time pass in steps; calls `check` after each. */
   advance(durationMs: number, check?: () => void): Promise<void>;
 }
@@ -68,12 +68,12 @@
 }
 
 /** Creates the rig; each engine starts with `models`. */
-export function createKeeperRig(options: {
+export function createTestKeepers(options: {
   readonly engineNames: readonly string[];
   readonly models: readonly LoadedModel[];
   readonly checksFencing: boolean;
   readonly maxLoads: number;
-}): KeeperRig {
+}): TestKeepers {
   const clock = createFakeClock();
   const table = createMemoryTableStore();
   const engines = options.engineNames.map((name) => createFakeEngine(name, { ...options, clock }));
@@ -85,7 +85,7 @@
   const engineClient: Pick<EngineClient, 'readLoad' | 'sendOrder'> = {
     readLoad: async ({ name }) => byName.get(name)!.readLoad(),
     sendOrder: async ({ name }, order) => {
-      const answer = byName.get(name)!.takeOrder(order);
+      const answer = byName.get(name)!.handleOrder(order);
       const held = gate;
       gate = null;
       await held;
@@ -141,7 +141,7 @@
       current = next;
       listeners.forEach((listener) => listener(next));
     },
-    holdNextAnswer: () => {
+    delayNextResponse: () => {
       let release = (): void => {};
       gate = new Promise((resolve) => {
         release = resolve;
--- a/tests/keeper/keeper.test.ts
+++ b/tests/keeper/keeper.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import type { EngineTarget, LoadedModel } from '../../src/domain/types';
-import { createKeeperRig } from './_lib/createKeeperRig';
-import type { KeeperRig } from './_lib/createKeeperRig';
+import { createTestKeepers } from './_lib/createTestKeepers';
+import type { TestKeepers } from './_lib/createTestKeepers';
 
 const NAMES = ['e-1', 'e-2', 'e-3', 'e-4'];
 const V1: LoadedModel = { model: 'review', version: '1', adapter: '' };
@@ -12,9 +12,9 @@
 
 const startRig = async (
   options: { readonly checksFencing?: boolean; readonly maxLoads?: number } = {},
-): Promise<KeeperRig> => {
+): Promise<TestKeepers> => {
   const { checksFencing = true, maxLoads = 4 } = options;
-  const rig = createKeeperRig({ engineNames: NAMES, models: [V1], checksFencing, maxLoads });
+  const rig = createTestKeepers({ engineNames: NAMES, models: [V1], checksFencing, maxLoads });
   rig.applyTargets(buildTargets(NAMES, [V1]));
   rig.keepers[0].start();
   await rig.advance(1_000);
@@ -23,7 +23,7 @@
   return rig;
 };
 
-const listHeld = ({ engines }: KeeperRig) =>
+const listHeld = ({ engines }: TestKeepers) =>
   engines.map((engine) =>
     engine
       .listModels()
@@ -36,7 +36,7 @@
   // Events: the target of all engines changes at once. Cause: an order that drops the old version
   // before the new one serves, or more loads than the weight store allows.
   const rig = await startRig({ maxLoads: 2 });
-  t.is(rig.engines.flatMap(({ taken }) => taken).length, 0);
+  t.is(rig.engines.flatMap(({ acceptedOrders }) => acceptedOrders).length, 0);
   rig.applyTargets(buildTargets(NAMES, [V2]));
   let mostLoading = 0;
   await rig.advance(30_000, () => {
@@ -46,7 +46,7 @@
   });
   t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
   t.is(mostLoading, 2);
-  const repeats = rig.engines.map(({ taken }) => taken.length);
+  const repeats = rig.engines.map(({ acceptedOrders }) => acceptedOrders.length);
   t.deepEqual(repeats, [2, 2, 2, 2]);
 });
 
@@ -69,7 +69,7 @@
 
 test('an engine without room for two versions gets the new one in its place', async (t) => {
   const rig = await startRig();
-  rig.engines[0]!.faults.room = 1;
+  rig.engines[0]!.faults.maxModels = 1;
   rig.applyTargets(buildTargets(NAMES, [V2]));
   await rig.advance(330_000);
   t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
@@ -77,15 +77,15 @@
 
 test('a lost answer to an order changes nothing; a refused one is sent after the wait', async (t) => {
   const rig = await startRig();
-  rig.engines[0]!.faults.loseNextAnswer = true;
+  rig.engines[0]!.faults.loseNextResponse = true;
   rig.engines[1]!.faults.retryAfterMs = 9_000;
   rig.applyTargets(buildTargets(NAMES, [V2]));
   await rig.advance(8_000);
-  t.is(rig.engines[1]!.taken.length, 0);
+  t.is(rig.engines[1]!.acceptedOrders.length, 0);
   rig.engines[1]!.faults.retryAfterMs = 0;
   await rig.advance(40_000);
   t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
-  t.is(rig.engines[0]!.taken.length, 2);
+  t.is(rig.engines[0]!.acceptedOrders.length, 2);
 });
 
 for (const checksFencing of [true, false]) {
@@ -97,13 +97,13 @@
     // ignore fencing tokens.
     const rig = await startRig({ checksFencing });
     const [first, second] = rig.keepers;
-    const release = rig.holdNextAnswer();
+    const release = rig.delayNextResponse();
     rig.applyTargets(buildTargets(NAMES, [V2]));
     await rig.advance(500);
     first.clock.pause();
     await rig.advance(60_000);
     t.deepEqual(listHeld(rig), ['2', '2', '2', '2']);
-    const countTaken = () => rig.engines.map(({ taken }) => taken.length);
+    const countTaken = () => rig.engines.map(({ acceptedOrders }) => acceptedOrders.length);
     const taken = countTaken();
     second.clock.pause();
     rig.table.setOutage('unavailable');
@@ -116,7 +116,7 @@
     await rig.advance(60_000);
     t.deepEqual(listHeld(rig), ['1', '1', '1', '1']);
     rig.engines.forEach((engine) => {
-      const tokens = engine.taken.map(({ fencingToken }) => fencingToken);
+      const tokens = engine.acceptedOrders.map(({ fencingToken }) => fencingToken);
       t.deepEqual(
         tokens,
         [...tokens].sort((left, right) => left - right),
@@ -141,7 +141,7 @@
   const rig = await startRig();
   rig.applyTargets(buildTargets(NAMES, [V2]));
   await rig.advance(20_000);
-  rig.engines[2]!.takeOrder({
+  rig.engines[2]!.handleOrder({
     backendServer: 'e-3',
     fencingToken: 99,
     models: [V1],
--- a/tests/lease/_lib/createLeasePair/index.ts
+++ b/tests/lease/_lib/createLeasePair/index.ts
@@ -17,7 +17,7 @@
 export interface TestHolder extends PausableClock {
   readonly holder: LeaseHolder;
   /** The token under which it would send an order now; null also while it is paused. */
-  readToken(): number | null;
+  readOrderToken(): number | null;
 }
 
 /** Two processes over one table, and a watch over the orders that they may send. */
@@ -28,7 +28,7 @@
   /** Lets time pass in small steps; after each, notes who may order. */
   advance(durationMs: number): Promise<void>;
   /** Overlaps of two holders' orders, and orders with a token that went down. */
-  listFaults(): readonly string[];
+  listViolations(): readonly string[];
 }
 
 interface Order {
@@ -51,7 +51,7 @@
   return {
     ...clock,
     holder,
-    readToken: () => (clock.isPaused() ? null : holder.readOrderToken()),
+    readOrderToken: () => (clock.isPaused() ? null : holder.readOrderToken()),
   };
 }
 
@@ -78,7 +78,7 @@
   };
   const recordOrders = (): void =>
     holders.forEach((holder, index) => {
-      const token = holder.readToken();
+      const token = holder.readOrderToken();
       if (token !== null) recordOrder(`holder ${index}`, token);
     });
 
@@ -95,6 +95,6 @@
         recordOrders();
       }
     },
-    listFaults: () => faults,
+    listViolations: () => faults,
   };
 }
--- a/tests/lease/lease.test.ts
+++ b/tests/lease/lease.test.ts
@@ -5,7 +5,8 @@
 
 const TIMES = { durationMs: 10_000, orderMarginMs: 2_500, takeoverMarginMs: 2_500 };
 
-const readTokens = ({ holders }: LeasePair) => holders.map(({ readToken }) => readToken() !== null);
+const readTokens = ({ holders }: LeasePair) =>
+  holders.map(({ readOrderToken }) => readOrderToken() !== null);
 
 const startPair = async (): Promise<LeasePair> => {
   const pair = createLeasePair();
@@ -21,7 +22,7 @@
   t.deepEqual(readTokens(pair), [true, false]);
   await pair.advance(60_000);
   t.deepEqual(readTokens(pair), [true, false]);
-  t.deepEqual(pair.listFaults(), []);
+  t.deepEqual(pair.listViolations(), []);
 });
 
 test('a holder that was paused past its lease sends no order when it is back', async (t) => {
@@ -37,7 +38,7 @@
   t.deepEqual(readTokens(pair), [false, true]);
   await pair.advance(20_000);
   t.deepEqual(readTokens(pair), [false, true]);
-  t.deepEqual(pair.listFaults(), []);
+  t.deepEqual(pair.listViolations(), []);
 });
 
 test('the wall clock does not matter', async (t) => {
@@ -68,7 +69,7 @@
   pair.table.setOutage('none');
   await pair.advance(30_000);
   t.is(readTokens(pair).filter(Boolean).length, 1);
-  t.deepEqual(pair.listFaults(), []);
+  t.deepEqual(pair.listViolations(), []);
 });
 
 test('a lease that is given up passes on at once; a seen higher token is overtaken', async (t) => {
@@ -110,7 +111,7 @@
       const pair = createLeasePair(times);
       pair.holders.forEach(({ holder }) => holder.start());
       for (const action of actions) await ACTIONS[action](pair);
-      return pair.listFaults().length === 0;
+      return pair.listViolations().length === 0;
     }),
     { seed: 5, numRuns: 200, endOnFailure: true },
   );
--- a/tests/model/_lib/listRowsViolations/index.ts
+++ b/tests/model/_lib/listRowsViolations/index.ts
@@ -1,4 +1,4 @@
-import { WORLD_TABLES, type RowsVm, type RowsWorld } from '../../../../standins/rows';
+import { FLEET_TABLES, type RowsVm, type RowsFleet } from '../../../../standins/rows';
 
 /** A change that the store acknowledged. */
 export interface AcknowledgedChange {
@@ -9,7 +9,7 @@
 
 /** State of the simulated fleet at the time of a check, and the changes acknowledged so far. */
 export interface RowsObservation {
-  readonly world: RowsWorld;
+  readonly world: RowsFleet;
   readonly changes: readonly AcknowledgedChange[];
   readonly changeMs: number;
   /** Whether neither the VM nor the store was disturbed within the settling time. */
@@ -19,7 +19,7 @@
 /**
  * Lists rows that are outdated, missing or deleted at the version that a VM reports as complete.
  */
-const listWrongRows = ({ store }: RowsWorld, vm: RowsVm, table: string): string[] => {
+const listWrongRows = ({ store }: RowsFleet, vm: RowsVm, table: string): string[] => {
   const version = vm.readVersion(table);
   const held = vm.readRows(table);
   const expected = store.listRowsAt(table, version);
@@ -49,7 +49,7 @@
   return world.vms
     .filter((vm) => vm.isAlive())
     .flatMap((vm) =>
-      WORLD_TABLES.flatMap((table) => {
+      FLEET_TABLES.flatMap((table) => {
         const due = changes
           .filter((change) => change.table === table && change.atMs <= nowMs - changeMs)
           .reduce((newest, { version }) => Math.max(newest, version), 0);
--- a/tests/model/_lib/runRowsSchedule/index.ts
+++ b/tests/model/_lib/runRowsSchedule/index.ts
@@ -1,5 +1,5 @@
 import { createSeededRandomness } from '../../../../standins/fakes';
-import { createRowsWorld, type RowsVm, type RowsWorld } from '../../../../standins/rows';
+import { createRowsFleet, type RowsVm, type RowsFleet } from '../../../../standins/rows';
 import type { EventLog } from '../../../../src/application/ports';
 import { listRowsViolations, type AcknowledgedChange } from '../listRowsViolations';
 
@@ -52,7 +52,7 @@
     Math.floor(least + randomness.readFraction() * (most - least));
   const pick = <T>(items: readonly T[]): T => items[draw(0, items.length)] as T;
   const bounds = pick(BOUNDS);
-  const world: RowsWorld = createRowsWorld({ seed, bounds, zones: ZONES, ...(log ? { log } : {}) });
+  const world: RowsFleet = createRowsFleet({ seed, bounds, zones: ZONES, ...(log ? { log } : {}) });
   const { clock, store } = world;
   const changes: AcknowledgedChange[] = [];
   /** Last disturbed time of each VM and the store; Infinity during a disturbance. */
@@ -92,7 +92,7 @@
     () => {
       const vm = pickVm();
       const how = pick(['stopped', 'suspended'] as const);
-      addSpan(`${vm.name} ${how}`, vm.name, () => vm.clock.stand(how), vm.clock.resume);
+      addSpan(`${vm.name} ${how}`, vm.name, () => vm.clock.pause(how), vm.clock.resume);
     },
     () => {
       const vm = pickVm();
@@ -100,8 +100,8 @@
       addSpan(
         `${vm.name} store ${path}`,
         vm.name,
-        () => vm.store.setPath(path),
-        () => vm.store.setPath('open'),
+        () => vm.store.setReachability(path),
+        () => vm.store.setReachability('open'),
       );
     },
     () => {
@@ -171,7 +171,7 @@
 
   /** Restores the store from a copy; the last value of each lost row is written again later. */
   const restoreStore = (): void => {
-    const lost = store.restoreCopy(draw(1, MAX_LOST));
+    const lost = store.restoreSnapshot(draw(1, MAX_LOST));
     // A store that is silent stays disturbed.
     disturbedMs.set(STORE, Math.max(disturbedMs.get(STORE) ?? 0, clock.readMonotonicMs()));
     const last = new Map(lost.map((row) => [`${row.table}/${row.key}`, row]));
--- a/tests/model/rollouts.test.ts
+++ b/tests/model/rollouts.test.ts
@@ -3,10 +3,10 @@
 import test from 'ava';
 import { RolloutState } from '../../src/domain/rollouts';
 import {
-  runRolloutModel,
+  simulateRollout,
   VersionTrait,
-  type RolloutModel,
-  type RolloutModelResult,
+  type RolloutSimulation,
+  type RolloutSimulationResult,
 } from '../../standins/rollouts';
 
 const BASE = { vms: 9, requestsPerS: 120, durationMs: 12_000, failing: 0.05 } as const;
@@ -18,15 +18,15 @@
 
 const BAD_TRAITS = Object.values(VersionTrait).filter((trait) => trait !== VersionTrait.Good);
 
-const isBounded = ({ lateMs, requests, trials }: RolloutModelResult): boolean =>
+const isBounded = ({ lateMs, requests, trials }: RolloutSimulationResult): boolean =>
   trials <= MAX_SHARE * requests + MAX_EXTRA_TRIALS && lateMs <= MAX_REVERT_DELAY_MS;
 
 const runSeeds = async (
   seeds: readonly number[],
-  model: Omit<RolloutModel, 'seed'>,
-): Promise<readonly RolloutModelResult[]> => {
-  const results: RolloutModelResult[] = [];
-  for (const seed of seeds) results.push(await runRolloutModel({ ...model, seed }));
+  model: Omit<RolloutSimulation, 'seed'>,
+): Promise<readonly RolloutSimulationResult[]> => {
+  const results: RolloutSimulationResult[] = [];
+  for (const seed of seeds) results.push(await simulateRollout({ ...model, seed }));
   return results;
 };
 
--- a/tests/model/serverLimits.test.ts
+++ b/tests/model/serverLimits.test.ts
@@ -1,7 +1,7 @@
 // Simulates VMs that request permits while some of them restart, freeze, join or are partitioned.
 // Guards against a server that gets more requests than its announced rate limit, or far fewer.
 import test from 'ava';
-import { measureLimit, runLimitModel, type LimitModel } from '../../standins/limits';
+import { measureLimit, simulateLimits, type LimitSimulation } from '../../standins/limits';
 
 const LIMITS_PER_S = [3.7, 4.8, 10];
 const BASE = { requestsPerS: 16, limitsPerS: LIMITS_PER_S } as const;
@@ -35,18 +35,18 @@
 const RECOVERED_MS = 20_000;
 
 const runSeeds = async (
-  model: Omit<LimitModel, 'limitsPerS' | 'requestsPerS' | 'seed'>,
+  model: Omit<LimitSimulation, 'limitsPerS' | 'requestsPerS' | 'seed'>,
 ): Promise<{ readonly mostPart: number; readonly usedPart: number }> => {
   const parts: { readonly mostPart: number; readonly usedPart: number }[] = [];
   for (const seed of SEEDS) {
-    const result = await runLimitModel({ ...BASE, ...model, seed, durationMs: END_MS });
+    const result = await simulateLimits({ ...BASE, ...model, seed, durationMs: END_MS });
     LIMITS_PER_S.forEach((limitPerS, index) => {
       const arrivals = result.arrivals[index] ?? [];
       const options = { limitPerS, untilMs: END_MS, windowMs: WINDOW_MS };
-      const counted = arrivals.filter(({ atMs, vm }) => !result.isExcused(vm, atMs));
-      const { mostPart } = measureLimit(counted, { ...options, fromMs: SETTLED_MS });
-      const { usedPart } = measureLimit(arrivals, { ...options, fromMs: RECOVERED_MS });
-      parts.push({ mostPart, usedPart });
+      const counted = arrivals.filter(({ atMs, vm }) => !result.isAffected(vm, atMs));
+      const { maxFraction } = measureLimit(counted, { ...options, fromMs: SETTLED_MS });
+      const { usedFraction } = measureLimit(arrivals, { ...options, fromMs: RECOVERED_MS });
+      parts.push({ mostPart: maxFraction, usedPart: usedFraction });
     });
   }
   return {
@@ -65,11 +65,11 @@
   test(`requests that ${vms} VMs sent before they knew a limit count towards it`, async (t) => {
     for (const seed of SEEDS) {
       const model = { ...BASE, vms, seed, durationMs: SETTLED_MS + WINDOW_MS };
-      const { arrivals, toldAtMs } = await runLimitModel(model);
+      const { arrivals, limitLearnedAtMs } = await simulateLimits(model);
       LIMITS_PER_S.forEach((limitPerS, index) => {
         const all = arrivals[index] ?? [];
         const knowsLimit = (vm: string, endMs: number): boolean =>
-          (toldAtMs[index]?.get(vm) ?? Infinity) <= endMs - KNOWN_AFTER_MS;
+          (limitLearnedAtMs[index]?.get(vm) ?? Infinity) <= endMs - KNOWN_AFTER_MS;
         const counts = all
           .map(({ atMs }) => atMs)
           .filter((endMs) => endMs >= TOLERANCE_FROM_MS)
@@ -87,15 +87,15 @@
 
   test(`all of ${vms} VMs drop a limit that is no longer announced`, async (t) => {
     const limitUntilMs = ANNOUNCED_AT_MS + WINDOW_MS;
-    const { arrivals } = await runLimitModel({ ...BASE, vms, seed: 1, limitUntilMs });
+    const { arrivals } = await simulateLimits({ ...BASE, vms, seed: 1, limitUntilMs });
     LIMITS_PER_S.forEach((_, index) => {
-      const { usedPart } = measureLimit(arrivals[index] ?? [], {
+      const { usedFraction } = measureLimit(arrivals[index] ?? [], {
         limitPerS: BASE.requestsPerS,
         fromMs: limitUntilMs + WINDOW_MS,
         untilMs: limitUntilMs + 3 * WINDOW_MS,
         windowMs: WINDOW_MS,
       });
-      t.true(usedPart >= MIN_USED_SHARE, `${usedPart}`);
+      t.true(usedFraction >= MIN_USED_SHARE, `${usedFraction}`);
     });
   });
 });
@@ -103,7 +103,7 @@
 (['restart', 'freeze', 'cut', 'join'] as const).forEach((kind) =>
   FLEETS.slice(1).forEach((vms) =>
     test(`limits hold in a fleet of ${vms} VMs while a third has a fault (${kind})`, async (t) => {
-      const { mostPart, usedPart } = await runSeeds({ vms, troubles: [{ ...FAULT, kind }] });
+      const { mostPart, usedPart } = await runSeeds({ vms, faults: [{ ...FAULT, kind }] });
       t.true(mostPart <= MAX_USED_SHARE, `${mostPart}`);
       t.true(usedPart >= MIN_USED_SHARE, `${usedPart}`);
     }),
--- a/tests/model/storeCalls.test.ts
+++ b/tests/model/storeCalls.test.ts
@@ -2,7 +2,7 @@
 // of 50 s, most of them in the first second. The VMs start before the operator has written a row,
 // and a store without rows was read again immediately for as long as it was empty.
 import test from 'ava';
-import { createRowsWorld } from '../../standins/rows';
+import { createRowsFleet } from '../../standins/rows';
 
 const ZONES = ['z1', 'z2', 'z3', 'z4', 'z5', 'z6'];
 const VMS = 195;
@@ -23,7 +23,7 @@
 
 test('a day of 195 VMs in six zones makes no more store calls than the price allows', async (t) => {
   t.timeout(120_000);
-  const world = createRowsWorld({ seed: 1, bounds: BOUNDS, zones: listZones(VMS) });
+  const world = createRowsFleet({ seed: 1, bounds: BOUNDS, zones: listZones(VMS) });
   const { clock, store } = world;
   await clock.advanceAsync(EMPTY_MS);
   t.log(`${store.countCalls()} calls to the empty store`);
--- a/tests/peers/_lib/createTestRegion/index.ts
+++ b/tests/peers/_lib/createTestRegion/index.ts
@@ -19,7 +19,7 @@
   readonly health: HealthRegistry;
   readonly load: RouterLoadView;
   /** What this VM's follower of the configuration holds; a version offered is taken at once. */
-  readonly held: { version: number; tableReadAtMs: number | null };
+  readonly configuration: { version: number; tableReadAtMs: number | null };
 }
 
 /** VMs in one process that exchange news over a network which the test cuts. */
@@ -31,7 +31,7 @@
   /** Only VMs of the same group reach each other; null joins all. */
   cutNetwork(groups: readonly (readonly string[])[] | null): void;
   /** Tells each VM of all others, as the platform's list would. */
-  listAll(): void;
+  announceAllVms(): void;
   /** Bytes of news sent so far, both ways, without headers. */
   countBytes(): number;
   countMessages(): number;
@@ -76,7 +76,7 @@
     starts += 1;
     const health = createHealthRegistry({ vm: name });
     const load = createLoadView({ clock });
-    const held: TestVm['held'] = { version: 0, tableReadAtMs: null };
+    const held: TestVm['configuration'] = { version: 0, tableReadAtMs: null };
     const exchange = createPeerExchange({
       self: {
         vm: name,
@@ -100,7 +100,7 @@
       load,
       listServerNames: () => SERVER_NAMES,
     });
-    return { name, health, load, held, exchange };
+    return { name, health, load, configuration: held, exchange };
   };
 
   return {
@@ -116,7 +116,7 @@
     cutNetwork: (next) => {
       groups = next;
     },
-    listAll: () => {
+    announceAllVms: () => {
       const records = vms.map(({ exchange }) => {
         const [self] = exchange.listPeers();
         if (self === undefined) throw new Error('a VM always lists itself');
--- a/tests/peers/exchange.test.ts
+++ b/tests/peers/exchange.test.ts
@@ -8,7 +8,7 @@
   Array.from({ length: count }, (_, index) => `vm-${index + 1}`).forEach((name) =>
     started.startVm(name, { region, seeds: [] }),
   );
-  started.listAll();
+  started.announceAllVms();
   await started.clock.advanceAsync(6_000);
   return started;
 };
@@ -41,12 +41,12 @@
     });
     const [first, ...others] = vms;
     if (first === undefined) return;
-    first.held.version = 7;
-    first.held.tableReadAtMs = clock.readMonotonicMs();
+    first.configuration.version = 7;
+    first.configuration.tableReadAtMs = clock.readMonotonicMs();
     first.load.recordReport({ ...REPORT, receivedAtMs: clock.readMonotonicMs() });
     await clock.advanceAsync(3_000);
-    others.forEach(({ held, load, exchange }) => {
-      t.is(held.version, 7);
+    others.forEach(({ configuration, load, exchange }) => {
+      t.is(configuration.version, 7);
       t.like(load.findReport('engine-1'), { running: 3, slots: 8, fencingToken: 4 });
       const { newestReadAgeMs } = exchange.readFreshness();
       t.true(newestReadAgeMs !== null && newestReadAgeMs >= 3_000 && newestReadAgeMs < 5_500);
@@ -183,7 +183,7 @@
   const { vms, clock, cutNetwork, readLastNews, stop } = await startRegion(2);
   const [reader, writer] = vms;
   if (reader === undefined || writer === undefined) return;
-  writer.held.tableReadAtMs = clock.readMonotonicMs();
+  writer.configuration.tableReadAtMs = clock.readMonotonicMs();
   await clock.advanceAsync(2_000);
   const buffered = readLastNews('vm-1');
   cutNetwork([]);
@@ -199,7 +199,7 @@
   const region = createTestRegion(4);
   const names = ['a-1', 'a-2', 'a-3', 'b-1', 'b-2'];
   names.forEach((name) => region.startVm(name, { region: name.slice(0, 1), seeds: [] }));
-  region.listAll();
+  region.announceAllVms();
   await region.clock.advanceAsync(10_000);
   region.vms.forEach(({ exchange }) => {
     t.like(exchange.readFreshness(), { vmsHeard: 5, vmsRegistered: 5 });
--- a/tests/support/createScriptedEngines/index.ts
+++ b/tests/support/createScriptedEngines/index.ts
@@ -29,7 +29,7 @@
   /** Generates tokens on a stream and sends them to its readers. */
   emit(stream: ScriptedStream, count: number, finishReason?: string): void;
   /** Breaks the connections of a server; its streams live on. */
-  cut(server: string): void;
+  breakConnections(server: string): void;
   /** Breaks the connections; streams are lost and new connections refused. */
   kill(server: string): void;
   /** Answers nothing and sends nothing until it is thawed. */
@@ -175,7 +175,7 @@
         const batch = buildBatch(stream, from, stream.tokenIds.length);
         stream.readers.forEach((reader) => reader.push(ok(batch)));
       }),
-    cut: breakReaders,
+    breakConnections: breakReaders,
     kill: (server) => {
       dead.add(server);
       breakReaders(server);
--- a/tests/support/startFeedReader/index.ts
+++ b/tests/support/startFeedReader/index.ts
@@ -9,7 +9,7 @@
   /** Settles when so many tokens have come. */
   waitForTokens(count: number): Promise<void>;
   /** Goes away, as a caller whose connection breaks. */
-  leave(): void;
+  detach(): void;
   /** All tokens when the feed has ended; the code of the failure if it failed. */
   readonly done: Promise<readonly number[] | string>;
 }
@@ -38,7 +38,7 @@
         await arrived.wait();
       }
     },
-    leave: () => feed.detach(),
+    detach: () => feed.detach(),
     done: readAll(),
   };
 };
--- a/tools/bench/config/_lib/createOperator/index.ts
+++ b/tools/bench/config/_lib/createOperator/index.ts
@@ -13,7 +13,7 @@
 import type { Configuration } from '../../../../../src/domain/types';
 
 /** An accepted apply. */
-export interface Accepted {
+export interface AcceptedApply {
   readonly row: ConfigurationRow;
   /** When the operator was told, `performance.now()`. */
   readonly atMs: number;
@@ -23,14 +23,14 @@
 export interface Operator {
   readonly name: string;
   /** Puts a first configuration into force. */
-  applyFirst(configuration: Configuration): Promise<Accepted | string>;
+  applyFirst(configuration: Configuration): Promise<AcceptedApply | string>;
   /** Reads the newest version, changes it and applies it; gives an error's kind if refused. */
-  applyChange(): Promise<Accepted | string>;
+  applyChange(): Promise<AcceptedApply | string>;
   /** Repeats `applyChange` until it is accepted. */
-  applySurely(): Promise<Accepted>;
+  applyUntilAccepted(): Promise<AcceptedApply>;
   listHistory(limit: number): Promise<readonly ConfigurationRow[]>;
   /** Weights that were accepted, oldest first. */
-  listAccepted(): readonly Accepted[];
+  listAccepted(): readonly AcceptedApply[];
   countConflicts(): number;
   close(): Promise<void>;
 }
@@ -48,14 +48,14 @@
   const randomness = createSystemRandomness();
   const dispatcher = createPlatformDispatcher();
   const table = createDynamoTableStore({ ...settings, deadlineMs: 1_000 }, { clock, dispatcher });
-  const accepted: Accepted[] = [];
+  const accepted: AcceptedApply[] = [];
   let weight = 1;
   let conflicts = 0;
 
   const apply = async (
     configuration: Configuration,
     expectedVersion: number,
-  ): Promise<Accepted | string> => {
+  ): Promise<AcceptedApply | string> => {
     const applied = await applyConfiguration(
       { table, clock, randomness },
       { configuration, expectedVersion, appliedBy: name, comment: '' },
@@ -69,7 +69,7 @@
     return done;
   };
 
-  const applyChange = async (): Promise<Accepted | string> => {
+  const applyChange = async (): Promise<AcceptedApply | string> => {
     const newest = await readNewestRow(table);
     if (newest.isErr()) {
       return newest.error.kind;
@@ -86,7 +86,7 @@
     name,
     applyFirst: (configuration) => apply(configuration, 0),
     applyChange,
-    applySurely: async () => {
+    applyUntilAccepted: async () => {
       for (;;) {
         const outcome = await applyChange();
         if (typeof outcome !== 'string') {
--- a/tools/bench/config/_lib/runChanges/index.ts
+++ b/tools/bench/config/_lib/runChanges/index.ts
@@ -1,5 +1,5 @@
 import type { StandInPlatform } from '../../../../../standins/platform';
-import type { Accepted, Operator } from '../createOperator';
+import type { AcceptedApply, Operator } from '../createOperator';
 import type { VersionTracker } from '../createVersionTracker';
 import type { Fleet } from '../startFleet';
 
@@ -17,7 +17,7 @@
   readonly entries: number;
 }
 
-async function measureSpread(tracker: VersionTracker, accepted: Accepted): Promise<number> {
+async function measureSpread(tracker: VersionTracker, accepted: AcceptedApply): Promise<number> {
   const doneAtMs = await tracker.waitForAll(accepted.row.version);
   return Math.max(0, doneAtMs - accepted.atMs);
 }
@@ -42,7 +42,7 @@
         ? deps.fleet.restartEntry((round / RESTART_EVERY) % deps.entries)
         : Promise.resolve();
     const spread = deps.operators.map(async (operator) =>
-      measureSpread(deps.tracker, await operator.applySurely()),
+      measureSpread(deps.tracker, await operator.applyUntilAccepted()),
     );
     samples.push(...(await Promise.all(spread)));
     await restarted;
--- a/tools/bench/load/_lib/planArrivals/index.ts
+++ b/tools/bench/load/_lib/planArrivals/index.ts
@@ -4,7 +4,9 @@
 import { LOOKUP_TOKENS, MEAN_LONG_TOKENS } from '../findDeploymentShape';
 
 /** Ten workspaces, a few of them large: their parts of the offered work. */
-export const WORKSPACE_PARTS = [0.28, 0.2, 0.14, 0.08, 0.06, 0.06, 0.06, 0.05, 0.04, 0.03] as const;
+export const WORKSPACE_SHARES = [
+  0.28, 0.2, 0.14, 0.08, 0.06, 0.06, 0.06, 0.05, 0.04, 0.03,
+] as const;
 
 /** Part of the lookup servers' slots that lookups keep busy on average, at every load. */
 const LOOKUP_LOAD = 0.6;
@@ -20,7 +22,7 @@
 
 /** Lists the names of the bench's workspaces. */
 export function listWorkspaces(): readonly string[] {
-  return WORKSPACE_PARTS.map((_, index) => `workspace-${index + 1}`);
+  return WORKSPACE_SHARES.map((_, index) => `workspace-${index + 1}`);
 }
 
 /** Computes how many long requests a second the slots open to long work can serve. */
@@ -37,7 +39,7 @@
 
 function chooseWorkspace(randomness: Randomness): number {
   let rest = randomness.readFraction();
-  const index = WORKSPACE_PARTS.findIndex((part) => {
+  const index = WORKSPACE_SHARES.findIndex((part) => {
     rest -= part;
     return rest < 0;
   });
@@ -49,7 +51,7 @@
 }
 
 /** Over all requests the lengths have the mean that the capacity is computed with. */
-const MEAN_LENGTH_FACTOR = WORKSPACE_PARTS.reduce<number>(
+const MEAN_LENGTH_FACTOR = WORKSPACE_SHARES.reduce<number>(
   (sum, part, workspace) => sum + part * computeLengthFactor(workspace),
   0,
 );
--- a/tools/bench/load/_lib/runBenchRequest/index.ts
+++ b/tools/bench/load/_lib/runBenchRequest/index.ts
@@ -5,8 +5,8 @@
 import type { Arrival, RequestRecord } from '../../types';
 import { TIMEOUTS_MS } from '../buildBenchConfiguration';
 import type { BenchEntry } from '../createBenchEntry';
-import { openLeg } from '../openLeg';
-import type { OpenLeg } from '../openLeg';
+import { startBenchAttempt } from '../startBenchAttempt';
+import type { StartedAttempt } from '../startBenchAttempt';
 
 /** Most attempts of one request. */
 const MAX_ATTEMPTS = 4;
@@ -86,7 +86,12 @@
     attempts += 1;
     if (slot.server.availabilityZone !== entry.zone) crossZoneAttempts += 1;
     const streamId = `${arrival.id}.${attempts}`;
-    return openLeg(entry.engines, { request, streamId, prefixTokenIds: tokenIds }, slot, legSignal);
+    return startBenchAttempt(
+      entry.engines,
+      { request, streamId, prefixTokenIds: tokenIds },
+      slot,
+      legSignal,
+    );
   };
   /** Notes a failed attempt; a server that does not answer a probe is dead to all. */
   const recordFailure = async ({ server }: Slot, error: EngineError): Promise<void> => {
@@ -97,7 +102,7 @@
     }
   };
   /** Reads the rest of a stream; gives the error that ended it early, if any. */
-  const readRest = async (leg: OpenLeg): Promise<EngineError | null> => {
+  const readRest = async (leg: StartedAttempt): Promise<EngineError | null> => {
     tokenIds.push(...leg.first.tokenIds);
     let { finishReason } = leg.first;
     while (finishReason === null) {
--- a/tools/bench/load/_lib/openLeg/index.ts
+++ b/tools/bench/load/_lib/startBenchAttempt/index.ts
@@ -4,25 +4,25 @@
 import type { GenerationRequest, TokenBatch } from '../../../../../src/domain/types';
 
 /** An attempt whose first batch is there. */
-export interface OpenLeg {
+export interface StartedAttempt {
   readonly first: TokenBatch;
   readonly rest: AsyncIterator<Result<TokenBatch, EngineError>>;
 }
 
 /** What an attempt sends. */
-export interface LegStart {
+export interface AttemptStart {
   readonly request: GenerationRequest;
   readonly streamId: string;
   readonly prefixTokenIds: readonly number[];
 }
 
 /** Starts an attempt and waits for its first batch; aborted, it is cancelled at the engine. */
-export async function openLeg(
+export async function startBenchAttempt(
   engines: EngineClient,
-  { request, streamId, prefixTokenIds }: LegStart,
+  { request, streamId, prefixTokenIds }: AttemptStart,
   { server, priority }: Slot,
   signal: AbortSignal,
-): Promise<Result<OpenLeg, EngineError>> {
+): Promise<Result<StartedAttempt, EngineError>> {
   if (signal.aborted) return err({ kind: 'cancelled' });
   const model = request.service;
   const start = { request, model, adapter: '', streamId, prefixTokenIds, priority };
--- a/tools/bench/load/prediction/_lib/createPredictors/index.ts
+++ b/tools/bench/load/prediction/_lib/createPredictors/index.ts
@@ -1,6 +1,6 @@
 import { PREDICTION_QUANTILE, predictOutputTokens } from '../../../../../../src/domain/prediction';
 import type { Predictor } from '../../types';
-import { predictBuckets } from '../predictBuckets';
+import { predictFromBuckets } from '../predictFromBuckets';
 
 /** Lengths needed before anything is predicted; before, the request's own limit is reserved. */
 const LEAST_LENGTHS = 8;
@@ -41,9 +41,9 @@
       predict: (lengths, maxTokens, draw) =>
         lengths.length < LEAST_LENGTHS
           ? maxTokens
-          : cap(predictBuckets(lengths, 0, draw), maxTokens),
+          : cap(predictFromBuckets(lengths, 0, draw), maxTokens),
       extend: (lengths, maxTokens, reserved, draw) =>
-        cap(predictBuckets(lengths, reserved, draw), maxTokens),
+        cap(predictFromBuckets(lengths, reserved, draw), maxTokens),
     },
   ];
 }
--- a/tools/bench/load/prediction/_lib/predictBuckets/index.ts
+++ b/tools/bench/load/prediction/_lib/predictFromBuckets/index.ts
@@ -88,7 +88,11 @@
  * Predicts a length by a bucket drawn by its probability among those above `reserved`; beyond the
  * largest one, twice what was reserved.
  */
-export function predictBuckets(lengths: readonly number[], reserved: number, draw: number): number {
+export function predictFromBuckets(
+  lengths: readonly number[],
+  reserved: number,
+  draw: number,
+): number {
   const buckets = computeBuckets(lengths).filter(({ representative }) => representative > reserved);
   const total = buckets.reduce((sum, { probability }) => sum + probability, 0);
   let rest = draw * total;
--- a/tools/bench/membership/measureRegion/index.ts
+++ b/tools/bench/membership/measureRegion/index.ts
@@ -50,7 +50,7 @@
   const randomness = createSeededRandomness(size.vms);
   const names = Array.from({ length: size.vms }, (_, index) => `entry-${index}`);
   names.forEach((name) => region.startVm(name, { region: 'gt', seeds: [] }));
-  region.listAll();
+  region.announceAllVms();
   const reportLoads = (step: number): void => {
     for (let index = 0; index < size.servers; index += 1) {
       const running = Math.floor(randomness.readFraction() * (SLOTS + 1));
--- a/tools/bench/resume/_lib/buildScenarioReport/index.ts
+++ b/tools/bench/resume/_lib/buildScenarioReport/index.ts
@@ -50,7 +50,7 @@
     ...labels,
     generations: broken.length,
     started: ended.length,
-    lost: ended.filter(({ result }) => !result.whole).length,
+    lost: ended.filter(({ result }) => !result.isComplete).length,
     missing: sum(chains.map(({ missing }) => missing)),
     repeated: sum(chains.map(({ repeated }) => repeated)),
     mixed: sum(chains.map(({ mixed }) => mixed)),
--- a/tools/bench/resume/_lib/startScratchCaller/index.ts
+++ b/tools/bench/resume/_lib/startBaselineCaller/index.ts
@@ -61,7 +61,7 @@
  *
  * @param name - start of its stream ids
  */
-export function startScratchCaller(request: CallerRequest, name: string): BenchCaller {
+export function startBaselineCaller(request: CallerRequest, name: string): BenchCaller {
   const body = { ...request.body, model: request.model };
   const resumeMs: number[] = [];
   let url = '';
@@ -102,7 +102,7 @@
       expectedTokens: request.tokens,
     });
     return {
-      whole: isDone,
+      isComplete: isDone,
       reason: isDone ? '' : 'attempts used up',
       chain,
       breaks,
--- a/tools/bench/resume/_lib/startCaller/index.ts
+++ b/tools/bench/resume/_lib/startCaller/index.ts
@@ -34,7 +34,7 @@
     const chain = meter.buildReport(request.tokens);
     const whole = reason === '' && chain.tokens === request.tokens;
     return {
-      whole,
+      isComplete: whole,
       reason,
       chain,
       breaks: meter.countBreaks(),
--- a/tools/bench/resume/runResumeBench/index.ts
+++ b/tools/bench/resume/runResumeBench/index.ts
@@ -7,7 +7,7 @@
 import { runRounds, type EndedCaller, type RoundsOptions } from '../_lib/runRounds';
 import { startBenchSystem, type BenchSystem } from '../_lib/startBenchSystem';
 import { startCaller } from '../_lib/startCaller';
-import { startScratchCaller } from '../_lib/startScratchCaller';
+import { startBaselineCaller } from '../_lib/startBaselineCaller';
 import { waitUntilIdle } from '../_lib/waitUntilIdle';
 import { BreakKind, type BenchCaller, type ResumeReport } from '../types';
 
@@ -85,7 +85,7 @@
     const requests = buildCallerRequests(CALLERS_PER_ROUND, urls, randomness);
     return requests.map((request) => {
       started += 1;
-      return startScratchCaller(request, `scratch-${started}`);
+      return startBaselineCaller(request, `scratch-${started}`);
     });
   };
 }
--- a/tools/bench/resume/types/BenchCaller.ts
+++ b/tools/bench/resume/types/BenchCaller.ts
@@ -3,7 +3,7 @@
 /** How a caller's generation ended. */
 export interface CallerResult {
   /** False: it ended with an error, or without its last token. */
-  readonly whole: boolean;
+  readonly isComplete: boolean;
   /** Why it is not whole, or empty. */
   readonly reason: string;
   readonly breaks: number;
--- a/tools/bench/slopes/_lib/startSlopeSystem/index.ts
+++ b/tools/bench/slopes/_lib/startSlopeSystem/index.ts
@@ -4,14 +4,14 @@
 import { stringify } from 'smol-toml';
 import { createStandInEngine } from '../../../../../standins/engine';
 import { createStandInPlatform, type StandInPlatform } from '../../../../../standins/platform';
-import { readListening } from '../../../../scenario/_lib/readListening';
+import { waitUntilListening } from '../../../../scenario/_lib/waitUntilListening';
 import {
   renderEntrySettings,
   renderKeeperSettings,
   renderOperatorSettings,
 } from '../../../../scenario/_lib/renderSettings';
 import { runCommand } from '../../../../scenario/_lib/runCommand';
-import { createEventBoard } from '../../../../scenario/createEventBoard';
+import { createEventNotifier } from '../../../../scenario/createEventNotifier';
 import { startChild } from '../../../../scenario/startChild';
 import type { Child } from '../../../../scenario/types';
 import type { SlopeLoad } from '../../types';
@@ -57,7 +57,7 @@
 
 /** Starts platform, back ends, configuration and entries for one point. */
 export async function startSlopeSystem(load: SlopeLoad): Promise<SlopeSystem> {
-  const board = createEventBoard();
+  const board = createEventNotifier();
   const children: Child[] = [];
   const [folder, platform, fleet, engine] = await Promise.all([
     mkdtemp(join(tmpdir(), 'jackdaw-slopes-')),
@@ -69,7 +69,7 @@
   const urls = { table: table.url, objects: objects.url, vmList: vmList.url };
   const stop = async (): Promise<void> => {
     children.forEach((child) => child.process.kill('SIGKILL'));
-    await Promise.all(children.map((child) => board.waitFor(() => child.exit())));
+    await Promise.all(children.map((child) => board.waitFor(() => child.readExitStatus())));
     await Promise.all([engine.stop(), fleet.stop(), platform.close()]);
     await rm(folder, { recursive: true, force: true });
   };
@@ -82,13 +82,13 @@
       name,
       availabilityZone,
       args: [`dist/jackdaw-${kind}.js`, '--settings', path],
-      board,
+      notifier: board,
       restart: async () => {},
       onStart: (started) => {
         children.push(started);
       },
     });
-    const { url } = await readListening(child, board);
+    const { url } = await waitUntilListening(child, board);
     await waitUntilReady(url);
     return url;
   };
--- a/tools/known-red/compareFailures/index.ts
+++ b/tools/known-red/compareFailures/index.ts
@@ -1,7 +1,7 @@
-import type { KnownRed } from '../readKnownRed';
+import type { KnownFailure } from '../readKnownFailures';
 
 /** What the failures of a run mean. */
-export interface FailureVerdict {
+export interface FailureComparison {
   /** Lines of the list whose test failed. */
   readonly known: readonly string[];
   /** Failures that the list does not name. */
@@ -13,8 +13,8 @@
 /** Compares the failures of a run with those that are known; only a whole name matches. */
 export function compareFailures(
   failures: readonly string[],
-  knownRed: readonly KnownRed[],
-): FailureVerdict {
+  knownRed: readonly KnownFailure[],
+): FailureComparison {
   const isKnown = (failure: string): boolean => knownRed.some(({ name }) => name === failure);
   const listLines = (hasFailed: boolean): string[] =>
     knownRed.filter(({ name }) => failures.includes(name) === hasFailed).map(({ line }) => line);
--- a/tools/known-red/index.ts
+++ b/tools/known-red/index.ts
@@ -1,3 +1,3 @@
-export { compareFailures, type FailureVerdict } from './compareFailures';
+export { compareFailures, type FailureComparison } from './compareFailures';
 export { listTapFailures } from './listTapFailures';
-export { readKnownRed, type KnownRed } from './readKnownRed';
+export { readKnownFailures, type KnownFailure } from './readKnownFailures';
--- a/tools/known-red/readKnownRed/index.ts
+++ b/tools/known-red/readKnownFailures/index.ts
@@ -22,7 +22,7 @@
 export type Suite = z.output<typeof KnownRedSchema>['suite'];
 
 /** A test that fails for a real fault which is not mended yet. */
-export interface KnownRed {
+export interface KnownFailure {
   readonly name: string;
   readonly suite: Suite;
   readonly line: string;
@@ -46,7 +46,7 @@
  *
  * @throws Error when the file is malformed: a list that is misread could hide any failure.
  */
-export async function readKnownRed(file: string): Promise<readonly KnownRed[]> {
+export async function readKnownFailures(file: string): Promise<readonly KnownFailure[]> {
   const read = FileSchema.safeParse(parse(await readText(file)));
   if (!read.success) {
     const [problem] = read.error.issues;
--- a/tools/known-red/readKnownRed/test.ts
+++ b/tools/known-red/readKnownFailures/test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import test from 'ava';
-import { readKnownRed } from '.';
+import { readKnownFailures } from '.';
 
 const ENTRY = `[[entry]]
 suite = "unit"
@@ -16,7 +16,7 @@
 const read = async (text: string) => {
   const file = join(await mkdtemp(join(tmpdir(), 'known-red-')), 'list.txt');
   await writeFile(file, text);
-  return readKnownRed(file);
+  return readKnownFailures(file);
 };
 
 test('an entry tells the test, how to run it, what was seen and the issue', async (t) => {
@@ -30,7 +30,7 @@
 });
 
 test('a file that is not there lists nothing', async (t) => {
-  t.deepEqual(await readKnownRed('/nowhere/KNOWN-RED.txt'), []);
+  t.deepEqual(await readKnownFailures('/nowhere/KNOWN-RED.txt'), []);
 });
 
 test('a list with a field missing, unknown or too many entries is refused by name', async (t) => {
--- a/tools/platform-demo/main.ts
+++ b/tools/platform-demo/main.ts
@@ -39,7 +39,7 @@
   onEvent: (id: number) => void,
 ) => {
   let id = Number(request.headers[HEADERS.lastEventId] ?? 0);
-  server.begin(request);
+  server.startStream(request);
   const timer = setInterval(() => {
     id += 1;
     if (request.response.destroyed || id > EVENTS) {
@@ -47,7 +47,7 @@
       request.response.end();
       return;
     }
-    server.emit(request, id, id);
+    server.sendEvents(request, id, id);
     onEvent(id);
   }, EVENT_MS);
 };
--- a/tools/rollout-model/main.ts
+++ b/tools/rollout-model/main.ts
@@ -1,6 +1,6 @@
 // Plays many roll-outs over the gateways' own decisions in virtual time: `npx tsx tools/rollout-model/main.ts [count] [vms]`.
 import { createSeededRandomness } from '../../standins/fakes';
-import { runRolloutModel, VersionTrait, type RolloutModel } from '../../standins/rollouts';
+import { simulateRollout, VersionTrait, type RolloutSimulation } from '../../standins/rollouts';
 
 const [count = 200, vms = 9] = process.argv.slice(2).map(Number);
 
@@ -9,7 +9,7 @@
 const MAX_EXTRA = 25;
 const MAX_LATE_MS = 2000;
 
-const drawModel = (seed: number): RolloutModel => {
+const drawModel = (seed: number): RolloutSimulation => {
   // Generators with seeds side by side begin alike.
   const { readFraction: draw } = createSeededRandomness(seed * 7919);
   for (let skipped = 0; skipped < 20; skipped += 1) draw();
@@ -31,7 +31,7 @@
 const counts = new Map<string, number>();
 for (let seed = 1; seed <= count; seed += 1) {
   const model = drawModel(seed);
-  const result = await runRolloutModel(model);
+  const result = await simulateRollout(model);
   const { lateMs, requests, state, trials } = result;
   const name = `${model.trait === VersionTrait.Good ? 'good' : 'bad'} ${state ?? 'no status'}`;
   counts.set(name, (counts.get(name) ?? 0) + 1);
--- a/tools/scenario/_lib/followEvents/index.ts
+++ b/tools/scenario/_lib/followEvents/index.ts
@@ -1,6 +1,6 @@
 import { decodeServerSentEvents } from '../../../../client/_lib/decodeServerSentEvents';
 import type { CallerConnection, CallerEnd } from '../../types';
-import { CUT } from '../readAnswer';
+import { NO_ANSWER } from '../readAnswer';
 
 interface WireEvent {
   readonly id?: string;
@@ -25,7 +25,7 @@
   connection: CallerConnection,
 ): Promise<CallerEnd> {
   const said = {
-    ...CUT,
+    ...NO_ANSWER,
     status: HTTP_OK,
     runState: response.headers.get('jackdaw-run-state') ?? '',
   };
--- a/tools/scenario/_lib/readAnswer/index.ts
+++ b/tools/scenario/_lib/readAnswer/index.ts
@@ -13,7 +13,7 @@
 };
 
 /** The end of a request that nothing answered. */
-export const CUT: CallerEnd = {
+export const NO_ANSWER: CallerEnd = {
   kind: 'cut',
   status: 0,
   code: '',
--- a/tools/scenario/_lib/waitForCondition/index.ts
+++ b/tools/scenario/_lib/waitForCondition/index.ts
@@ -18,7 +18,7 @@
 
 /** Asks until the answer is yes; the scenario's own limit ends it. */
 const probeUntil = async (context: RunContext, probe: () => Promise<boolean>): Promise<void> => {
-  while (!context.stopped() && !(await probe())) {
+  while (!context.isStopped() && !(await probe())) {
     await new Promise((resolve) => {
       setTimeout(resolve, PROBE_INTERVAL_MS);
     });
@@ -36,25 +36,25 @@
 };
 
 const HANDLERS: Handlers = {
-  token: async ({ name, count }, { board, callers }) => {
-    const state = await board.waitFor(() => {
+  token: async ({ name, count }, { notifier, callers }) => {
+    const state = await notifier.waitFor(() => {
       const now = callers.get(name)?.readState();
       return now && (now.tokenIds.length >= count || now.end !== null) ? now : null;
     });
     if (state.tokenIds.length >= count) return;
     throw new Error(`${name}: ${renderState(state)} before token ${count}`);
   },
-  end: ({ name }, { board, callers }) =>
-    board.waitFor(() => callers.get(name)?.readState().end ?? null),
+  end: ({ name }, { notifier, callers }) =>
+    notifier.waitFor(() => callers.get(name)?.readState().end ?? null),
   route: ({ name }, context) =>
-    context.board.waitFor(
+    context.notifier.waitFor(
       () =>
         context
           .listDecisions()
           .some((decision) => decision.requestId === name && decision.choice !== '') || null,
     ),
-  exit: ({ name }, { board, deployment }) =>
-    board.waitFor(() => deployment.children.get(name)?.exit() ?? null),
+  exit: ({ name }, { notifier, deployment }) =>
+    notifier.waitFor(() => deployment.children.get(name)?.readExitStatus() ?? null),
   ready: ({ name }, context) => probeUntil(context, () => probeReadiness(context, name)),
   unready: ({ name }, context) =>
     probeUntil(context, async () => !(await probeReadiness(context, name))),
@@ -67,12 +67,12 @@
     }),
   calls: ({ name, count }, { deployment }) =>
     deployment.readControl(name, `wait-for-calls?count=${count}`),
-  lines: ({ text, count }, { board, deployment }) =>
-    board.waitFor(() => {
+  lines: ({ text, count }, { notifier, deployment }) =>
+    notifier.waitFor(() => {
       const lines = deployment.started.flatMap((child) => child.lines);
       return lines.filter((line) => line.includes(text)).length >= count || null;
     }),
-  log: ({ name, text }, context) => context.board.waitFor(() => findLine(context, name, text)),
+  log: ({ name, text }, context) => context.notifier.waitFor(() => findLine(context, name, text)),
 };
 
 /** Waits for the event that a step names; an empty text is no wait. */
--- a/tools/scenario/_lib/readListening/index.ts
+++ b/tools/scenario/_lib/waitUntilListening/index.ts
@@ -1,7 +1,7 @@
-import type { Child, EventBoard } from '../../types';
+import type { Child, EventNotifier } from '../../types';
 
 /** Where a process listens. */
-export interface Listening {
+export interface ListenAddresses {
   /** Base URL for callers, for other backend servers or of the control interface. */
   readonly url: string;
   /** `ip:port` for peers; empty for stand-ins. */
@@ -23,7 +23,7 @@
 
 const HOST = 'http://127.0.0.1';
 
-const parseStartLine = (line: string): Listening | null => {
+const parseStartLine = (line: string): ListenAddresses | null => {
   let value: StartLine;
   try {
     value = JSON.parse(line) as StartLine;
@@ -46,11 +46,14 @@
  *
  * @throws Error when the process ends before that
  */
-export async function readListening(child: Child, board: EventBoard): Promise<Listening> {
-  const found = await board.waitFor<Listening | 'ended'>(() => {
+export async function waitUntilListening(
+  child: Child,
+  board: EventNotifier,
+): Promise<ListenAddresses> {
+  const found = await board.waitFor<ListenAddresses | 'ended'>(() => {
     const listening = child.lines.map(parseStartLine).find((value) => value !== null);
     if (listening) return listening;
-    return child.exit() === null ? null : 'ended';
+    return child.readExitStatus() === null ? null : 'ended';
   });
   if (found === 'ended') {
     throw new Error(`${child.name} ended while it started: ${child.lines.slice(-3).join(' ')}`);
--- a/tools/scenario/createCaller/index.ts
+++ b/tools/scenario/createCaller/index.ts
@@ -4,7 +4,7 @@
   CallerConnection,
   CallerRequest,
   CallerState,
-  EventBoard,
+  EventNotifier,
 } from '../types';
 
 /**
@@ -14,7 +14,7 @@
  */
 export function createCaller(
   request: CallerRequest,
-  board: EventBoard,
+  board: EventNotifier,
   received: readonly CallerBatch[] = [],
 ): Caller {
   let state: CallerState = {
--- a/tools/scenario/createDeployment/index.ts
+++ b/tools/scenario/createDeployment/index.ts
@@ -4,7 +4,7 @@
 import { stringify } from 'smol-toml';
 import { listProcesses, ProcessKind, type PlannedProcess } from '../_lib/listProcesses';
 import { mergeTables } from '../_lib/mergeTables';
-import { readListening, type Listening } from '../_lib/readListening';
+import { waitUntilListening, type ListenAddresses } from '../_lib/waitUntilListening';
 import { REGION, renderConfiguration, type StartedServer } from '../_lib/renderConfiguration';
 import {
   renderEntrySettings,
@@ -14,7 +14,7 @@
 } from '../_lib/renderSettings';
 import { runCommand } from '../_lib/runCommand';
 import { startChild } from '../startChild';
-import type { Child, Deployment, EventBoard, Scenario } from '../types';
+import type { Child, Deployment, EventNotifier, Scenario } from '../types';
 
 type Table = Readonly<Record<string, unknown>>;
 
@@ -46,16 +46,16 @@
 ];
 
 /** Creates a deployment of real processes; nothing runs before `start`. */
-export function createDeployment(scenario: Scenario, board: EventBoard): Deployment {
+export function createDeployment(scenario: Scenario, board: EventNotifier): Deployment {
   const children = new Map<string, Child>();
   const started: Child[] = [];
-  const listening = new Map<string, Listening>();
+  const listening = new Map<string, ListenAddresses>();
   let folder = '';
   let configuration: Table = {};
   let urls: PlatformUrls = { table: '', objects: '', vmList: '' };
   let vms: readonly Table[] = [];
 
-  const readPlace = (name: string): Listening => {
+  const readPlace = (name: string): ListenAddresses => {
     const place = listening.get(name);
     if (place === undefined) throw new Error(`no process named "${name}"`);
     return place;
@@ -75,10 +75,10 @@
   const startProcess = async (
     planned: Pick<PlannedProcess, 'name' | 'availabilityZone'>,
     startArgs: (port: number) => readonly string[],
-  ): Promise<Listening> => {
+  ): Promise<ListenAddresses> => {
     const child = startChild({
       ...planned,
-      board,
+      notifier: board,
       args: startArgs(listening.get(planned.name)?.ports.port ?? 0),
       restart: async () => {
         await startProcess(planned, startArgs);
@@ -88,7 +88,7 @@
         started.push(process);
       },
     });
-    const place = await readListening(child, board);
+    const place = await waitUntilListening(child, board);
     listening.set(planned.name, place);
     // A keeper has no peer address: listed, it would pass for a backend server.
     if (planned.name !== 'platform' && !planned.name.startsWith(ProcessKind.Keeper)) {
@@ -168,7 +168,7 @@
     writeConfiguration,
     stop: async () => {
       started.forEach((child) => child.process.kill('SIGKILL'));
-      await Promise.all(started.map((child) => board.waitFor(() => child.exit())));
+      await Promise.all(started.map((child) => board.waitFor(() => child.readExitStatus())));
       if (folder !== '') await rm(folder, { recursive: true, force: true });
     },
   };
--- a/tools/scenario/createEventBoard/index.ts
+++ b/tools/scenario/createEventNotifier/index.ts
@@ -1,7 +1,7 @@
-import type { EventBoard } from '../types';
+import type { EventNotifier } from '../types';
 
 /** Creates a board on which steps wait until an event makes what they read hold. */
-export function createEventBoard(): EventBoard {
+export function createEventNotifier(): EventNotifier {
   const waiting = new Set<() => void>();
   return {
     record: () => [...waiting].forEach((look) => look()),
--- a/tools/scenario/createExpectationHandlers/index.ts
+++ b/tools/scenario/createExpectationHandlers/index.ts
@@ -165,7 +165,7 @@
       );
     },
     exit: ({ of, is }, context) => {
-      const exit = context.deployment.children.get(of)?.exit() ?? 'running';
+      const exit = context.deployment.children.get(of)?.readExitStatus() ?? 'running';
       return checkThat(exit === is, `${of}: exit ${exit}, not ${is}`);
     },
     wins: ({ of, is }, context) => {
--- a/tools/scenario/createStepHandlers/index.ts
+++ b/tools/scenario/createStepHandlers/index.ts
@@ -1,6 +1,6 @@
 import { createCaller } from '../createCaller';
 import { findChildren } from '../_lib/findChildren';
-import { CUT, readAnswer } from '../_lib/readAnswer';
+import { NO_ANSWER, readAnswer } from '../_lib/readAnswer';
 import {
   resumeGeneration,
   SCENARIO_KEY,
@@ -53,7 +53,7 @@
 
 const addCaller = (context: RunContext, caller: Caller): void => {
   context.callers.set(caller.request.name, caller);
-  context.board.record();
+  context.notifier.record();
 };
 
 const findCaller = ({ callers }: RunContext, name: string): Caller => {
@@ -88,7 +88,7 @@
     signal: connection.abort.signal,
   })
     .then(readAnswer)
-    .catch(() => CUT);
+    .catch(() => NO_ANSWER);
   connection.recordEnd(end);
 };
 
@@ -105,7 +105,7 @@
     String(step.expect_version),
   ]);
   caller.readConnection().recordEnd({
-    ...CUT,
+    ...NO_ANSWER,
     kind: code === 0 ? 'finished' : 'failed',
     status: code,
     text: output,
@@ -116,7 +116,7 @@
 export function createStepHandlers(): StepHandlers {
   return {
     send: (step, context) => {
-      const caller = createCaller(buildGenerationRequest(step), context.board);
+      const caller = createCaller(buildGenerationRequest(step), context.notifier);
       addCaller(context, caller);
       const baseUrl = context.deployment.readUrl(step.entry);
       context.running.push(SENDERS[step.via](caller, baseUrl, context));
@@ -129,7 +129,7 @@
         return;
       }
       const request = { ...first.request, name: step.as };
-      const second = createCaller(request, context.board, first.readState().batches);
+      const second = createCaller(request, context.notifier, first.readState().batches);
       addCaller(context, second);
       context.running.push(resumeGeneration(second, baseUrl, step.gives));
     },
@@ -141,7 +141,7 @@
         // The same key stands for the same work, whoever sends it.
         body: { work: step.key || step.name },
       };
-      const caller = createCaller(request, context.board);
+      const caller = createCaller(request, context.notifier);
       addCaller(context, caller);
       context.running.push(sendCall(caller, context.deployment.readUrl(step.entry)));
     },
@@ -160,7 +160,7 @@
     },
     apply: (step, context) => {
       const request: CallerRequest = { name: step.name, path: '', headers: {}, body: {} };
-      const caller = createCaller(request, context.board);
+      const caller = createCaller(request, context.notifier);
       addCaller(context, caller);
       context.running.push(runApply(caller, step, context));
     },
--- a/tools/scenario/main.ts
+++ b/tools/scenario/main.ts
@@ -1,16 +1,16 @@
 // Runs the scenarios of tests/scenarios, or those whose names contain an argument.
 import { readdir } from 'node:fs/promises';
 import { join } from 'node:path';
-import { compareFailures, readKnownRed } from '../known-red';
+import { compareFailures, readKnownFailures } from '../known-red';
 import { readScenarioFile } from './readScenarioFile';
 import { runScenario } from './runScenario';
-import type { Verdict } from './types';
+import type { ScenarioResult } from './types';
 
 const FOLDER = 'tests/scenarios';
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 const PARALLEL = 4;
 
-const runFile = async (file: string): Promise<Verdict> => {
+const runFile = async (file: string): Promise<ScenarioResult> => {
   const read = await readScenarioFile(join(FOLDER, file));
   return read.isOk()
     ? runScenario(read.value)
@@ -26,7 +26,9 @@
   filter.startsWith('=') ? file === `${filter.slice(1)}.scenario.toml` : file.includes(filter);
 
 const filters = process.argv.slice(2);
-const knownRed = (await readKnownRed(KNOWN_RED_FILE)).filter(({ suite }) => suite === 'scenario');
+const knownRed = (await readKnownFailures(KNOWN_RED_FILE)).filter(
+  ({ suite }) => suite === 'scenario',
+);
 const files = (await readdir(FOLDER).catch(() => []))
   .filter((file) => file.endsWith('.scenario.toml'))
   .filter((file) => filters.length === 0 || filters.some((filter) => isWanted(file, filter)))
@@ -35,7 +37,7 @@
 let passed = 0;
 let failed = 0;
 const failures: string[] = [];
-const printVerdict = ({ name, faults, tookMs, logs }: Verdict): void => {
+const printVerdict = ({ name, faults, tookMs, logs }: ScenarioResult): void => {
   const took = `${Math.round(tookMs)} ms`;
   if (faults.length === 0) {
     passed += 1;
--- a/tools/scenario/runScenario/index.ts
+++ b/tools/scenario/runScenario/index.ts
@@ -1,10 +1,17 @@
-import { createEventBoard } from '../createEventBoard';
+import { createEventNotifier } from '../createEventNotifier';
 import { createExpectationHandlers } from '../createExpectationHandlers';
 import { createStepHandlers } from '../createStepHandlers';
 import { readDecisions } from '../readDecisions';
 import { createDeployment } from '../createDeployment';
 import { waitForCondition } from '../_lib/waitForCondition';
-import type { Deployment, Expectation, RunContext, ScenarioFile, Step, Verdict } from '../types';
+import type {
+  Deployment,
+  Expectation,
+  RunContext,
+  ScenarioFile,
+  Step,
+  ScenarioResult,
+} from '../types';
 
 const LOG_LINES_SHOWN = 40;
 
@@ -12,7 +19,7 @@
   const handlers = createStepHandlers();
   for (const step of context.scenario.step) {
     await waitForCondition(context, step.when);
-    if (context.stopped()) return;
+    if (context.isStopped()) return;
     const run = handlers[step.do] as (step: Step, context: RunContext) => Promise<void> | void;
     await run(step, context);
   }
@@ -35,7 +42,7 @@
 const renderLogs = (deployment: Deployment): string =>
   deployment.started
     .flatMap((child) => [
-      `--- ${child.name} (${child.exit() ?? 'running'})`,
+      `--- ${child.name} (${child.readExitStatus() ?? 'running'})`,
       ...child.lines.slice(-LOG_LINES_SHOWN),
     ])
     .join('\n');
@@ -50,9 +57,9 @@
 };
 
 /** Runs one scenario on real processes and ends them all. */
-export async function runScenario({ name, scenario }: ScenarioFile): Promise<Verdict> {
+export async function runScenario({ name, scenario }: ScenarioFile): Promise<ScenarioResult> {
   const startedMs = performance.now();
-  const board = createEventBoard();
+  const board = createEventNotifier();
   const limit = startLimit(scenario.timeout_ms);
   const deployment = createDeployment(scenario, board);
   let stopped = false;
@@ -62,10 +69,10 @@
     const context: RunContext = {
       scenario,
       deployment,
-      board,
+      notifier: board,
       callers: new Map(),
       running: [],
-      stopped: () => stopped,
+      isStopped: () => stopped,
       listDecisions: () => deployment.started.flatMap(readDecisions),
     };
     step = 'readiness';
--- a/tools/scenario/sendGeneration/index.ts
+++ b/tools/scenario/sendGeneration/index.ts
@@ -1,6 +1,6 @@
 import { GenerationLostError, streamGeneration } from '../../../client';
 import { followEvents } from '../_lib/followEvents';
-import { CUT, readAnswer } from '../_lib/readAnswer';
+import { NO_ANSWER, readAnswer } from '../_lib/readAnswer';
 import type { Caller, CallerConnection, Step } from '../types';
 
 /** Bearer key of the workspace that scenarios use. */
@@ -30,7 +30,7 @@
       isStream ? await followEvents(response, connection) : await readAnswer(response),
     );
   } catch {
-    connection.recordEnd(CUT);
+    connection.recordEnd(NO_ANSWER);
   }
 };
 
@@ -84,10 +84,15 @@
     for await (const batch of batches) {
       connection.recordBatch({ ...batch, finishReason: batch.finishReason ?? '' });
     }
-    connection.recordEnd({ ...CUT, kind: 'finished' });
+    connection.recordEnd({ ...NO_ANSWER, kind: 'finished' });
   } catch (error) {
     const lost = error instanceof GenerationLostError ? error : null;
     const runState = lost?.runState ?? '';
-    connection.recordEnd({ ...CUT, kind: 'failed', code: lost?.code ?? 'client_error', runState });
+    connection.recordEnd({
+      ...NO_ANSWER,
+      kind: 'failed',
+      code: lost?.code ?? 'client_error',
+      runState,
+    });
   }
 }
--- a/tools/scenario/startChild/index.ts
+++ b/tools/scenario/startChild/index.ts
@@ -1,13 +1,13 @@
 import { spawn } from 'node:child_process';
 import { createInterface } from 'node:readline';
-import type { Child, EventBoard } from '../types';
+import type { Child, EventNotifier } from '../types';
 
 /** Options of `startChild`. */
 export interface ChildOptions {
   readonly name: string;
   readonly availabilityZone: string;
   readonly args: readonly string[];
-  readonly board: EventBoard;
+  readonly notifier: EventNotifier;
   readonly restart: () => Promise<void>;
   /** Called once it has been started. */
   readonly onStart: (child: Child) => void;
@@ -15,26 +15,26 @@
 
 /** Starts a Node.js process and keeps its lines; each line and the exit are events. */
 export function startChild(options: ChildOptions): Child {
-  const { availabilityZone, board, name, restart } = options;
+  const { availabilityZone, notifier, name, restart } = options;
   const child = spawn(process.execPath, [...options.args], { stdio: ['ignore', 'pipe', 'pipe'] });
   const lines: string[] = [];
   let exit: string | null = null;
   const record = (line: string): void => {
     lines.push(line);
-    board.record();
+    notifier.record();
   };
   createInterface({ input: child.stdout }).on('line', record);
   createInterface({ input: child.stderr }).on('line', record);
   child.on('exit', (code, signal) => {
     exit = signal ?? String(code);
-    board.record();
+    notifier.record();
   });
   const started: Child = {
     name,
     availabilityZone,
     process: child,
     lines,
-    exit: () => exit,
+    readExitStatus: () => exit,
     restart,
   };
   options.onStart(started);
--- a/tools/scenario/types/Child.ts
+++ b/tools/scenario/types/Child.ts
@@ -8,7 +8,7 @@
   /** Lines of its standard output. */
   readonly lines: readonly string[];
   /** Exit code or signal, or null while it runs. */
-  readonly exit: () => string | null;
+  readonly readExitStatus: () => string | null;
   /** Starts the program again as a new process with the same settings. */
   readonly restart: () => Promise<void>;
 }
--- a/tools/scenario/types/EventBoard.ts
+++ b/tools/scenario/types/EventNotifier.ts
@@ -1,5 +1,5 @@
 /** Tells waiting steps that something happened. */
-export interface EventBoard {
+export interface EventNotifier {
   /** Something changed: waiting steps look again. */
   record(): void;
   /** Resolves with the first value of `read` that is not null; `read` runs at each event. */
--- a/tools/scenario/types/Verdict.ts
+++ b/tools/scenario/types/ScenarioResult.ts
@@ -1,5 +1,5 @@
 /** Outcome of one scenario. */
-export interface Verdict {
+export interface ScenarioResult {
   readonly name: string;
   /** Empty if everything held. */
   readonly faults: readonly string[];
--- a/tools/scenario/types/index.ts
+++ b/tools/scenario/types/index.ts
@@ -10,8 +10,8 @@
 export type { Child } from './Child';
 export type { Decision } from './Decision';
 export type { Deployment } from './Deployment';
-export type { EventBoard } from './EventBoard';
+export type { EventNotifier } from './EventNotifier';
 export type { RunContext } from './RunContext';
 export type { Expectation, Scenario, ScenarioFile, Step } from './Scenario';
 export { scenarioSchema } from './Scenario';
-export type { Verdict } from './Verdict';
+export type { ScenarioResult } from './ScenarioResult';
--- a/tools/unit-tests/main.ts
+++ b/tools/unit-tests/main.ts
@@ -1,7 +1,7 @@
 // Runs ava; failures that KNOWN-RED.txt lists are printed and passed over, only these. In a run of all
 // tests, an entry whose test passes or is not there fails it.
 import { spawn } from 'node:child_process';
-import { compareFailures, listTapFailures, readKnownRed } from '../known-red';
+import { compareFailures, listTapFailures, readKnownFailures } from '../known-red';
 
 const AVA = 'node_modules/ava/entrypoints/cli.mjs';
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
@@ -20,7 +20,7 @@
   process.stdout.write(text);
 };
 
-const knownRed = (await readKnownRed(KNOWN_RED_FILE)).filter(({ suite }) => suite === 'unit');
+const knownRed = (await readKnownFailures(KNOWN_RED_FILE)).filter(({ suite }) => suite === 'unit');
 const args = process.argv.slice(2);
 if (knownRed.length === 0) {
   process.exitCode = await runAva(args, write);
--- a/tools/vm-cost/startCostFleet/index.ts
+++ b/tools/vm-cost/startCostFleet/index.ts
@@ -40,9 +40,9 @@
 
 const sendStream = async (server: StandInServer, request: ReceivedRequest): Promise<void> => {
   await wait(PREFILL_MS);
-  server.begin(request);
+  server.startStream(request);
   for (let id = 1; id <= EVENTS && !request.response.destroyed; id += 1) {
-    server.emit(request, id, id);
+    server.sendEvents(request, id, id);
     await wait(EVENT_MS);
   }
   request.response.end();
--- a/tools/warm-up/main.ts
+++ b/tools/warm-up/main.ts
@@ -35,10 +35,10 @@
 
 /** Answers a stream event by event, from where the caller is. */
 const sendStream = async (server: StandInServer, request: ReceivedRequest): Promise<void> => {
-  server.begin(request);
+  server.startStream(request);
   const first = Number(request.headers[HEADERS.lastEventId] ?? 0) + 1;
   for (let id = first; id <= EVENTS && !request.response.destroyed; id += 1) {
-    server.emit(request, id, id);
+    server.sendEvents(request, id, id);
     if (id === CRASH_AT && request.target.endsWith('crash') && first === 1) {
       request.socket.resetAndDestroy();
       return;
