--- a/tests/model/serverLimits.test.ts
+++ b/tests/model/serverLimits.test.ts
@@ -28,7 +28,7 @@
 /** A VM's requests count from this long after the VM received the limit. */
 const KNOWN_AFTER_MS = 500;
 
-const FAULT = { part: 0.34, fromMs: 13_000, untilMs: 17_000 } as const;
+const FAULT = { fraction: 0.34, fromMs: 13_000, untilMs: 17_000 } as const;
 const END_MS = 28_000;
 
 /** From here on every fault is over, and the limits must be used. */
